--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -178,7 +178,7 @@
                 n: x.info for n, x in old.decisions.workers.items()
             }
             assert new.settings.zone == 1
-            assert [c.kind for c in new.settings.classes] == [-1, 1]
+            assert [c.machine_type for c in new.settings.classes] == [-1, 1]
             assert new.decisions.workers[attempt.worker].strikes == 3
             assert list(new.decisions.hints.sample) == list(old.decisions.hints.sample)
             assert new.decisions.hints.sample[0] == 300_000
