--- a/badgerroad/emulator/counts.py
+++ b/badgerroad/emulator/counts.py
@@ -13,6 +13,8 @@
 
 
 class Counts(NamedTuple):
+    """Counts of one virtual run over all dispatchers."""
+
     calls: int  # at discovery
     failed: int  # of them
     untold: int  # dispatchers whose last call before the end of the arrivals was not answered
--- a/badgerroad/emulator/errors.py
+++ b/badgerroad/emulator/errors.py
@@ -5,7 +5,7 @@
 from badgerroad.errors import Error
 
 
-class BadScenario(Error):
+class ScenarioError(Error):
     """One line that names file, field and reason."""
 
     code = "scenario"
--- a/badgerroad/emulator/live/clock.py
+++ b/badgerroad/emulator/live/clock.py
@@ -16,6 +16,7 @@
     LEAD = 120_000_000
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """`loop`: the event loop that plays the events."""
         self.loop = loop
         self._zero = time.monotonic_ns() // 1000 + self.LEAD
         self._alarm: asyncio.TimerHandle | None = None
@@ -25,6 +26,7 @@
 
     @property
     def now(self) -> int:
+        """Microseconds since the scenario began."""
         return time.monotonic_ns() // 1000 - self._zero
 
     @now.setter
@@ -32,10 +34,12 @@
         """The wall clock moves by itself."""
 
     def begin(self) -> None:
+        """Time is zero now: the scenario begins."""
         self._zero = time.monotonic_ns() // 1000
         self.turn()
 
     def at(self, when: int, call: Callable[..., Any], *args: Any) -> Entry:
+        """Play `call(*args)` at `when` (microseconds of the run)."""
         entry = super().at(when, call, *args)
         if not self._playing and (self._alarm is None or entry.when < self._alarm_at):
             self._arm()
@@ -50,6 +54,7 @@
             self._alarm = self.loop.call_later(max(self._alarm_at - self.now, 0) / 1e6, self.turn)
 
     def turn(self) -> None:
+        """Play all that is due and set the timer for the next event."""
         self._playing = True
         try:
             self.run(self.now)
--- a/badgerroad/emulator/live/node_servers.py
+++ b/badgerroad/emulator/live/node_servers.py
@@ -4,11 +4,11 @@
 
 import asyncio
 import json
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable, Coroutine, Iterable
 from functools import partial
 from typing import Any
 
-from badgerroad.emulator.live.wire import Door, Gone, Pool, Served
+from badgerroad.emulator.live.wire import CallFailedError, Door, Pool, Served
 from badgerroad.emulator.model import nodes
 from badgerroad.emulator.model.clients import Try
 from badgerroad.emulator.model.jobs import Job
@@ -27,8 +27,9 @@
 
     __slots__ = ("id", "attempt", "job", "answered")
 
-    def __init__(self, id: str) -> None:
-        self.id, self.answered = id, False
+    def __init__(self, request_id: str) -> None:
+        """The attempt's request id and what is needed to answer it."""
+        self.id, self.answered = request_id, False
         self.attempt: Attempt | None = None
         self.job: Job | None = None
 
@@ -121,21 +122,23 @@
             self._says(node, dispatcher, connection, 404)
 
     def _takes(self, node: RenderNode, dispatcher: int, connection: Served, message: http1.Message, begun: int) -> None:
-        world, id = self.world, (message.get(b"request-id") or b"").decode("latin-1")
-        client_try = self.tries.get(id)
+        world, request_id = self.world, (message.get(b"request-id") or b"").decode("latin-1")
+        client_try = self.tries.get(request_id)
         told = world.registry.counts_as_told(dispatcher, node.name, world.referee.ask_within)
         attempt = world.referee.attempt(
-            id, dispatcher, node.name, node.zone, node.rack, begun, world.home[dispatcher], told
+            request_id, dispatcher, node.name, node.zone, node.rack, begun, world.home[dispatcher], told
         )
-        world.note("send", id=id, dispatcher=dispatcher, node=node.name)
-        carried = Carried(id)
+        world.note("send", request_id=request_id, dispatcher=dispatcher, node=node.name)
+        carried = Carried(request_id)
         carried.attempt, connection.hand = attempt, carried
         if client_try is None or not self._same(client_try, message):
-            world.referee._break(2, f"{node.name} was sent {id} in a form that no client sent")
+            world.referee._break(2, f"{node.name} was sent {request_id} in a form that no client sent")
             self._says(node, dispatcher, connection, 400)
             return
         job = client_try.job
-        carried.job = Job(id, job.key, job.class_index, dispatcher, job.work, job.slots, job.memory, hand=carried)
+        carried.job = Job(
+            request_id, job.key, job.class_index, dispatcher, job.work, job.slots, job.memory, hand=carried
+        )
         status = node.submit(carried.job)
         if status == nodes.ACCEPTED:
             self._says(node, dispatcher, connection, 202, carried=carried)
@@ -166,7 +169,7 @@
         connection: Served,
         status: int,
         body: bytes = b"",
-        headers: http1.Headers = [],
+        headers: Iterable[tuple[bytes, bytes]] = (),
         carried: Carried | None = None,
     ) -> None:
         delay = self.world.network.delay(node.zone, self.world.home[dispatcher])
@@ -174,26 +177,35 @@
             self.kernel.after(delay, self._say, connection, status, body, headers, carried)
 
     def _say(
-        self, connection: Served, status: int, body: bytes, headers: http1.Headers, carried: Carried | None
+        self,
+        connection: Served,
+        status: int,
+        body: bytes,
+        headers: Iterable[tuple[bytes, bytes]],
+        carried: Carried | None,
     ) -> None:
         if carried is not None:
             carried.answered = True
         connection.answer(status, body, headers)
 
     def shut(self, node: RenderNode) -> None:
+        """The node accepts no connection from now on."""
         for d in range(len(self.world.home)):
             if (node.name, d) in self.doors:
                 self.doors[node.name, d].shut()
         self.reset(node)
 
     def reset(self, node: RenderNode) -> None:
+        """Break all connections of the node."""
         for connection in list(self.connections.get(node.name, ())):
             connection.abort()
 
     def reopen(self, node: RenderNode) -> None:
+        """The node accepts connections again."""
         self.spawn(self.open(node))
 
     def tell(self, node: RenderNode, job: Job, state: str, share: float) -> None:
+        """Send a job event to the dispatcher of the job."""
         carried = job.hand
         if isinstance(carried, Carried) and state not in (nodes.STARTED, nodes.RUNNING):
             self.world.referee.attempt_over(carried.attempt, state == nodes.RETURNED)
@@ -223,7 +235,7 @@
                 answer = await self.calls.call(self.address(dispatcher), data)
                 if answer.status in (200, 204):
                     break
-            except Gone:
+            except CallFailedError:
                 pass
             await asyncio.sleep(CALLBACK_PAUSE)
         if item["state"] not in (nodes.STARTED, nodes.RUNNING):
--- a/badgerroad/emulator/live/processes.py
+++ b/badgerroad/emulator/live/processes.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import resource
@@ -37,6 +38,7 @@
         crashed: Callable[[int, str], None],
         command: list[str] | None = None,
     ) -> None:
+        """`crashed` is called with the number and the reason if the process ends by itself."""
         self.number, self.folder, self.config, self.crashed = number, folder, config, crashed
         self.memory_mb, self.sockets = memory_mb, sockets
         self.command = command or [sys.executable, "-m", "badgerroad", "serve"]
@@ -48,9 +50,11 @@
 
     @property
     def up(self) -> bool:
+        """Whether its process runs."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self, seed: int) -> None:
+        """Start the process and watch it until it ends."""
         self.starts += 1
         file = self.folder / f"d{self.number}.json"
         file.write_text(
@@ -73,10 +77,8 @@
         with open(self.folder / f"d{self.number}.log", "ab") as log:
             self.process = await asyncio.create_subprocess_exec(*self.command, env=environment, stdout=log, stderr=log)
         self.expected = False
-        try:
+        with contextlib.suppress(ProcessLookupError):  # it ended at once; the watch says so
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (self.sockets, self.sockets))
-        except ProcessLookupError:
-            pass  # it ended at once; the watch says so
         self._watch = asyncio.ensure_future(self._watched(self.process))
 
     async def _watched(self, process: asyncio.subprocess.Process) -> None:
@@ -100,6 +102,7 @@
             self.crashed(self.number, f"exit code {code}; its log is {self.folder / f'd{self.number}.log'}")
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal, if the process runs."""
         if self.process is not None and self.process.returncode is None:
             if number in (signal.SIGTERM, signal.SIGKILL):
                 self.expected = True
--- a/badgerroad/emulator/live/run.py
+++ b/badgerroad/emulator/live/run.py
@@ -30,6 +30,7 @@
         trace: Any | None = None,
         command: list[str] | None = None,
     ) -> None:
+        """`command` starts a dispatcher; `logs`: the folder that keeps their logs."""
         kernel = LiveKernel(loop)
         self.clock = kernel
         import time  # the anchor to Unix time, in which nodes' starts are told; nothing else reads it
--- a/badgerroad/emulator/live/tier.py
+++ b/badgerroad/emulator/live/tier.py
@@ -16,7 +16,7 @@
 
 from badgerroad.emulator.live.node_servers import NodeServers
 from badgerroad.emulator.live.processes import Process
-from badgerroad.emulator.live.wire import Caller, Door, Gone, Pool, Served
+from badgerroad.emulator.live.wire import Caller, CallFailedError, Door, Pool, Served
 from badgerroad.emulator.model.clients import BROKEN, UNREACHABLE, Try
 from badgerroad.emulator.model.jobs import Job
 from badgerroad.emulator.model.network import CLIENTS
@@ -41,9 +41,12 @@
 
 
 class LiveTier:
+    """The dispatchers as processes, with servers and callers for all that they talk to."""
+
     def __init__(
         self, world: World, loop: asyncio.AbstractEventLoop, folder: Path, command: list[str] | None = None
     ) -> None:
+        """`command` starts a dispatcher; `folder` holds configurations and logs."""
         self.world, self.kernel, self.loop, self.folder, self.command = world, world.kernel, loop, folder, command
         self.processes: list[Process] = []
         self.pool = Pool(loop)
@@ -58,6 +61,7 @@
         self.closing = False
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Run a coroutine as a task of this run; an exception in it goes to the loop's exception handler."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self._done)
@@ -71,6 +75,7 @@
     # Setting up.
 
     async def open(self) -> None:
+        """Open all servers and start the dispatchers."""
         s = self.world.scenario
         for d in range(len(self.world.home)):
             door = Door(
@@ -97,6 +102,7 @@
         await asyncio.gather(*(self._start(d) for d in range(len(self.processes))))
 
     async def close(self) -> None:
+        """End the dispatchers, all tasks and all servers."""
         self.closing = True
         for task in self.tasks:
             task.cancel()
@@ -120,28 +126,34 @@
                 if answer.status == 200:
                     self.world.dispatcher_ready(number)
                     return
-            except Gone:
+            except CallFailedError:
                 pass
             await asyncio.sleep(READY_EVERY)
             waited += READY_EVERY
 
     def start(self, number: int) -> None:
+        """Start a dispatcher's process again."""
         if not self.is_up(number) and not self.closing:
             self.spawn(self._start(number))
 
     def kill(self, number: int) -> None:
+        """SIGKILL."""
         self.processes[number].signal(signal.SIGKILL)
 
     def stop(self, number: int) -> None:
+        """SIGTERM."""
         self.processes[number].signal(signal.SIGTERM)
 
     def freeze(self, number: int, on: bool) -> None:
+        """SIGSTOP, SIGCONT."""
         self.processes[number].signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def reload(self, number: int) -> None:
+        """SIGHUP."""
         self.processes[number].signal(signal.SIGHUP)
 
     def is_up(self, number: int) -> bool:
+        """Whether the dispatcher's process runs."""
         return self.processes[number].up and not self.processes[number].expected
 
     def _crashed(self, number: int, why: str) -> None:
@@ -152,6 +164,7 @@
     # Clients.
 
     def submit(self, client_try: Try) -> None:
+        """Send a client's request to its dispatcher."""
         self.tries[client_try.id] = client_try
         delay = self.world.network.delay(CLIENTS, self.world.home[client_try.dispatcher]) or 0
         self.kernel.after(delay, self._client_sends, client_try)
@@ -198,7 +211,7 @@
 
         try:
             answer = await self.pool.call(address, data, sent)
-        except Gone as e:
+        except CallFailedError as e:
             if client_try.over:
                 return
             if e.silent_reuse and not again:
@@ -229,6 +242,7 @@
         self.kernel.after(delay, self.world.clients.ended, client_try, kind, wait)
 
     def abandon(self, client_try: Try) -> None:
+        """The client closes the connection of a request that is open."""
         slack = self.world.referee.slack if client_try.until >= client_try.deadline else 0
         if not slack:
             self.world.referee.left(client_try.id)
@@ -240,6 +254,7 @@
             caller.close()
 
     def begin_bad(self, per_s: float) -> None:
+        """Send malformed requests, so many a second."""
         if per_s > 0:
             draws = self.world.draws("bad clients")
             self._bad_next(draws.exponential, 1e6 / per_s)
@@ -273,15 +288,19 @@
     # Nodes.
 
     def node_gone(self, node: RenderNode) -> None:
+        """The node's listeners close and its connections break."""
         self.nodes.shut(node)
 
     def reset(self, node: RenderNode) -> None:
+        """All connections to the node break; it runs on."""
         self.nodes.reset(node)
 
     def node_back(self, node: RenderNode) -> None:
+        """The node's listeners open again."""
         self.nodes.reopen(node)
 
     def tell(self, node: RenderNode, job: Job, state: str, share: float) -> None:
+        """Send a job event to the dispatcher of the job."""
         self.nodes.tell(node, job, state, share)
 
     # Discovery.
--- a/badgerroad/emulator/live/wire.py
+++ b/badgerroad/emulator/live/wire.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 
 from badgerroad.errors import Error
 from badgerroad.net import http1
@@ -23,6 +23,7 @@
         on_message: Callable[[Served, http1.Message, int], None],
         on_lost: Callable[[Served], None],
     ) -> None:
+        """`accept` is called with the new connection, `on_lost` when it has ended."""
         self.now, self.accept, self.on_message, self.on_lost = now, accept, on_message, on_lost
         self.ring = Ring(http1.RING_LIMIT)
         self.parser = http1.Parser(self.ring)
@@ -31,12 +32,14 @@
         self.hand: object = None  # what this connection carries now
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.Protocol."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if not self.accept(self):
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """See asyncio.Protocol."""
         if self.parser.idle:
             self.begun = self.now()
         try:
@@ -47,15 +50,18 @@
         except (http1.BadMessage, ValueError):
             self.abort()
 
-    def answer(self, status: int, body: bytes = b"", headers: http1.Headers = []) -> None:
+    def answer(self, status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = ()) -> None:
+        """Write an answer."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(http1.response(status, body, headers))
 
     def abort(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """See asyncio.Protocol."""
         self.on_lost(self)
 
 
@@ -63,22 +69,25 @@
     """A listener that can be shut, so that connections are refused, and opened again at the same address."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, make: Callable[[], asyncio.Protocol]) -> None:
+        """`make` makes the protocol of an accepted connection."""
         self.loop, self.make, self.port = loop, make, 0
         self._server: asyncio.Server | None = None
         self._opening: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
+        """Listen, at the same address as before if there was one."""
         if self._server is None:
             self._server = await self.loop.create_server(self.make, "127.0.0.1", self.port, backlog=256)
             self.port = self._server.sockets[0].getsockname()[1]
 
     def shut(self) -> None:
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
 
-class Gone(Error):
+class CallFailedError(Error):
     """The call got no answer. `refused`: nobody listens; `silent_reuse`: a kept connection ended without a byte,
     as it does when its end crossed the request."""
 
@@ -86,6 +95,7 @@
     remedy = "none: a rehearsed fault"
 
     def __init__(self, refused: bool, silent_reuse: bool = False) -> None:
+        """See the class."""
         super().__init__("refused" if refused else "broken off")
         self.refused, self.silent_reuse = refused, silent_reuse
 
@@ -94,6 +104,7 @@
     """One connection to a server: a call at a time."""
 
     def __init__(self) -> None:
+        """Not connected yet."""
         self.ring = Ring(http1.RING_LIMIT)
         self.parser = http1.Parser(self.ring, responses=True)
         self.transport: asyncio.Transport | None = None
@@ -102,10 +113,12 @@
         self.unasked: Callable[[], None] = lambda: None  # a whole answer has come that no call waits for
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """See asyncio.Protocol."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """See asyncio.Protocol."""
         self.got = True
         try:
             self.ring.put(data)
@@ -124,11 +137,13 @@
         self.answer.set_result(message)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """See asyncio.Protocol."""
         self.closed = True
         if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(Gone(False, self.uses > 1 and not self.got))
+            self.answer.set_exception(CallFailedError(False, self.uses > 1 and not self.got))
 
     def close(self) -> None:
+        """Close the connection."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
@@ -138,6 +153,7 @@
     """Kept connections by address; a call takes one or opens one."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """No connections yet."""
         self.loop = loop
         self.idle: dict[Address, list[Caller]] = {}
         self.out: set[Caller] = set()
@@ -145,7 +161,7 @@
     async def call(
         self, address: Address, data: bytes, sent: Callable[[Caller], None] = lambda c: None
     ) -> http1.Message:
-        """One exchange; `sent` hears of the connection once the bytes are given to it. Raises Gone."""
+        """One exchange; `sent` hears of the connection once the bytes are given to it. Raises CallFailedError."""
         caller = None
         kept = self.idle.get(address, [])
         while kept and caller is None:
@@ -156,7 +172,7 @@
             try:
                 _, caller = await self.loop.create_connection(Caller, *address)
             except OSError as e:
-                raise Gone(True) from e
+                raise CallFailedError(True) from e
         caller.uses += 1
         caller.got = False
         caller.answer = self.loop.create_future()
@@ -176,5 +192,6 @@
         return answer
 
     def close(self) -> None:
+        """Close all connections."""
         for caller in [*self.out, *(c for kept in self.idle.values() for c in kept)]:
             caller.close()
--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -32,6 +32,7 @@
     """One dispatcher. A kill makes all that it held void; a start makes a new life."""
 
     def __init__(self, world: MachineWorld[Machine], number: int, make: Make) -> None:
+        """`make` makes the decisions from settings and seed."""
         self.world, self.number, self.make = world, number, make
         self.kernel, self.zone = world.kernel, world.home[number]
         self.settings = settings_from(dumps(settings_of(world.scenario, number, self.zone)).encode())
@@ -39,8 +40,19 @@
         self.list: tuple[Any, ...] = tuple(world.registry.entries.values())
         self.version = world.registry.version  # of the list held; it outlives a restart, as the platform keeps it
         self._backlog: deque[Callable[[], None]] = deque()
+        self._performers: dict[type, Callable[[Any], None]] = {
+            interface.SetTimer: self._set_timer,
+            interface.Send: self._send,
+            interface.Reject: self._reject,
+            interface.Fail: self._fail,
+            interface.Cancel: self._cancel,
+            interface.Subscribe: self._subscribe,
+            interface.HealthCheck: self._health_check,
+            interface.CloseIdle: self._close_idle,
+        }
 
     def start(self) -> None:
+        """A new process starts, with the list that the platform kept."""
         self.life += 1
         self.up, self.draining, self.ready, self.frozen = True, False, False, False
         seed = self.world.seed * 1000 + self.number * 16 + self.life
@@ -56,6 +68,7 @@
         self.feed(interface.EndpointList(interface.ListScope.CACHED, 0, self._infos(self.list)))
 
     def kill(self) -> None:
+        """The process dies: open requests break, accepted jobs run on at their nodes."""
         self.up, self.frozen = False, False
         self.life += 1
         requests, self.requests = self.requests, {}
@@ -91,6 +104,7 @@
     # The module.
 
     def feed(self, event: interface.Event) -> None:
+        """Give the decisions an event and perform their actions; events raised meanwhile wait in line."""
         self._line.append(event)
         if self._handling:
             return
@@ -102,33 +116,42 @@
         finally:
             self._handling = False
 
-    def _perform(self, a: interface.Action) -> None:
-        if isinstance(a, interface.SetTimer):
-            self.later(a.delay, self.feed, interface.Timer(a.token))
-        elif isinstance(a, interface.Send):
-            self._send(a)
-        elif isinstance(a, interface.Reject):
-            wait = min(a.retry_after, self.settings.max_retry_after) if self.settings.retry_after_allowed else 0
-            self._answer(self.requests.get(a.request), REFUSED, wait)
-        elif isinstance(a, interface.Fail):
-            self._answer(self.requests.get(a.request), FAILED)
-        elif isinstance(a, interface.Cancel):
-            request = self.requests.get(a.request)
-            if request and a.attempt < len(request.attempts):
-                self._give_up(request, request.attempts[a.attempt], interface.AttemptResult.CANCELLED)
-        elif isinstance(a, interface.Subscribe):
-            if a.on and not self._watching:
-                self._watching = True
-                self.later(self.schedule.before(True), self._call)
-        elif isinstance(a, interface.HealthCheck):
-            self._probe(self.world.by_name[str(a.worker)])
-        elif isinstance(a, interface.CloseIdle):
-            for _ in self.idle.pop(str(a.worker), []):
-                self.world.by_name[str(a.worker)].disconnect()
+    def _perform(self, action: interface.Action) -> None:
+        perform = self._performers.get(type(action))
+        if perform is not None:
+            perform(action)
+
+    def _set_timer(self, action: interface.SetTimer) -> None:
+        self.later(action.delay, self.feed, interface.Timer(action.token))
+
+    def _reject(self, action: interface.Reject) -> None:
+        wait = min(action.retry_after, self.settings.max_retry_after) if self.settings.retry_after_allowed else 0
+        self._answer(self.requests.get(action.request), REFUSED, wait)
+
+    def _fail(self, action: interface.Fail) -> None:
+        self._answer(self.requests.get(action.request), FAILED)
+
+    def _cancel(self, action: interface.Cancel) -> None:
+        request = self.requests.get(action.request)
+        if request and action.attempt < len(request.attempts):
+            self._give_up(request, request.attempts[action.attempt], interface.AttemptResult.CANCELLED)
+
+    def _subscribe(self, action: interface.Subscribe) -> None:
+        if action.on and not self._watching:
+            self._watching = True
+            self.later(self.schedule.before(True), self.call_discovery)
+
+    def _health_check(self, action: interface.HealthCheck) -> None:
+        self._probe(self.world.by_name[str(action.worker)])
+
+    def _close_idle(self, action: interface.CloseIdle) -> None:
+        for _ in self.idle.pop(str(action.worker), []):
+            self.world.by_name[str(action.worker)].disconnect()
 
     # Clients.
 
     def take(self, client_try: Try) -> None:
+        """A client's request has arrived."""
         self._count += 1
         job, left = client_try.job, client_try.deadline - self.kernel.now
         self.world.referee.took(client_try.id, job.key, job.class_index, self.number, client_try.deadline)
@@ -151,6 +174,7 @@
         )
 
     def client_gone(self, client_try: Try) -> None:
+        """The client has closed the connection of a request."""
         request = self.by_id.get(client_try.id)
         if request and not request.answered:
             request.answered = True
@@ -171,6 +195,7 @@
 
     @property
     def owed(self) -> bool:
+        """Whether an answer is still pending."""
         return any(not r.answered for r in self.requests.values())
 
     # Attempts.
@@ -243,9 +268,11 @@
             self._give_up(request, attempt, interface.AttemptResult.TIMEOUT)
 
     def accepted(self, attempt: Attempt) -> None:
+        """A node's 202 has arrived."""
         attempt.accepted = True
 
     def called_back(self, request: Open, attempt: Attempt, state: str, share: float) -> None:
+        """A node's job event has arrived."""
         if attempt.over:
             return
         attempt.heard = True
@@ -316,58 +343,26 @@
     def _infos(self, entries: tuple[Any, ...]) -> tuple[interface.Endpoint, ...]:
         return tuple(interface.Endpoint(e.node, e.state, e.since, e.kind, e.zone, e.rack, e.weight) for e in entries)
 
-    def _call(self) -> None:
-        """What has changed since the list held."""
-        call, done, begun = self.schedule.call(), [False], self.kernel.now
-        self.world.note("discovery", dispatcher=self.number, wait=call.wait)
-
-        def reply(answer: Answer | None) -> None:
-            # Written now; read one trip later.
-            if answer is not None and self.up:
-                self.world.told(self.number, answer)
-            self.later(self.world.network.delay(self.zone, self.zone), heard, answer)
-
-        def heard(answer: Answer | None) -> None:
-            if done[0]:
-                return
-            done[0] = True
-            if answer is None:
-                failed()
-                return
-            self.schedule.answered()
-            scope = interface.ListScope.COMPLETE if answer.whole else interface.ListScope.INCREMENTAL
-            known = {} if answer.whole else {e.node: e for e in self.list}
-            known.update((e.node, e) for e in answer.entries)
-            self.list = tuple(e for e in known.values() if e.state != "gone")
-            self.version = answer.version
-            self.world.note("listed", dispatcher=self.number, version=answer.version)
-            self._be_ready()
-            self.feed(interface.EndpointList(scope, answer.version, self._infos(answer.entries)))
-            self._call()
-
-        def late() -> None:
-            if not done[0]:
-                done[0] = True
-                failed()
-
-        def failed() -> None:
-            pause = self.schedule.failed(call, self.kernel.now - begun)
-            if self.schedule.out:
-                self.world.note("discovery failed", dispatcher=self.number)
-                self._be_ready()
-                self.feed(interface.EndpointList(interface.ListScope.FAILED))
-            self.later(pause, self._call)
-
-        self.later(call.patience, late)
-        life = self.life
-
-        def arrives() -> None:
-            if life == self.life:
-                self.world.registry.call(self.number, self.version, call.wait, reply)
-
-        delay = self.world.network.delay(self.zone, self.zone)
-        if delay is not None:
-            self.kernel.after(delay, arrives)
+    def call_discovery(self) -> None:
+        """Ask discovery for what has changed since the list that is cached."""
+        DiscoveryCall(self).start()
+
+    def take_list(self, answer: Answer) -> None:
+        """Discovery's answer: the decisions have the list from now on."""
+        scope = interface.ListScope.COMPLETE if answer.whole else interface.ListScope.INCREMENTAL
+        entries = {} if answer.whole else {entry.node: entry for entry in self.list}
+        entries.update((entry.node, entry) for entry in answer.entries)
+        self.list = tuple(entry for entry in entries.values() if entry.state != "gone")
+        self.version = answer.version
+        self.world.note("listed", dispatcher=self.number, version=answer.version)
+        self._be_ready()
+        self.feed(interface.EndpointList(scope, answer.version, self._infos(answer.entries)))
+
+    def discovery_failed(self) -> None:
+        """Discovery counts as unavailable: the decisions are notified."""
+        self.world.note("discovery failed", dispatcher=self.number)
+        self._be_ready()
+        self.feed(interface.EndpointList(interface.ListScope.FAILED))
 
     def _be_ready(self) -> None:
         if not self.ready:
@@ -404,3 +399,59 @@
             )
 
         self.kernel.after(there, arrives)
+
+
+class DiscoveryCall:
+    """One call of a machine at discovery, until it is answered, fails or is given up."""
+
+    def __init__(self, machine: Machine) -> None:
+        """For the life that the machine has now."""
+        self._machine = machine
+        self._call = machine.schedule.call()
+        self._begun = machine.kernel.now
+        self._life = machine.life
+        self._done = False
+
+    def start(self) -> None:
+        """Send it; the answer comes a trip later, or never."""
+        machine = self._machine
+        machine.world.note("discovery", dispatcher=machine.number, wait=self._call.wait)
+        machine.later(self._call.patience, self._give_up)
+        delay = machine.world.network.delay(machine.zone, machine.zone)
+        if delay is not None:
+            machine.kernel.after(delay, self._arrive)
+
+    def _arrive(self) -> None:
+        machine = self._machine
+        if self._life == machine.life:
+            machine.world.registry.call(machine.number, machine.version, self._call.wait, self._reply)
+
+    def _reply(self, answer: Answer | None) -> None:
+        """It is written now, and read one trip later."""
+        machine = self._machine
+        if answer is not None and machine.up:
+            machine.world.told(machine.number, answer)
+        machine.later(machine.world.network.delay(machine.zone, machine.zone), self._read, answer)
+
+    def _read(self, answer: Answer | None) -> None:
+        if self._done:
+            return
+        self._done = True
+        if answer is None:
+            self._fail()
+            return
+        self._machine.schedule.answered()
+        self._machine.take_list(answer)
+        self._machine.call_discovery()
+
+    def _give_up(self) -> None:
+        if not self._done:
+            self._done = True
+            self._fail()
+
+    def _fail(self) -> None:
+        machine = self._machine
+        pause = machine.schedule.failed(self._call, machine.kernel.now - self._begun)
+        if machine.schedule.out:
+            machine.discovery_failed()
+        machine.later(pause, machine.call_discovery)
--- a/badgerroad/emulator/model/clients.py
+++ b/badgerroad/emulator/model/clients.py
@@ -32,6 +32,7 @@
 
     @property
     def mean_slots(self) -> float:
+        """The mean number of slots of a job."""
         return sum(s * (1 << n) for n, s in enumerate(self.slots)) / sum(self.slots)
 
 
@@ -57,6 +58,7 @@
     def __init__(
         self, number: int, class_index: int, zone: int, work: float, slots: int, memory: float, hint: int, begun: int
     ) -> None:
+        """`work` in core-microseconds, `begun` in microseconds of the run."""
         self.number, self.class_index, self.zone, self.work = number, class_index, zone, work
         self.slots, self.memory, self.hint, self.begun = slots, memory, hint, begun
         self.key = f"k{number}"
@@ -68,14 +70,17 @@
 
     __slots__ = ("id", "job", "dispatcher", "sent", "until", "timer", "over", "deadline")
 
-    def __init__(self, id: str, job: ClientJob, dispatcher: int, sent: int, until: int, deadline: int) -> None:
-        self.id, self.job, self.dispatcher, self.sent, self.until = id, job, dispatcher, sent, until
+    def __init__(self, request_id: str, job: ClientJob, dispatcher: int, sent: int, until: int, deadline: int) -> None:
+        """Times in microseconds: `until` the client waits, its class gives up at `deadline`."""
+        self.id, self.job, self.dispatcher, self.sent, self.until = request_id, job, dispatcher, sent, until
         self.deadline = deadline  # what its Request-Timeout-Ms says; an impatient client leaves before
         self.timer: Entry | None = None
         self.over = False
 
 
 class Transport(Protocol):
+    """What carries a client's requests to the dispatchers."""
+
     def submit(self, client_try: Try) -> None:
         """Carry a try to its dispatcher; `Clients.ended` hears what became of it."""
 
@@ -87,16 +92,19 @@
     """One per zone: spreads requests in turn over the dispatchers that it believes to be up."""
 
     def __init__(self, kernel: Kernel, draws: Draws, dispatchers: Sequence[int], notice: tuple[float, float]) -> None:
+        """`notice`: seconds after which the front notices a dead dispatcher, a range."""
         self.kernel, self.draws, self.notice = kernel, draws, notice
         self.believed: dict[int, bool] = {d: False for d in dispatchers}
         self._turn = 0
 
     def pick(self) -> int | None:
+        """The dispatcher of the next connection, or None if all are known to be down."""
         up = [d for d, ok in self.believed.items() if ok]
         self._turn += 1
         return up[self._turn % len(up)] if up else None
 
     def admit(self, dispatcher: int) -> None:
+        """A dispatcher has said that it is ready."""
         if dispatcher in self.believed:
             self.believed[dispatcher] = True
 
@@ -119,12 +127,15 @@
     """Counts of one class."""
 
     def __init__(self) -> None:
+        """All counts are zero."""
         self.asked = self.served = self.in_time = self.refused = self.failed = self.lost = 0
         self.worth = self.worth_served = 0.0
         self.took: list[int] = []
 
 
 class Clients:
+    """All clients: arrivals, retries, and what became of each request."""
+
     def __init__(
         self,
         kernel: Kernel,
@@ -159,6 +170,7 @@
     # Arrivals.
 
     def begin(self) -> None:
+        """Start the arrivals."""
         if self.rate > 0:
             self._next()
 
--- a/badgerroad/emulator/model/jobs.py
+++ b/badgerroad/emulator/model/jobs.py
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        id: str,
+        request_id: str,
         key: str,
         class_index: int,
         dispatcher: int,
@@ -66,7 +66,8 @@
         memory: float = 0.0,
         hand: object | None = None,
     ) -> None:
-        self.id, self.key, self.class_index, self.dispatcher = id, key, class_index, dispatcher
+        """`work` in core-microseconds at speed 1."""
+        self.id, self.key, self.class_index, self.dispatcher = request_id, key, class_index, dispatcher
         self.work, self.slots, self.memory = work, slots, memory
         self.arrived = self.started = 0
         self.begun = self.ends = 0.0
@@ -76,4 +77,5 @@
 
     @property
     def load(self) -> float:
+        """The work of all its slots."""
         return self.work * self.slots
--- a/badgerroad/emulator/model/kernel.py
+++ b/badgerroad/emulator/model/kernel.py
@@ -20,9 +20,11 @@
     __slots__ = ("when", "call", "args")
 
     def __init__(self, when: int, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
+        """Play `call(*args)` at `when` (microseconds)."""
         self.when, self.call, self.args = when, call, args
 
     def cancel(self) -> None:
+        """It is not played."""
         self.call = _nothing
         self.args = ()
 
@@ -35,6 +37,7 @@
     """Events in the order of their time and, at one time, of their making: the order does not depend on hashes."""
 
     def __init__(self, now: int = 0) -> None:
+        """`now`: the time at the start, in microseconds."""
         self.now, self.played = now, 0
         self._queue: list[tuple[int, int, Entry]] = []
         self._made = 0
@@ -47,6 +50,7 @@
         return entry
 
     def after(self, delay: float, call: Callable[..., Any], *args: Any) -> Entry:
+        """Play `call(*args)` after `delay` microseconds."""
         return self.at(self.now + int(delay), call, *args)
 
     @property
@@ -71,6 +75,7 @@
     leaves all others as they were, which is what makes paired comparisons sharp (numpy SeedSequence, spawn keys)."""
 
     def __init__(self, seed: int, name: str) -> None:
+        """The stream called `name` of a run with this seed."""
         sequence = np.random.SeedSequence(seed, spawn_key=(crc32(name.encode()),))
         self.generator = np.random.Generator(np.random.PCG64(sequence))
         self._block: list[float] = []
@@ -82,9 +87,11 @@
         return self._block.pop()
 
     def uniform(self, low: float, high: float) -> float:
+        """Uniform from `low` to `high`."""
         return low + (high - low) * self.random()
 
     def exponential(self, mean: float) -> float:
+        """Exponential with this mean."""
         return -mean * log(1.0 - self.random())
 
     def lognormal(self, mean: float, cv: float) -> float:
--- a/badgerroad/emulator/model/network.py
+++ b/badgerroad/emulator/model/network.py
@@ -20,6 +20,7 @@
         client: tuple[float, float],
         jitter: float,
     ) -> None:
+        """One-way times in milliseconds or microseconds alike, as ranges: within a zone, between zones, to clients."""
         self.kernel, self.draws, self.jitter = kernel, draws, jitter
         self.base: dict[tuple[int, int], float] = {}
         for a in range(zones):
@@ -37,9 +38,11 @@
         return int(base * (1 + self.jitter * self.draws.random()))
 
     def slow(self, a: int, b: int, factor: float) -> None:
+        """Messages between two zones take `factor` times as long."""
         self.slowed[frozenset((a, b))] = factor
 
     def cut(self, source: int, target: int, on: bool) -> None:
+        """Cut the way from one zone to another, or mend it."""
         if on:
             self.cuts.append((source, target))
         elif (source, target) in self.cuts:
--- a/badgerroad/emulator/model/nodes.py
+++ b/badgerroad/emulator/model/nodes.py
@@ -43,6 +43,7 @@
         collapsed: Callable[[RenderNode, list[tuple[int, float]]], None],
         seen: Callable[[RenderNode, str], None],
     ) -> None:
+        """See the class."""
         self.kernel, self.name, self.profile, self.zone, self.rack, self.kind = kernel, name, profile, zone, rack, kind
         self.draws, self.tell, self.collapsed, self.seen = draws, tell, collapsed, seen
         self.up, self.draining, self.fallen = True, False, False
@@ -127,9 +128,7 @@
         p = self.profile
         if self.draining or job.slots > p.slots or p.memory and job.memory > p.memory or len(self.waiting) >= p.queue:
             return FULL
-        if job.id in self.jobs:
-            return ERROR
-        if self.draws.random() < max(self.error_share, p.error_rate):
+        if job.id in self.jobs or self.draws.random() < max(self.error_share, p.error_rate):
             return ERROR
         self._advance()
         job.arrived, job.state = self.kernel.now, "waiting"
@@ -218,6 +217,7 @@
         return True
 
     def disconnect(self) -> None:
+        """A connection has ended."""
         self.connections = max(self.connections - 1, 0)
 
     def _charge(self, work: int) -> None:
@@ -330,6 +330,7 @@
 
     @property
     def silent(self) -> bool:
+        """Whether it is cut off now."""
         return self._silences > 0
 
     def _heard_again(self) -> None:
--- a/badgerroad/emulator/model/registry.py
+++ b/badgerroad/emulator/model/registry.py
@@ -24,6 +24,8 @@
 
 
 class Answer(NamedTuple):
+    """Discovery's answer: a complete list, or the entries that have changed."""
+
     version: int
     whole: bool
     entries: tuple[Entry, ...]
@@ -50,6 +52,7 @@
         lines_per_call: int = 0,
         watches_go_on: bool = False,
     ) -> None:
+        """See the class; `notice`: microseconds until the list has a change, a range."""
         self.dead_calls_cost, self.lines_per_call, self.watches_go_on = dead_calls_cost, lines_per_call, watches_go_on
         self.kernel, self.draws, self.notice, self.patience = kernel, draws, notice, patience
         self.cost = int(SEC / capacity) if capacity else 0
--- a/badgerroad/emulator/model/rule_checker.py
+++ b/badgerroad/emulator/model/rule_checker.py
@@ -16,6 +16,8 @@
 
 
 class ClassRule(NamedTuple):
+    """What the rules depend on in one class; times in microseconds."""
+
     name: str
     semantics: str  # retryable, dedup or fragile
     group: str  # all, zone or cell
@@ -36,6 +38,7 @@
     __slots__ = ("node", "zone", "rack", "at", "over", "never")
 
     def __init__(self, node: str, zone: int, rack: int, at: int) -> None:
+        """`at`: when it arrived, in microseconds of the run."""
         self.node, self.zone, self.rack, self.at, self.over, self.never = node, zone, rack, at, False, False
 
 
@@ -44,14 +47,17 @@
 
     __slots__ = ("id", "key", "cls", "dispatcher", "due", "attempts", "end", "results")
 
-    def __init__(self, id: str, key: str, cls: ClassRule, dispatcher: int, due: int) -> None:
-        self.id, self.key, self.cls, self.dispatcher, self.due = id, key, cls, dispatcher, due
+    def __init__(self, request_id: str, key: str, cls: ClassRule, dispatcher: int, due: int) -> None:
+        """`due`: until when its answer may come, in microseconds of the run."""
+        self.id, self.key, self.cls, self.dispatcher, self.due = request_id, key, cls, dispatcher, due
         self.attempts: list[Attempt] = []
         self.end = ""
         self.results: list[str] = []
 
 
 class Referee:
+    """Checks the platform's four rules on what crosses the wire."""
+
     def __init__(
         self,
         kernel: Kernel,
@@ -82,32 +88,34 @@
 
     # Rule 1.
 
-    def took(self, id: str, key: str, class_index: int, dispatcher: int, due: int) -> None:
+    def took(self, request_id: str, key: str, class_index: int, dispatcher: int, due: int) -> None:
         """The last byte of a request is with a dispatcher; it owes an answer until `due` plus the slack."""
         self.taken += 1
-        self.open[id] = Taken(id, key, self.classes[class_index], dispatcher, due)
-        self.kernel.at(due + self.slack + 1, self._overdue, id)
+        self.open[request_id] = Taken(request_id, key, self.classes[class_index], dispatcher, due)
+        self.kernel.at(due + self.slack + 1, self._overdue, request_id)
 
-    def _overdue(self, id: str) -> None:
-        taken = self.open.get(id)
+    def _overdue(self, request_id: str) -> None:
+        taken = self.open.get(request_id)
         if taken is not None and not taken.end:
-            self._break(1, f"{taken.cls.name} {id} of dispatcher {taken.dispatcher} has no answer in time")
+            self._break(1, f"{taken.cls.name} {request_id} of dispatcher {taken.dispatcher} has no answer in time")
             self._end(taken, FAILED)
-        self.kernel.after(self.slack + 60_000_000, self.open.pop, id, None)  # second answers and attempts still count
+        self.kernel.after(
+            self.slack + 60_000_000, self.open.pop, request_id, None
+        )  # second answers and attempts still count
 
-    def answered(self, id: str, kind: str, result: str = "") -> None:
+    def answered(self, request_id: str, kind: str, result: str = "") -> None:
         """A final answer has reached the client whole."""
-        taken = self.open.get(id)
+        taken = self.open.get(request_id)
         if taken is None:
-            self._break(1, f"an answer to {id}, which nobody asked")
+            self._break(1, f"an answer to {request_id}, which nobody asked")
             return
         if taken.end in (LEFT, DIED):
             return  # on its way to nobody
         if taken.end:
-            self._break(1, f"{taken.cls.name} {id} is answered twice: {taken.end}, then {kind}")
+            self._break(1, f"{taken.cls.name} {request_id} is answered twice: {taken.end}, then {kind}")
             return
         if kind == SERVED and result not in taken.results:
-            self._break(1, f"{taken.cls.name} {id} is served with what no node made for it")
+            self._break(1, f"{taken.cls.name} {request_id} is served with what no node made for it")
         if kind == REFUSED:
             self._refusal(taken)
         self._end(taken, kind)
@@ -116,17 +124,19 @@
         taken.end = kind
         self.ended[kind] = self.ended.get(kind, 0) + 1
 
-    def left(self, id: str) -> None:
+    def left(self, request_id: str) -> None:
         """The client has gone: nothing is owed any more."""
-        taken = self.open.get(id)
+        taken = self.open.get(request_id)
         if taken is not None and not taken.end:
             self._end(taken, LEFT)
 
-    def broken_off(self, id: str) -> None:
+    def broken_off(self, request_id: str) -> None:
         """A dispatcher that runs has ended the connection without a whole answer."""
-        taken = self.open.get(id)
+        taken = self.open.get(request_id)
         if taken is not None and not taken.end:
-            self._break(1, f"{taken.cls.name} {id}: dispatcher {taken.dispatcher} ended the connection unanswered")
+            self._break(
+                1, f"{taken.cls.name} {request_id}: dispatcher {taken.dispatcher} ended the connection unanswered"
+            )
             self._end(taken, FAILED)
 
     def died(self, dispatcher: int, planned: bool) -> None:
@@ -141,6 +151,7 @@
             del self.told[at]
 
     def crashed(self, dispatcher: int, why: str) -> None:
+        """A dispatcher has ended by itself."""
         self._break(1, f"dispatcher {dispatcher} crashed: {why}")
         self.died(dispatcher, False)
 
@@ -148,7 +159,7 @@
 
     def attempt(
         self,
-        id: str,
+        request_id: str,
         dispatcher: int,
         node: str,
         zone: int,
@@ -158,17 +169,19 @@
         counts_as_told: int | None = None,
     ) -> Attempt | None:
         """An attempt has arrived whole at a node; its first byte was sent at `begun`."""
-        now, taken = self.kernel.now, self.open.get(id)
+        now, taken = self.kernel.now, self.open.get(request_id)
         self.attempts += 1
         self.crossings += zone != home
         told = self.told.get((dispatcher, node), counts_as_told)
         if told is not None and begun > told + self.grace:
-            self._break(3, f"{id} sent to {node} {(begun - told) // 1000} ms after dispatcher {dispatcher} was told")
+            self._break(
+                3, f"{request_id} sent to {node} {(begun - told) // 1000} ms after dispatcher {dispatcher} was told"
+            )
         if taken is None:
-            self._break(2, f"{node} was sent {id}, which no client sent in this form")
+            self._break(2, f"{node} was sent {request_id}, which no client sent in this form")
             return None
         before = [attempt for attempt in taken.attempts if not attempt.never]
-        name = f"{taken.cls.name} {id}"
+        name = f"{taken.cls.name} {request_id}"
         if taken.end in (SERVED, REFUSED, FAILED) and begun > now - 1000:
             self._break(1, f"{name} sent to {node} after its end")
         if len(taken.attempts) >= self.max_attempts:
@@ -198,8 +211,9 @@
         if attempt is not None:
             attempt.over, attempt.never = True, attempt.never or never
 
-    def result(self, id: str, result: str) -> None:
-        taken = self.open.get(id)
+    def result(self, request_id: str, result: str) -> None:
+        """A node has made this result for a request."""
+        taken = self.open.get(request_id)
         if taken is not None:
             taken.results.append(result)
 
@@ -237,6 +251,7 @@
     # Rule 4.
 
     def fell(self, node: str, since: int, sent: list[tuple[int, float]]) -> None:
+        """A node that warmed up has fallen over from what it was sent."""
         self.falls += 1
         informed = sum(w for d, w in sent if self.known.get((d, node), -1) == since)
         share = informed / max(sum(w for _, w in sent), 1e-9)
--- a/badgerroad/emulator/open_requests.py
+++ b/badgerroad/emulator/open_requests.py
@@ -16,13 +16,16 @@
 class Decisions(Protocol):
     """The module's interface, behind which baselines stand too."""
 
-    def handle(self, now: int, event: interface.Event) -> list[interface.Action]: ...
+    def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
+        """The actions after an event at `now` (microseconds)."""
 
 
 Make = Callable[[interface.Settings, int], Decisions]
 
 
 class Attempt:
+    """One attempt of a virtual dispatcher."""
+
     __slots__ = (
         "number",
         "node",
@@ -40,6 +43,7 @@
     )
 
     def __init__(self, number: int, node: RenderNode, sent: int) -> None:
+        """`sent` in microseconds of the run."""
         self.number, self.node, self.sent = number, node, sent
         self.over = self.accepted = self.heard = self.started = self.fresh = False
         self.timer: Entry | None = None
@@ -50,9 +54,12 @@
 
 
 class Open:
+    """A request that a virtual dispatcher has open."""
+
     __slots__ = ("number", "client_try", "attempts", "answered", "out", "deadline")
 
     def __init__(self, number: int, client_try: Try, deadline: int) -> None:
+        """`deadline` in microseconds of the run."""
         self.number, self.client_try, self.deadline = number, client_try, deadline
         self.attempts: list[Attempt] = []
         self.answered, self.out = False, 0
--- a/badgerroad/emulator/rehearse.py
+++ b/badgerroad/emulator/rehearse.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from badgerroad.emulator import report, scenario
-from badgerroad.emulator.errors import BadScenario
+from badgerroad.emulator.errors import ScenarioError
 from badgerroad.emulator.live.run import LiveWorld, play
 from badgerroad.emulator.model.kernel import SEC
 
@@ -21,6 +21,7 @@
 
 
 def moving(world: LiveWorld) -> Table:
+    """The table that is shown while a run goes on."""
     now = min(max(world.kernel.now, 0), world.length)
     table = Table(
         box=box.SIMPLE,
@@ -43,6 +44,7 @@
 
 
 def result(r: report.Report, world: LiveWorld | None = None) -> Table:
+    """The table of a finished run."""
     # 80 columns must do: where the output is no terminal there are no more.
     table = Table(
         box=box.SIMPLE,
@@ -71,10 +73,11 @@
 
 
 def main(path: str, seed: int | None, json_file: str | None, logs: str | None) -> int:
+    """Run `badgerroad rehearse`; returns the exit code."""
     file = Path(path)
     try:
         s = scenario.load(file)
-    except BadScenario as e:
+    except ScenarioError as e:
         print(f"badgerroad: {e.line}", file=sys.stderr)
         return 2
     console, said = Console(), [0]
--- a/badgerroad/emulator/report.py
+++ b/badgerroad/emulator/report.py
@@ -28,6 +28,8 @@
 
 
 class Report(msgspec.Struct):
+    """The result of one run, as it is stored and printed."""
+
     scenario: str
     seed: int
     figure: float  # worth served, the worst class and the worst 10 s, weighed, less the prices
@@ -51,14 +53,17 @@
 
     @property
     def served(self) -> int:
+        """Jobs served, over all classes."""
         return sum(c.served for c in self.classes.values())
 
     @property
     def refused(self) -> int:
+        """Jobs rejected, over all classes."""
         return sum(c.refused for c in self.classes.values())
 
     @property
     def failed(self) -> int:
+        """Jobs failed or lost, over all classes."""
         return sum(c.failed + c.lost for c in self.classes.values())
 
     def bytes(self) -> bytes:
@@ -88,6 +93,7 @@
 
 
 def of(world: World, wall: float) -> Report:
+    """The report of a world at the end of its run; `wall` in seconds."""
     c, r = world.clients, world.referee
     classes = {k.name: _class(t) for k, t in zip(world.kinds, c.tallies, strict=False)}
     asked, served = sum(t.worth for t in c.tallies), sum(t.worth_served for t in c.tallies)
--- a/badgerroad/emulator/scenario.py
+++ b/badgerroad/emulator/scenario.py
@@ -13,7 +13,7 @@
 
 from badgerroad import toml_files
 from badgerroad.emulator import traces
-from badgerroad.emulator.errors import BadScenario
+from badgerroad.emulator.errors import ScenarioError
 from badgerroad.emulator.traces import TraceRow
 
 Range = tuple[float, float]
@@ -26,6 +26,8 @@
 
 
 class Zone(Base, frozen=True, kw_only=True):
+    """`[[zone]]`: its nodes, dispatchers and traffic."""
+
     name: str
     nodes: int = 7
     dispatchers: int = 1
@@ -33,6 +35,8 @@
 
 
 class Kind(Base, frozen=True, kw_only=True):
+    """`[[kind]]`: nodes of one machine type."""
+
     name: str
     share: float = 1.0  # of the nodes
     cores: int = 4
@@ -49,6 +53,8 @@
 
 
 class JobClass(Base, frozen=True, kw_only=True):
+    """`[[cls]]`: one class of requests."""
+
     name: str
     share: float = 1.0  # of the arrivals
     work_ms: Range = (400, 780)  # mean running time at speed 1
@@ -65,6 +71,8 @@
 
 
 class Load(Base, frozen=True, kw_only=True):
+    """`[load]`: how many requests come, and when."""
+
     level: float = 0.42  # of what the nodes can do when warm; or:
     rate_per_s: float = 0.0
     shape: Literal["steady", "wave", "trace"] = "steady"
@@ -75,6 +83,8 @@
 
 
 class Clients(Base, frozen=True, kw_only=True):
+    """`[clients]`: how clients retry."""
+
     retries: int = 3
     backoff_ms: float = 60.0  # 0: at once
     honour: float = 0.2  # part of the clients that heed Retry-After
@@ -84,6 +94,8 @@
 
 
 class Network(Base, frozen=True, kw_only=True):
+    """`[network]`: delays and connections."""
+
     same_ms: Range = (0.14, 0.33)
     cross_ms: Range = (1.4, 2.6)
     client_ms: Range = (0.21, 1.2)
@@ -96,6 +108,8 @@
 
 
 class Reports(Base, frozen=True, kw_only=True):
+    """`[reports]`: how late and how rough load reports are."""
+
     period_ms: float = 900
     delay_ms: float = 340
     noise: float = 0.03
@@ -103,6 +117,8 @@
 
 
 class Discovery(Base, frozen=True, kw_only=True):
+    """`[discovery]`: how late and how loaded discovery is."""
+
     notice_s: Range = (2.5, 4.9)
     capacity: float = 30.0  # calls a second, served in turn; 0: at once
     timeout_ms: float = 1000
@@ -112,6 +128,8 @@
 
 
 class Rules(Base, frozen=True, kw_only=True):
+    """`[rules]`: the platform's permissions and limits."""
+
     drain_grace_ms: float = 500
     ask_within_s: float = 10
     fall_multiple: float = 3.0
@@ -263,6 +281,8 @@
 
 
 class Scenario(Base, frozen=True, kw_only=True):
+    """A whole scenario file."""
+
     name: str
     about: str = ""
     seed: int = 1
@@ -285,19 +305,21 @@
 
     @property
     def nodes(self) -> int:
+        """Nodes in all zones."""
         return sum(h.nodes for h in self.zone)
 
     @property
     def dispatchers(self) -> int:
+        """Dispatchers in all zones."""
         return sum(h.dispatchers for h in self.zone)
 
 
 def load(path: Path) -> Scenario:
-    """The scenario of a file, checked. Raises BadScenario."""
-    scenario = toml_files.decode(path, Scenario, BadScenario)
+    """The scenario of a file, checked. Raises ScenarioError."""
+    scenario = toml_files.decode(path, Scenario, ScenarioError)
     problem = _problem(scenario)
     if problem:
-        raise BadScenario(f"{path}: {problem}")
+        raise ScenarioError(f"{path}: {problem}")
     if scenario.load.shape == "trace":
         rows(scenario, path.parent)
     return scenario
@@ -364,6 +386,6 @@
 
 
 def rows(scenario: Scenario, folder: Path) -> list[TraceRow]:
-    """The arrivals of a trace, in the order of time. Raises BadScenario."""
+    """The arrivals of a trace, in the order of time. Raises ScenarioError."""
     classes, zones = {c.name for c in scenario.cls}, {z.name for z in scenario.zone}
     return traces.read(folder / scenario.load.trace, classes, zones)
--- a/badgerroad/emulator/tier.py
+++ b/badgerroad/emulator/tier.py
@@ -22,9 +22,11 @@
     def reset(self, node: RenderNode) -> None:
         """All connections to a node break, as when a box between them loses its state; the node runs on."""
 
-    def start(self, number: int) -> None: ...
+    def start(self, number: int) -> None:
+        """Start a dispatcher."""
 
-    def kill(self, number: int) -> None: ...
+    def kill(self, number: int) -> None:
+        """SIGKILL."""
 
     def stop(self, number: int) -> None:
         """SIGTERM."""
@@ -35,7 +37,8 @@
     def reload(self, number: int) -> None:
         """SIGHUP."""
 
-    def is_up(self, number: int) -> bool: ...
+    def is_up(self, number: int) -> bool:
+        """Whether the dispatcher runs."""
 
 
 Trace = Callable[[int, str, dict[str, Any]], None]
--- a/badgerroad/emulator/traces.py
+++ b/badgerroad/emulator/traces.py
@@ -6,10 +6,12 @@
 
 import msgspec
 
-from badgerroad.emulator.errors import BadScenario
+from badgerroad.emulator.errors import ScenarioError
 
 
 class TraceRow(msgspec.Struct, frozen=True):
+    """One arrival of a trace."""
+
     at_s: float
     cls: str
     work_ms: float
@@ -18,12 +20,12 @@
 
 
 def read(path: Path, classes: set[str], zones: set[str]) -> list[TraceRow]:
-    """The arrivals in the order of time; `classes` and `zones` are those there are. Raises BadScenario."""
+    """The arrivals in the order of time; `classes` and `zones` are those there are. Raises ScenarioError."""
     out: list[TraceRow] = []
     try:
         text = path.read_text().splitlines()
     except OSError as e:
-        raise BadScenario(f"{path}: {e.strerror}") from e
+        raise ScenarioError(f"{path}: {e.strerror}") from e
     for number, line in enumerate(text, 1):
         cells = [c.strip() for c in line.split(",")]
         if not line.strip() or line.startswith("#") or cells[0] == "at_s":
@@ -37,8 +39,8 @@
                 cells[4] if len(cells) > 4 else "",
             )
         except (ValueError, IndexError) as e:
-            raise BadScenario(f"{path}: line {number}: at_s, class, work_ms[, slots[, zone]] expected") from e
+            raise ScenarioError(f"{path}: line {number}: at_s, class, work_ms[, slots[, zone]] expected") from e
         if row.cls not in classes or row.zone and row.zone not in zones or row.work_ms <= 0 or row.at_s < 0:
-            raise BadScenario(f"{path}: line {number}: unknown class or zone, or a figure out of range")
+            raise ScenarioError(f"{path}: line {number}: unknown class or zone, or a figure out of range")
         out.append(row)
     return sorted(out, key=lambda r: r.at_s)
--- a/badgerroad/emulator/virtual.py
+++ b/badgerroad/emulator/virtual.py
@@ -34,6 +34,7 @@
     """The world with machines in it."""
 
     def __init__(self, scenario: sc.Scenario, seed: int, folder: Path, make: Make, trace: Trace | None = None) -> None:
+        """`make` makes the decisions of each dispatcher."""
         self.attempts: dict[tuple[str, str, int], tuple[Machine, Open, Attempt]] = {}
         super().__init__(scenario, seed, folder, lambda world: VirtualTier(world, make), trace=trace)
 
@@ -93,10 +94,12 @@
         machine.later(self.network.delay(attempt.node.zone, machine.zone), call)
 
     def attempt_cancelled(self, machine: Machine, request_id: str, attempt: Attempt) -> None:
+        """A cancel has reached the attempt's node."""
         if attempt.job is not None and node_has(attempt.node, attempt.job):
             attempt.node.cancel(request_id, machine.number)
 
     def told(self, dispatcher: int, answer: Answer) -> None:
+        """Discovery's answer has reached a machine."""
         self.referee.tell(dispatcher, answer.whole, [(e.node, e.state, e.since) for e in answer.entries])
 
 
@@ -109,11 +112,13 @@
     """The machines, as the world knows dispatchers."""
 
     def __init__(self, world: World, make: Make) -> None:
+        """`make` makes the decisions of each dispatcher."""
         assert isinstance(world, VirtualWorld)
         self.world = world
         self.machines = [Machine(world, n, make) for n in range(len(world.home))]
 
     def submit(self, client_try: Try) -> None:
+        """Send a client's request to its dispatcher."""
         machine = self.machines[client_try.dispatcher]
         delay = self.world.network.delay(CLIENTS, machine.zone) or 0
         self.world.kernel.after(delay, self._arrives, machine, client_try)
@@ -127,6 +132,7 @@
             machine._play(machine.life, partial(machine.take, client_try))
 
     def abandon(self, client_try: Try) -> None:
+        """The client closes the connection of a request."""
         machine = self.machines[client_try.dispatcher]
         if client_try.until < client_try.deadline:
             self.world.referee.left(client_try.id)
@@ -134,6 +140,7 @@
         machine.later(slack + (self.world.network.delay(CLIENTS, machine.zone) or 0), machine.client_gone, client_try)
 
     def tell(self, node: RenderNode, job: Job, state: str, share: float) -> None:
+        """Carry a job event to the dispatcher of the job."""
         hand: Any = job.hand
         machine, request, attempt, life = hand
         if state not in (nodes.STARTED, nodes.RUNNING):
@@ -143,11 +150,13 @@
             machine.later(delay, machine.called_back, request, attempt, state, share)
 
     def node_gone(self, node: RenderNode) -> None:
+        """A node's process has died: its connections break."""
         for machine in self.machines:
             if machine.up:
                 machine.idle.pop(node.name, None)
 
     def reset(self, node: RenderNode) -> None:
+        """All connections to a node break; it runs on."""
         for machine in self.machines:
             if machine.up:
                 for _ in machine.idle.pop(node.name, []):
@@ -165,14 +174,17 @@
         machine.attempt_ended(request, attempt, interface.AttemptResult.RESET)
 
     def start(self, number: int) -> None:
+        """Start a dispatcher."""
         if not self.machines[number].up:
             self.machines[number].start()
 
     def kill(self, number: int) -> None:
+        """SIGKILL."""
         if self.machines[number].up:
             self.machines[number].kill()
 
     def stop(self, number: int) -> None:
+        """SIGTERM."""
         machine = self.machines[number]
         machine.draining = True
         machine.later(DRAIN_LEAST, self._maybe_exit, machine)
@@ -184,12 +196,14 @@
             machine.kill()
 
     def freeze(self, number: int, on: bool) -> None:
+        """SIGSTOP, SIGCONT."""
         self.machines[number].freeze(on)
 
     def reload(self, number: int) -> None:
         """Nothing that a module would notice."""
 
     def is_up(self, number: int) -> bool:
+        """Whether the dispatcher runs."""
         return self.machines[number].up
 
 
--- a/badgerroad/emulator/world.py
+++ b/badgerroad/emulator/world.py
@@ -20,6 +20,7 @@
 from badgerroad.emulator.model.nodes import RenderNode
 from badgerroad.emulator.model.registry import Entry
 from badgerroad.emulator.model.rule_checker import ClassRule, Referee
+from badgerroad.emulator.scenario_events import ScenarioEvents
 from badgerroad.emulator.tier import Tier, Trace
 
 AFTER = 3 * SEC  # beyond the longest deadline, how long a run goes on after its last arrival
@@ -29,6 +30,8 @@
 
 
 class World:
+    """Nodes, network, discovery, clients and the rule checker of one run."""
+
     def __init__(
         self,
         scenario: sc.Scenario,
@@ -70,7 +73,7 @@
         machines = self.draws("machines")
         for n, zone in enumerate(s.zone):
             for k in range(zone.nodes):
-                self._add(n, machines, k // s.rack)
+                self.add_node(n, machines, k // s.rack)
         self.tier = make_tier(self)
         first, fronts = 0, []
         notice = s.front_notice_s
@@ -100,14 +103,16 @@
         if s.load.shape == "wave":
             self.clients.swing, self.clients.period = s.load.swing, int(s.load.period_s * SEC)
         self._rows = sc.rows(s, folder) if s.load.shape == "trace" else []
-        self._events = self.draws("events")
+        events = ScenarioEvents(self, self.draws("events"))
         for event in s.event:
-            self.kernel.at(int(event.at_s * SEC), self._happen, event)
+            self.kernel.at(int(event.at_s * SEC), events.play, event)
 
     def draws(self, name: str) -> Draws:
+        """The named stream of random numbers of this run."""
         return Draws(self.seed, name)
 
     def note(self, what: str, /, **more: Any) -> None:
+        """Write an event to the trace, if there is one."""
         if self.trace is not None:
             self.trace(self.kernel.now, what, more)
 
@@ -124,7 +129,8 @@
         total = sum(k.share for k in self.kinds)
         return sum(k.share / total * k.work * k.mean_slots for k in self.kinds) / SEC
 
-    def _add(self, zone: int, draw: Draws, rack: int, cold: bool = False) -> RenderNode:
+    def add_node(self, zone: int, draw: Draws, rack: int, cold: bool = False) -> RenderNode:
+        """A new node, listed once discovery has noticed it; `draw` makes its machine type and speed."""
         s, us = self.scenario, 1000
         kind = draw.index([k.share for k in s.kind])
         k, number = s.kind[kind], self._made_nodes
@@ -180,6 +186,7 @@
         return (node.since + self.start) // 1000 * 1000 if node.since else 0
 
     def entry(self, node: RenderNode, state: str) -> Entry:
+        """The line of a node in discovery's list."""
         return Entry(
             node.name,
             state,
@@ -214,134 +221,8 @@
 
     # Troubles.
 
-    def _picked(self, e: sc.Event) -> list[RenderNode]:
-        if e.nodes:
-            return [self.by_name[n] for n in e.nodes if n in self.by_name]
-        pool = [n for n in self.nodes if n.up and (not e.zone or n.zone == self.zones.index(e.zone))]
-        count = max(round(e.part * len(pool)), 1) if e.part else 1
-        return [pool[k] for k in self._events.choose(count, len(pool))] if pool else []
-
-    def _happen(self, e: sc.Event) -> None:
-        self.note("event", what=e.what, size=e.size)
-        length = int(e.for_s * SEC)
-        later = self.kernel.after
-        if e.what in (
-            "slow",
-            "quick_failures",
-            "neighbour",
-            "late_reports",
-            "pause",
-            "silence",
-            "kill_node",
-            "restart_node",
-            "drain_node",
-            "replace_node",
-            "reset",
-        ):
-            for node in self._picked(e):
-                self._to_node(e, node, length)
-        elif e.what == "add_node":
-            zone = self.zones.index(e.zone) if e.zone else 0
-            for _ in range(max(int(e.size), 1)):
-                self._join(zone)
-        elif e.what == "heavy_tail":
-            cls = [c.name for c in self.scenario.cls].index(e.cls)
-            self.clients.heavy[cls] = (e.extra or 0.01, e.size)
-            later(length, self.clients.heavy.pop, cls, None)
-        elif e.what == "surge":
-            self.clients.surge = e.size
-            later(length, setattr, self.clients, "surge", 1.0)
-        elif e.what == "link_slow":
-            for a, b in self._links(e):
-                self.network.slow(a, b, e.size)
-                later(length, self.network.slow, a, b, 1.0)
-        elif e.what in ("partition", "one_way"):
-            for a, b in self._links(e):
-                self._cut(a, b, length)
-                if e.what == "partition":
-                    self._cut(b, a, length)
-        elif e.what == "zone_outage":
-            for node in [n for n in self.nodes if n.up and n.zone == self.zones.index(e.zone)]:
-                self._restart(node, length)
-        elif e.what in ("discovery_down", "discovery_silent"):
-            change = self.registry.outage if e.what == "discovery_down" else self.registry.mute
-            change(True)
-            later(length, change, False)
-        else:
-            self._to_dispatchers(e, length)
-
-    def _links(self, e: sc.Event) -> list[tuple[int, int]]:
-        n = len(self.zones)
-        pairs = [(a, b) for a in range(n) for b in range(a + 1, n)]
-        return [p for p in pairs if not e.zone or self.zones.index(e.zone) in p]
-
-    def _cut(self, a: int, b: int, length: int) -> None:
-        self.network.cut(a, b, True)
-        self.kernel.after(length, self.network.cut, a, b, False)
-
-    def _to_node(self, e: sc.Event, node: RenderNode, length: int) -> None:
-        later = self.kernel.after
-        if e.what == "slow":
-            node.trouble(slowness=e.size)
-            later(length, node.trouble, 1.0)
-        elif e.what == "quick_failures":
-            node.trouble(error_share=min(e.size, 1.0))
-            later(length, node.trouble, None, None, 0.0)
-        elif e.what == "neighbour":
-            self._neighbour(node, min(e.size, 0.95), int((e.extra or 3) * SEC), self.kernel.now + length, True)
-        elif e.what == "late_reports":
-            node.trouble(late=int(e.size * SEC))
-            later(length, node.trouble, None, None, None, 0)
-        elif e.what == "pause":
-            node.pause(length)
-        elif e.what == "silence":
-            node.silence(length)
-        elif e.what == "kill_node":
-            node.kill()
-        elif e.what == "reset":
-            self.tier.reset(node)
-        elif e.what == "restart_node":
-            self._restart(node, length or SEC)
-        elif e.what == "drain_node":
-            node.drain()
-            if length:
-                later(length, self._restart, node, SEC)
-        else:
-            node.kill()
-            later(int((e.extra or 2) * SEC), self._join, node.zone)
-
-    def _neighbour(self, node: RenderNode, size: float, period: int, until: int, on: bool) -> None:
-        now = self.kernel.now
-        node.trouble(taken=size if on and now < until else 0.0)
-        if now < until:
-            self.kernel.at(min(now + period, until), self._neighbour, node, size, period, until, not on)
-
-    def _restart(self, node: RenderNode, away: int) -> None:
-        node.kill()
-        self.kernel.after(away, node.start)
-
-    def _join(self, zone: int) -> None:
-        """A new machine, cold."""
-        node = self._add(zone, self._events, 9_000, cold=True)
-        node.up, node.fallen = False, False
-        node.start()
-
-    def _to_dispatchers(self, e: sc.Event, length: int) -> None:
-        some = [e.dispatcher] if e.dispatcher >= 0 else list(range(len(self.home)))
-        for turn, number in enumerate(some):
-            if e.what == "kill_dispatcher":
-                self.dispatcher_dies(number)
-                self.kernel.after(self.scenario.start_s * SEC + length, self.tier.start, number)
-            elif e.what == "restart_dispatcher":
-                # One after another, as operators roll a change out.
-                self.kernel.after(turn * max(length, 5 * SEC), self.stop_dispatcher, number)
-            elif e.what == "freeze_dispatcher":
-                self.tier.freeze(number, True)
-                self.kernel.after(length, self.tier.freeze, number, False)
-            elif e.what == "reload_dispatcher":
-                self.tier.reload(number)
-
     def dispatcher_dies(self, number: int) -> None:
+        """A dispatcher is killed."""
         self.note("dispatcher", number=number, state="killed")
         self.tier.kill(number)
         self.registry.forget(number)
@@ -350,6 +231,7 @@
             front.died(number, self.tier.is_up)
 
     def stop_dispatcher(self, number: int) -> None:
+        """A dispatcher gets SIGTERM."""
         self.note("dispatcher", number=number, state="stopping")
         self.tier.stop(number)
         for front in self.fronts:
@@ -365,6 +247,7 @@
         self.kernel.after(self.scenario.start_s * SEC, self.tier.start, number)
 
     def dispatcher_ready(self, number: int) -> None:
+        """A dispatcher has said that it is ready."""
         self.note("dispatcher", number=number, state="ready")
         for front in self.fronts:
             front.admit(number)
@@ -372,6 +255,7 @@
     # The run.
 
     def begin(self) -> None:
+        """Start the dispatchers, the arrivals and the scenario's events."""
         if self._rows:
             names = [c.name for c in self.scenario.cls]
             self.clients.begin_trace(
--- a/badgerroad/lab/commands.py
+++ b/badgerroad/lab/commands.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+import contextlib
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -11,6 +12,7 @@
 from badgerroad.emulator import scenario as sc
 from badgerroad.emulator import virtual
 from badgerroad.emulator.rehearse import result
+from badgerroad.emulator.tier import Trace
 from badgerroad.errors import BadArgument
 from badgerroad.lab import compare, experiment, paper, report, runner, theory
 from badgerroad.lab.policies import policy
@@ -32,24 +34,26 @@
     return int(text) if text is not None else default
 
 
-def _logger(path: str) -> tuple[Callable[[int, str, dict[str, Any]], None], Callable[[], None]]:
-    """A trace that writes JSON lines, and its end."""
-    file = open(path, "wb")
+@contextlib.contextmanager
+def _log(path: str | None) -> Iterator[Trace | None]:
+    """A trace that writes JSON lines to the file; None without a path."""
+    if not path:
+        yield None
+        return
+    with open(path, "wb") as file:
 
-    def trace(now: int, what: str, more: dict[str, Any]) -> None:
-        file.write(msgspec.json.encode({"t_us": now, "event": what, **more}) + b"\n")
+        def trace(now: int, what: str, more: dict[str, Any]) -> None:
+            file.write(msgspec.json.encode({"t_us": now, "event": what, **more}) + b"\n")
 
-    return trace, file.close
+        yield trace
 
 
 def emulate(o: Any) -> int:
+    """Run `badgerroad emulate run`; returns the exit code."""
     path = Path(o["SCENARIO"])
     s = sc.load(path)
-    trace, close = _logger(o["--log"]) if o["--log"] else (None, lambda: None)
-    try:
+    with _log(o["--log"]) as trace:
         r = virtual.run(s, _seed(o["--seed"], s.seed), path.parent, policy(o["--policy"]), trace)
-    finally:
-        close()
     if o["--json"]:
         Path(o["--json"]).write_bytes(msgspec.json.format(msgspec.json.encode(r), indent=1))
     from rich.console import Console
@@ -67,6 +71,7 @@
 
 
 def tables(o: Any) -> int:
+    """Run `badgerroad lab theory` or `lab paper`; returns the exit code."""
     jobs, scale, out = int(o["--jobs"]) if o["--jobs"] else None, float(o["--scale"]), Path(o["--out"])
     if not 0 < scale <= 10:
         raise BadArgument("--scale: must be above 0 and at most 10")
@@ -83,6 +88,7 @@
 
 
 def lab(o: Any) -> int:
+    """Run the other commands of `badgerroad lab`; returns the exit code."""
     store = Store(Path(o["--store"]))
     try:
         if o["run"]:
@@ -134,13 +140,12 @@
         raise BadArgument(f"ID: not a whole number: {o['ID']!r}")
     run, folder, was = store.by_id(int(o["ID"]))
     lines: list[str] = []
-    trace, close = (
-        _logger(o["--log"])
-        if o["--log"]
-        else (lambda now, what, more: lines.append(f"{now / 1e6:10.4f} {what} {more}"), lambda: None)
-    )
-    again = runner.play(run, Path(folder), trace)
-    close()
+
+    def collect(now: int, what: str, more: dict[str, Any]) -> None:
+        lines.append(f"{now / 1e6:10.4f} {what} {more}")
+
+    with _log(o["--log"]) as trace:
+        again = runner.play(run, Path(folder), trace or collect)
     print("\n".join(lines))
     same = again.bytes() == was.bytes()
     print(
--- a/badgerroad/lab/compare.py
+++ b/badgerroad/lab/compare.py
@@ -24,6 +24,7 @@
 
     @property
     def verdict(self) -> str:
+        """One line: whether the variants differ, and by how much."""
         if self.low > 0:
             return "A is better"
         return "B is better" if self.high < 0 else "no difference shown"
--- a/badgerroad/lab/experiment.py
+++ b/badgerroad/lab/experiment.py
@@ -10,7 +10,7 @@
 
 from badgerroad import toml_files
 from badgerroad.emulator import scenario as sc
-from badgerroad.emulator.errors import BadScenario
+from badgerroad.emulator.errors import ScenarioError
 from badgerroad.lab.policies import POLICIES
 
 MOST_RUNS = 100_000
@@ -24,6 +24,8 @@
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    """An experiment file: a grid of scenarios, policies and seeds."""
+
     name: str
     about: str = ""
     scenarios: tuple[str, ...] = ()  # files next to the experiment's
@@ -44,22 +46,23 @@
 
     @property
     def variant(self) -> str:
+        """The name of its scenario and policy."""
         return f"{Path(self.scenario).stem}/{self.policy}" + (f"/{self.settings}" if self.settings != "{}" else "")
 
 
 def load(path: Path) -> Experiment:
-    """The experiment of a file, checked with all its scenarios. Raises BadScenario."""
-    e = toml_files.decode(path, Experiment, BadScenario)
+    """The experiment of a file, checked with all its scenarios. Raises ScenarioError."""
+    e = toml_files.decode(path, Experiment, ScenarioError)
     if not e.scenarios:
-        raise BadScenario(f"{path}: scenarios: at least one is needed")
+        raise ScenarioError(f"{path}: scenarios: at least one is needed")
     for name in e.policies:
         if name not in POLICIES:
-            raise BadScenario(f"{path}: policies: unknown: {name!r}")
+            raise ScenarioError(f"{path}: policies: unknown: {name!r}")
     if e.seeds < 1:
-        raise BadScenario(f"{path}: seeds: must be 1 or more")
+        raise ScenarioError(f"{path}: seeds: must be 1 or more")
     grid = runs(e)
     if len(grid) > MOST_RUNS:
-        raise BadScenario(f"{path}: {len(grid)} runs; {MOST_RUNS} at most")
+        raise ScenarioError(f"{path}: {len(grid)} runs; {MOST_RUNS} at most")
     for scenario, settings in {(r.scenario, r.settings) for r in grid}:
         build(path.parent / scenario, settings)
     return e
@@ -82,7 +85,7 @@
 
 
 def build(path: Path, settings: str) -> sc.Scenario:
-    """A scenario with settings changed. Raises BadScenario, naming the field."""
+    """A scenario with settings changed. Raises ScenarioError, naming the field."""
     base = sc.load(path)
     changes: dict[str, Any] = msgspec.json.decode(settings)
     if not changes:
@@ -104,12 +107,12 @@
         elif isinstance(at, dict) and last in at:
             at[last] = value
         else:
-            raise BadScenario(f"{path}: {field}: no such field to vary")
+            raise ScenarioError(f"{path}: {field}: no such field to vary")
     try:
         changed = msgspec.convert(tree, sc.Scenario, strict=False)
     except msgspec.ValidationError as x:
-        raise BadScenario(f"{path}: {x}") from x
+        raise ScenarioError(f"{path}: {x}") from x
     problem = sc._problem(changed)
     if problem:
-        raise BadScenario(f"{path}: {problem}")
+        raise ScenarioError(f"{path}: {problem}")
     return changed
--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -14,7 +14,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from badgerroad.emulator.live.wire import Caller, Gone, Pool
+from badgerroad.emulator.live.wire import Caller, CallFailedError, Pool
 from badgerroad.emulator.model.kernel import Draws
 from badgerroad.errors import BadArgument
 from badgerroad.net import http1
@@ -27,6 +27,8 @@
 
 
 class Arrival(NamedTuple):
+    """One request to send."""
+
     at: float  # seconds from the start
     cls: str
     work_ms: float  # 0: no hint
@@ -46,6 +48,7 @@
 
 
 def poisson(rate: float, seconds: float, seed: int, classes: list[tuple[str, float]]) -> list[Arrival]:
+    """Poisson arrivals, `rate` a second for `seconds`."""
     draws, at, out = Draws(seed, "load"), 0.0, []
     while (at := at + draws.exponential(1 / rate)) < seconds:
         out.append(Arrival(at, classes[draws.index([s for _, s in classes])][0], 0.0))
@@ -70,10 +73,12 @@
     """What one class got, with its latencies in microseconds."""
 
     def __init__(self) -> None:
+        """Nothing sent yet."""
         self.counts: dict[str, int] = {}
         self.histogram = HdrHistogram(1, TOP_US, 3)
 
     def add(self, what: str, took: int) -> None:
+        """Count one answer; `took` in microseconds from the intended sending."""
         self.counts[what] = self.counts.get(what, 0) + 1
         self.histogram.record_value(min(max(took, 1), TOP_US))
 
@@ -114,7 +119,7 @@
             what = "unanswered"
             for caller in held:
                 caller.close()
-        except Gone as e:
+        except CallFailedError as e:
             what = str(e)
         outcomes.setdefault(a.cls, Outcome()).add(what, int((loop.time() - due) * 1e6))
 
@@ -153,6 +158,7 @@
     trace_file: str | None,
     json_file: str | None,
 ) -> int:
+    """Run `badgerroad load`; returns the exit code."""
     targets = [address_of(u) for u in urls]
     if not 0 < rate <= MOST_RATE:
         raise BadArgument(f"--rate: must be above 0 and at most {MOST_RATE:.0f}")
--- a/badgerroad/lab/paper.py
+++ b/badgerroad/lab/paper.py
@@ -12,6 +12,7 @@
 
 import os
 from collections import deque
+from collections.abc import Sequence
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, NamedTuple
 
@@ -49,6 +50,8 @@
 
 
 class Result(NamedTuple):
+    """Mean response of one policy."""
+
     policy: str
     preemption: bool
     burst: float
@@ -70,96 +73,112 @@
     }
 
 
-def one(policy: str, preemption: bool, burst: float, seed: int, stretch: float) -> list[list[float]]:
-    """[sum of slowdowns, jobs] for each loading."""
-    kernel, draw = Kernel(), np.random.default_rng([seed, 7])
-    ties = Draws(seed, "ties")
-    profile = Profile(cores=1, speed=1.0, slots=10**9 if preemption else 1, queue=10**9)
-    sums = [[0.0, 0.0] for _ in LOADS]
-    jobs: dict[str, tuple[int, float, int, bool]] = {}
-    counts, longs = [0] * SERVERS, [0] * SERVERS
-    work, at = [0.0] * SERVERS, [0] * SERVERS
-    waiting: deque[Job] = deque()
-    nodes: list[RenderNode] = []
-
-    def tell(node: RenderNode, job: Job, state: str, share: float) -> None:
-        if state != DONE:
-            return
-        arrived, size, phase, long = jobs.pop(job.id)
-        n = node.rack
-        counts[n] -= 1
-        longs[n] -= long
-        sums[phase][0] += (kernel.now - arrived) / job.work
-        sums[phase][1] += 1
-        if long and policy == "LC*":
-            kernel.at(kernel.now, release)  # once the node is done with its accounting
-
-    for n in range(SERVERS):
-        nodes.append(
-            RenderNode(
-                kernel,
-                f"s{n}",
-                profile,
-                0,
-                n,
-                0,
-                Draws(seed, f"s{n}"),
-                tell,
-                lambda node, sent: None,
-                lambda node, state: None,
-            )
+class Cluster:
+    """The servers of the paper under one policy, and the slowdowns of their jobs by loading."""
+
+    def __init__(self, policy: str, preemption: bool, seed: int) -> None:
+        """`policy`: JSQ, LC or LC*."""
+        self.kernel = Kernel()
+        self.sums = [[0.0, 0.0] for _ in LOADS]
+        """[sum of slowdowns, jobs] for each loading."""
+        self._policy = policy
+        self._ties = Draws(seed, "ties")
+        self._jobs: dict[str, tuple[int, int, bool]] = {}  # when it arrived, its loading, whether it is long
+        self._in_flight = [0] * SERVERS
+        self._long_in_flight = [0] * SERVERS
+        self._work = [0.0] * SERVERS  # left at the time in `_work_at`
+        self._work_at = [0] * SERVERS
+        self._waiting: deque[Job] = deque()
+        profile = Profile(cores=1, speed=1.0, slots=10**9 if preemption else 1, queue=10**9)
+        self._nodes = [self._node(number, profile, seed) for number in range(SERVERS)]
+
+    def _node(self, number: int, profile: Profile, seed: int) -> RenderNode:
+        draws = Draws(seed, f"s{number}")
+        return RenderNode(
+            self.kernel,
+            f"s{number}",
+            profile,
+            0,
+            number,
+            0,
+            draws,
+            self._tell,
+            lambda node, sent: None,
+            lambda node, state: None,
         )
 
-    def left(n: int) -> float:
-        return max(work[n] - (kernel.now - at[n]), 0.0)
+    def arrive(self, number: int, loading: int, size_kb: float, us_per_kb: float) -> None:
+        """A request for a file has come."""
+        work = max((size_kb + OVERHEAD) * us_per_kb, 1.0)
+        job = Job(f"{loading}:{number}", "", 0, 0, work)
+        is_long = size_kb > CUTOFF
+        self._jobs[job.id] = self.kernel.now, loading, is_long
+        if not self._send(job, is_long):
+            self._waiting.append(job)
 
-    def least(pool: list[int], measure: list[float]) -> int:
-        low = min(measure[n] for n in pool)
-        best = [n for n in pool if measure[n] == low]
-        return best[int(ties.random() * len(best))]
-
-    def send(job: Job, long: bool) -> bool:
+    def _tell(self, node: RenderNode, job: Job, state: str, share: float) -> None:
+        if state != DONE:
+            return
+        arrived, loading, is_long = self._jobs.pop(job.id)
+        self._in_flight[node.rack] -= 1
+        self._long_in_flight[node.rack] -= is_long
+        self.sums[loading][0] += (self.kernel.now - arrived) / job.work
+        self.sums[loading][1] += 1
+        if is_long and self._policy == "LC*":
+            self.kernel.at(self.kernel.now, self._release)  # once the node is done with its accounting
+
+    def _release(self) -> None:
+        while self._waiting and self._send(self._waiting[0], True):
+            self._waiting.popleft()
+
+    def _send(self, job: Job, is_long: bool) -> bool:
         pool = list(range(SERVERS))
-        if policy == "LC*" and long:
-            pool = [n for n in pool if not longs[n]]
+        if self._policy == "LC*" and is_long:
+            pool = [number for number in pool if not self._long_in_flight[number]]
             if not pool:
                 return False
-        n = least(pool, [left(k) for k in range(SERVERS)] if policy == "JSQ" else [float(c) for c in counts])
-        counts[n] += 1
-        longs[n] += long
-        work[n], at[n] = left(n) + job.work, kernel.now
-        nodes[n].submit(job)
+        number = self._least(pool)
+        self._in_flight[number] += 1
+        self._long_in_flight[number] += is_long
+        self._work[number] = self._work_left(number) + job.work
+        self._work_at[number] = self.kernel.now
+        self._nodes[number].submit(job)
         return True
 
-    def release() -> None:
-        while waiting and send(waiting[0], True):
-            waiting.popleft()
+    def _least(self, pool: list[int]) -> int:
+        """The server with the least work (JSQ) or the fewest requests, a random one among equals."""
+        measure: Sequence[float] = self._in_flight
+        if self._policy == "JSQ":
+            measure = [self._work_left(number) for number in range(SERVERS)]
+        low = min(measure[number] for number in pool)
+        best = [number for number in pool if measure[number] == low]
+        return best[int(self._ties.random() * len(best))]
 
-    def arrive(number: int, phase: int) -> None:
-        size = float(block[number])
-        job = Job(f"{phase}:{number}", "", 0, 0, max((size + OVERHEAD) * per_kb, 1.0))
-        long = size > CUTOFF
-        jobs[job.id] = kernel.now, size, phase, long
-        if not send(job, long):
-            waiting.append(job)
+    def _work_left(self, number: int) -> float:
+        return max(self._work[number] - (self.kernel.now - self._work_at[number]), 0.0)
 
-    mean = OVERHEAD + sum(p[0] * m for p, m in zip(PIECES, _means(), strict=False))
-    for phase, load in enumerate(LOADS):
+
+def one(policy: str, preemption: bool, burst: float, seed: int, stretch: float) -> list[list[float]]:
+    """[sum of slowdowns, jobs] for each loading."""
+    cluster = Cluster(policy, preemption, seed)
+    draw = np.random.default_rng([seed, 7])
+    mean = OVERHEAD + sum(piece[0] * part for piece, part in zip(PIECES, _means(), strict=False))
+    seconds = max(int(stretch), 1)
+    for loading, load in enumerate(LOADS):
         # As in the trace, the load grows with the arrivals; sizes stay as they are.
         rate = RATE * load / (sum(LOADS) / len(LOADS))
-        per_kb = load * SERVERS / rate * SEC / mean
-        seconds = max(int(stretch), 1)
+        us_per_kb = load * SERVERS / rate * SEC / mean
         rates = rate * np.maximum(1 + burst * draw.standard_normal(seconds), 0.0)
         each = draw.poisson(rates)
         times = np.sort(np.repeat(np.arange(seconds), each) + draw.random(int(each.sum()))) * SEC
-        times += phase * seconds * SEC
+        times += loading * seconds * SEC
         block = sizes(draw, len(times))
         for number, when in enumerate(times):
-            kernel.at(int(when), arrive, number, phase)
-        kernel.run((phase + 1) * seconds * SEC)
-    while kernel.next >= 0:
-        kernel.run(kernel.next)
-    return sums
+            cluster.kernel.at(int(when), cluster.arrive, number, loading, float(block[number]), us_per_kb)
+        cluster.kernel.run((loading + 1) * seconds * SEC)
+    while cluster.kernel.next >= 0:
+        cluster.kernel.run(cluster.kernel.next)
+    return cluster.sums
 
 
 def _means() -> list[float]:
@@ -173,6 +192,7 @@
 
 
 def table(scale: float = 1.0, workers: int | None = None, seeds: int = SEEDS) -> list[Result]:
+    """All rows of the paper's tables."""
     kinds = [(p, pre, b) for b in BURSTS for p in ("JSQ", "LC", "LC*") for pre in (False, True)]
     with ProcessPoolExecutor(max_workers=workers or os.cpu_count()) as pool:
         futures = {k: [pool.submit(one, *k, seed, STRETCH * scale) for seed in range(1, seeds + 1)] for k in kinds}
@@ -193,6 +213,7 @@
 
 
 def markdown(rows: list[Result]) -> str:
+    """The rows as a table."""
     lines = [
         "| seconds | policy | preemption | light | medium | heavy | overall | the paper's overall |",
         "| --- | --- | --- | ---: | ---: | ---: | ---: | ---: |",
--- a/badgerroad/lab/policies.py
+++ b/badgerroad/lab/policies.py
@@ -24,13 +24,17 @@
     __slots__ = ("info", "jobs", "work", "longs")
 
     def __init__(self, info: interface.Endpoint) -> None:
+        """From its entry in the endpoint list."""
         self.info, self.jobs, self.work, self.longs = info, 0, 0.0, 0
 
 
 class Job:
+    """A request as a baseline keeps it."""
+
     __slots__ = ("request", "cls", "hint", "long", "deadline", "attempts", "done", "maybe")
 
     def __init__(self, r: interface.Request, cls: interface.RequestClass, deadline: int) -> None:
+        """`deadline` in microseconds."""
         self.request, self.cls, self.hint, self.deadline = r.request, cls, max(r.work_hint, 1), deadline
         self.long = self.done = False
         self.attempts: list[tuple[Node, bool]] = []  # (node, still out)
@@ -41,6 +45,7 @@
     """Rules and bookkeeping; `pick` chooses among ready nodes, None to hold the job."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
+        """As the decisions of the product."""
         self.settings, self.random = settings, Random(seed)
         self.nodes: dict[interface.WorkerId, Node] = {}
         self.ready: list[Node] = []
@@ -52,6 +57,7 @@
     out: list[interface.Action]
 
     def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
+        """The actions after an event at `now` (microseconds)."""
         self.now = now
         if not self.subscribed and self.settings.must_subscribe:
             self.subscribed = True
@@ -73,6 +79,7 @@
         return out
 
     def after(self, delay: int, call: Callable[[], None]) -> None:
+        """Call `call` after `delay` microseconds."""
         token = len(self._timers) + self.now * 1000
         while token in self._timers:
             token += 1
@@ -104,7 +111,8 @@
         self.arrived(job)
         self._place(job)
 
-    def arrived(self, job: Job) -> None: ...
+    def arrived(self, job: Job) -> None:
+        """A request was taken."""
 
     def allowed(self, job: Job) -> list[Node]:
         """The ready nodes that rule 2 leaves."""
@@ -136,6 +144,7 @@
             self.held.append(job)
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
+        """The node for a request, or None for none now."""
         raise NotImplementedError
 
     def _send(self, job: Job, node: Node) -> None:
@@ -199,6 +208,7 @@
     """Any ready node."""
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
+        """Any node."""
         return self.random.choice(pool)
 
 
@@ -208,6 +218,7 @@
     turn = -1
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
+        """The next node in turn."""
         self.turn += 1
         return pool[self.turn % len(pool)]
 
@@ -216,9 +227,11 @@
     """LC: the fewest own jobs in flight."""
 
     def measure(self, node: Node) -> float:
+        """Own requests in flight."""
         return node.jobs
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
+        """The node with the least measure, a random one among equals."""
         least = min(self.measure(n) for n in pool)
         return self.random.choice([n for n in pool if self.measure(n) == least])
 
@@ -227,6 +240,7 @@
     """JSQ by work: the least hinted work of own jobs in flight."""
 
     def measure(self, node: Node) -> float:
+        """The hinted work of own requests in flight."""
         return node.work
 
 
@@ -234,6 +248,7 @@
     """Power of two choices (Mitzenmacher 2001): the lesser of two random ones."""
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
+        """The better one of two random nodes."""
         return min((self.random.choice(pool), self.random.choice(pool)), key=self.measure)
 
 
@@ -242,17 +257,20 @@
     waits. The cutoff is the 97th percentile of the last hints, as the paper's 30 KB was of its sizes."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
+        """As the decisions of the product."""
         super().__init__(settings, seed)
         self.hints: deque[int] = deque(maxlen=512)
         self.cutoff = 0
 
     def arrived(self, job: Job) -> None:
+        """A request was taken: short or long by the cutoff."""
         self.hints.append(job.hint)
         if len(self.hints) < 64 or len(self.hints) % 16 == 0:
             self.cutoff = sorted(self.hints)[int(len(self.hints) * 0.97)]
         job.long = job.hint > self.cutoff
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
+        """Short: fewest in flight. Long: a node without a long one."""
         pool = [n for n in pool if not n.longs] if job.long else pool
         return super().pick(job, pool) if pool else None
 
@@ -261,6 +279,7 @@
     """Keeps no rule: it sends to whatever was ever listed, and again wherever it likes."""
 
     def allowed(self, job: Job) -> list[Node]:
+        """Any node, whatever the class allows."""
         return list(self.nodes.values()) if len(job.attempts) < 2 * self.settings.max_attempts else []
 
     def _list(self, e: interface.EndpointList) -> None:
@@ -269,6 +288,7 @@
         self.ready = list(self.nodes.values())
 
     def measure(self, node: Node) -> float:
+        """Own requests in flight; workers that have just started come first."""
         return node.jobs - 1000 * (node.info.started_at > 0)
 
 
--- a/badgerroad/lab/report.py
+++ b/badgerroad/lab/report.py
@@ -40,6 +40,7 @@
 
 
 def table(groups: dict[tuple[str, str], list[Report]]) -> list[list[str]]:
+    """The cells of the report's table, one row for each scenario and policy."""
     out = []
     for (scene, policy), reports in groups.items():
         figures = [r.figure for r in reports]
@@ -64,6 +65,7 @@
 
 
 def markdown(rows: list[list[str]]) -> str:
+    """The table as Markdown."""
     lines = ["| " + " | ".join(HEADS) + " |", "| --- |" + " ---: |" * (len(HEADS) - 1)]
     return "\n".join(lines + ["| " + " | ".join(row) + " |" for row in rows]) + "\n"
 
--- a/badgerroad/lab/store.py
+++ b/badgerroad/lab/store.py
@@ -22,6 +22,8 @@
 
 
 class Store:
+    """The results of all runs, in one SQLite file."""
+
     def __init__(self, path: Path) -> None:
         """Raises ValueError on a file of another version."""
         self.connection = sqlite3.connect(path)
@@ -33,6 +35,7 @@
         self.connection.commit()
 
     def put(self, run: Run, folder: str, report: Report) -> None:
+        """Store the report of a run; one that is stored already stays."""
         with self.connection:
             self.connection.execute(
                 "insert or ignore into runs (experiment, scenario, policy, settings, seed, folder, report) "
@@ -41,6 +44,7 @@
             )
 
     def done(self, experiment: str) -> set[Run]:
+        """The runs of an experiment that are stored."""
         rows = self.connection.execute(
             "select experiment, scenario, policy, settings, seed from runs where experiment = ?", (experiment,)
         )
@@ -56,13 +60,13 @@
         )
         return [(row[0], Run(*row[1:6]), msgspec.json.decode(row[6], type=Report)) for row in rows]
 
-    def by_id(self, id: int) -> tuple[Run, str, Report]:
+    def by_id(self, number: int) -> tuple[Run, str, Report]:
         """A run, the folder of its scenario and its report. Raises ValueError."""
         row = self.connection.execute(
-            "select experiment, scenario, policy, settings, seed, folder, report from runs where id = ?", (id,)
+            "select experiment, scenario, policy, settings, seed, folder, report from runs where id = ?", (number,)
         ).fetchone()
         if row is None:
-            raise BadArgument(f"no run {id} in the store")
+            raise BadArgument(f"no run {number} in the store")
         return Run(*row[:5]), row[5], msgspec.json.decode(row[6], type=Report)
 
     def variants(self, variant: str) -> dict[int, Report]:
@@ -70,4 +74,5 @@
         return {run.seed: report for _, run, report in self.reports() if run.variant == variant}
 
     def close(self) -> None:
+        """Close the file."""
         self.connection.close()
--- a/badgerroad/lab/theory.py
+++ b/badgerroad/lab/theory.py
@@ -25,6 +25,8 @@
 
 
 class Case(NamedTuple):
+    """One queue whose mean wait is known."""
+
     model: str  # M/M/1, M/M/4 or M/G/1
     servers: int
     cv: float  # of service times; -1: exponential
@@ -41,6 +43,7 @@
 
     @property
     def error(self) -> float:
+        """The relative error of the measured wait."""
         return self.measured / self.expected - 1
 
 
@@ -121,6 +124,7 @@
 
 
 def markdown(rows: list[Row]) -> str:
+    """The rows as a table."""
     lines = [
         "| model | load | wait by theory | wait measured | error | Little |",
         "| --- | ---: | ---: | ---: | ---: | ---: |",
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -10,7 +10,7 @@
 import numpy as np
 import pytest
 
-from badgerroad.emulator.errors import BadScenario
+from badgerroad.emulator.errors import ScenarioError
 from badgerroad.lab import compare, experiment, load, paper, report, runner, theory
 from badgerroad.lab.policies import POLICIES
 from badgerroad.lab.store import Store
@@ -64,7 +64,7 @@
         (dict(scenarios="['no.toml']"), "no.toml"),
         (dict(scenario="1"), "scenario"),
     ):
-        with pytest.raises(BadScenario, match=field):
+        with pytest.raises(ScenarioError, match=field):
             experiment.load(small(tmp_path, **over))
 
 
