--- a/benchmarks/capacity/by_connections.py
+++ b/benchmarks/capacity/by_connections.py
@@ -4,6 +4,7 @@
 
 import json
 from collections.abc import Sequence
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -122,7 +123,7 @@
         await tell(50)
         for step in steps:
             traffic = Traffic()
-            cpu = await cpu_of(bench.server, lambda: tell(step), CALLBACK_REPEATS)
+            cpu = await cpu_of(bench.server, partial(tell, step), CALLBACK_REPEATS)
             taken[step] = {
                 "callback_cpu_ms": cpu,
                 "callback_bytes_in": [traffic.bytes_in / CALLBACK_REPEATS],
--- a/benchmarks/capacity/by_load.py
+++ b/benchmarks/capacity/by_load.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Sequence
+from functools import partial
 from pathlib import Path
 
 from benchmarks.capacity.bench import Bench
@@ -44,7 +45,7 @@
         await bench.jobs(80)
         for step in steps:
             traffic = Traffic()
-            cpu = await cpu_of(bench.server, lambda: bench.jobs(step), repeats)
+            cpu = await cpu_of(bench.server, partial(bench.jobs, step), repeats)
             taken[step] = {
                 "job_cpu_ms": cpu,
                 "job_bytes_in": [traffic.bytes_in / repeats],
@@ -86,9 +87,9 @@
 
             cpu, holds = [], []
             for _ in range(repeats):
-                cpu += await cpu_of(bench.server, lambda: tell(gone), 1)
+                cpu += await cpu_of(bench.server, partial(tell, gone), 1)
                 await tell(back)
-                holds += await holds_of(bench.server, lambda: tell(gone), 1)
+                holds += await holds_of(bench.server, partial(tell, gone), 1)
                 await tell(back)
             taken[step] = {
                 "loss_bytes": [float(len(discovery.change(gone)))],
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -31,16 +31,16 @@
         return self.slope * size + self.fixed
 
 
-class TooFewSizes(ValueError):
+class TooFewSizesError(ValueError):
     """A slope needs LEAST_SIZES different sizes."""
 
 
 def line_through(points: Sequence[Point]) -> Line:
-    """The least-squares line. Raises TooFewSizes."""
+    """The least-squares line. Raises TooFewSizesError."""
     sizes = [point.size for point in points]
     values = [point.value for point in points]
     if len(set(sizes)) < LEAST_SIZES:
-        raise TooFewSizes(f"{len(set(sizes))} sizes, {LEAST_SIZES} needed")
+        raise TooFewSizesError(f"{len(set(sizes))} sizes, {LEAST_SIZES} needed")
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
     spread = sum((size - mean_size) ** 2 for size in sizes)
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -15,7 +15,7 @@
 NOT_LINES = ("over_quota", "over_quota_few_teams")  # shares: their points are shown, not a line
 
 
-class UnknownBlock(ValueError):
+class UnknownBlockError(ValueError):
     """The page has a marker that no table belongs to, or lacks one."""
 
 
@@ -104,8 +104,8 @@
 
 
 def fill(page: str, results: Results) -> str:
-    """The page with its tables as `results` give them. Raises UnknownBlock."""
+    """The page with its tables as `results` give them. Raises UnknownBlockError."""
     found = [match[1] for match in BLOCK.finditer(page)]
     if sorted(found) != sorted(BLOCKS):
-        raise UnknownBlock(f"blocks differ: {sorted(set(found) ^ set(BLOCKS)) or 'one stands twice'}")
+        raise UnknownBlockError(f"blocks differ: {sorted(set(found) ^ set(BLOCKS)) or 'one stands twice'}")
     return BLOCK.sub(lambda match: block(match[1], results), page)
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -57,7 +57,7 @@
 
 
 def series_of(name: str, title: str, unit: str, by: str, points: Iterable[Point]) -> Series:
-    """Raises fit.TooFewSizes."""
+    """Raises fit.TooFewSizesError."""
     kept = sorted(points, key=lambda point: point.size)
     return Series(name, title, unit, by, kept, line_through(kept))
 
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -10,6 +10,7 @@
 import time
 from collections.abc import Callable, Coroutine, Mapping, Sequence
 from datetime import UTC, datetime
+from functools import partial
 from pathlib import Path
 from typing import Any, TypeVar
 
@@ -59,7 +60,7 @@
     """The exclusive lock on the machine's cores, in holds of LONGEST_HOLD_S at most; without a file there is none."""
 
     def __init__(self, lock: Path | None) -> None:
-        self._file = open(lock, "a") if lock is not None else None
+        self._file = open(lock, "a") if lock is not None else None  # noqa: SIM115 - held for the whole run
         self._since: float | None = None
 
     def take(self) -> None:
@@ -148,24 +149,24 @@
     def _virtual(self) -> None:
         sizes = self.sizes
         advice = {
-            size: self._step(f"advice, {size} workers", lambda: virtual.advice(size, virtual.JOBS_OPEN, sizes.repeats))
+            size: self._step(f"advice, {size} workers", partial(virtual.advice, size, virtual.JOBS_OPEN, sizes.repeats))
             for size in sizes.workers
         }
         self._keep(virtual.ADVICE_TITLES, "workers on the list", _named("advice_ms", advice))
         advice = {
-            jobs: self._step(f"advice, {jobs} jobs", lambda: virtual.advice(sizes.large_list, jobs, sizes.repeats))
+            jobs: self._step(f"advice, {jobs} jobs", partial(virtual.advice, sizes.large_list, jobs, sizes.repeats))
             for jobs in sizes.jobs_open
         }
         by = f"jobs open, {sizes.large_list} workers"
         self._keep(virtual.ADVICE_JOB_TITLES, by, _named("advice_job_ms", advice))
         for teams, suffix in ((TARGET.teams, ""), (virtual.FEW_TEAMS, "_few_teams")):
             quota = {
-                count: self._step(f"quota, {count}", lambda: virtual.over_quota(count, teams, TARGET.starts_per_s))
+                count: self._step(f"quota, {count}", partial(virtual.over_quota, count, teams, TARGET.starts_per_s))
                 for count in sizes.quota_dispatchers
             }
             by = f"dispatchers, {teams} teams"
             self._keep(virtual.QUOTA_TITLES, by, _named("over_quota", quota), suffix=suffix)
-        turns = {count: self._step(f"turns, {count}", lambda: virtual.turns(count)) for count in sizes.turns}
+        turns = {count: self._step(f"turns, {count}", partial(virtual.turns, count)) for count in sizes.turns}
         self._keep(virtual.TURN_TITLES, "dispatchers", turns)
 
     def _keep(self, titles: Titles, by: str, taken: Taken, suffix: str = "") -> None:
--- a/benchmarks/fleet/children.py
+++ b/benchmarks/fleet/children.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import ctypes
 import os
 import signal
@@ -21,7 +22,7 @@
 _libc = ctypes.CDLL(None)
 
 
-class TooLarge(Exception):
+class TooLargeError(Exception):
     """More processes or memory than a run may take."""
 
 
@@ -89,19 +90,17 @@
     def _check_count(self) -> None:
         running = sum(process.returncode is None for process in self.processes)
         if running >= MOST_PROCESSES:
-            raise TooLarge(f"{running} processes run already")
+            raise TooLargeError(f"{running} processes run already")
 
     def check_memory(self) -> int:
-        """Resident bytes of all processes. Raises TooLarge."""
+        """Resident bytes of all processes. Raises TooLargeError."""
         total = 0
         for process in self.processes:
             if process.returncode is None:
-                try:
+                with contextlib.suppress(OSError):  # it has ended just now
                     total += usage(process.pid).resident
-                except OSError:
-                    pass  # it has ended just now
         if total > memory_of_machine() * MOST_MEMORY_SHARE:
-            raise TooLarge(f"{total >> 20} MiB resident in all processes")
+            raise TooLargeError(f"{total >> 20} MiB resident in all processes")
         return total
 
     async def end_all(self) -> None:
--- a/benchmarks/fleet/hollow.py
+++ b/benchmarks/fleet/hollow.py
@@ -211,7 +211,7 @@
         self.orders = orders
         self.random = Random(f"{orders.seed} {orders.record}")
         self.teams = traffic.team_names(len(orders.quotas))
-        self.file = open(orders.record, "wb")
+        self.file = open(orders.record, "wb")  # noqa: SIM115 - closed at the end of the process
         self.number = 0
         self.lost = 0
         self.latest_s = 0.0
--- a/benchmarks/fleet/scenarios.py
+++ b/benchmarks/fleet/scenarios.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import NamedTuple, Union
+from typing import NamedTuple
 
 from .relay import Noise
 
@@ -67,7 +67,7 @@
 BURST_S = 2.0  # and so many seconds of the quota
 COLD = "cold"
 
-Fault = Union[KillOwner, StopOwner, CutRegion, RestartDispatchers, LoseZone, RollingRestart, ChangeQuotas]
+Fault = KillOwner | StopOwner | CutRegion | RestartDispatchers | LoseZone | RollingRestart | ChangeQuotas
 
 
 class Scenario(NamedTuple):
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -1,9 +1,11 @@
 """What a log line costs, by format, against the standard library's. Usage: python benchmarks/log_cost.py"""
 
+import contextlib
 import logging
 import os
 import sys
 import time
+from functools import partial
 
 from badgerroad.net import logs
 
@@ -21,7 +23,19 @@
 
 
 def main():
-    sys.stderr = open(os.devnull, "w")
+    with open(os.devnull, "w") as devnull, contextlib.redirect_stderr(devnull):
+        rows = measured()
+    print("| format | us a line |\n| --- | ---: |")
+    for name, us in rows:
+        print(f"| {name} | {us:.1f} |")
+
+
+def answered(log, ms):
+    log.info("answered", request="r1", cls="preview", status=200, ms=ms, attempts=1)
+
+
+def measured():
+    """(format, microseconds a line) of each way to write a line."""
     plain = logging.getLogger("plain")
     plain.propagate = False
     handler = logging.StreamHandler(sys.stderr)
@@ -36,16 +50,11 @@
     ]
     for form in ("console", "json"):
         logs.configure(logs.Choice(form, "info"))
-        log = logs.get("x")
-        rows.append(
-            (form, timed(lambda n: log.info("answered", request="r1", cls="preview", status=200, ms=n, attempts=1)))
-        )
+        rows.append((form, timed(partial(answered, logs.get("x")))))
     logs.configure(logs.Choice("console", "warning"))
     log = logs.get("x")
     rows.append(("off by its level", timed(lambda n: log.info("answered", request="r1", cls="preview", status=200))))
-    print("| format | us a line |\n| --- | ---: |")
-    for name, us in rows:
-        print(f"| {name} | {us:.1f} |")
+    return rows
 
 
 if __name__ == "__main__":
--- a/benchmarks/policy_pauses.py
+++ b/benchmarks/policy_pauses.py
@@ -9,6 +9,7 @@
 import argparse
 import gc
 import time
+from functools import partial
 from statistics import median
 
 from badgerroad.load_balancing import interface as events
@@ -56,9 +57,13 @@
     for n in range(repeat):
         now += 1_000
         info = infos[(n * 7919) % workers]
-        for changed in (info._replace(state=events.WorkerState.DRAINING), info, info._replace(since=now - 60 * SEC)):
+        for changed in (
+            info._replace(state=events.WorkerState.DRAINING),
+            info,
+            info._replace(started_at=now - 60 * SEC),
+        ):
             event = events.EndpointList(events.ListScope.INCREMENTAL, n, (changed,))
-            took.append(timed(lambda: policy.handle(now, event)))
+            took.append(timed(partial(policy.handle, now, event)))
     return took
 
 
@@ -68,7 +73,11 @@
     for n in range(repeat):
         event = events.Request(jobs + n, time_left=1, work_hint=3_000 * SEC)
         answers = []
-        took.append(timed(lambda: answers.extend(policy.handle(now, event))))
+
+        def reject(event=event, answers=answers):
+            answers.extend(policy.handle(now, event))
+
+        took.append(timed(reject))
         assert any(isinstance(a, events.Reject) for a in answers), answers
     return took
 
--- a/benchmarks/serve_start.py
+++ b/benchmarks/serve_start.py
@@ -138,16 +138,7 @@
         stderr=asyncio.subprocess.DEVNULL,
         env={**os.environ, "PROXY_CONFIG": config, "PYTHONPATH": tree},
     )
-    ready = False
-    while not ready:
-        try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
-            ready = b" 200 " in (await read(reader))[0]
-            writer.close()
-        except OSError:
-            pass
-        await asyncio.sleep(0.003)
+    await until_ready(port)
     took, idle = time.perf_counter() - began, rss(process.pid)
     before = cpu(process.pid)
     await asyncio.gather(*(client(port, n) for n in range(CLIENTS)))
@@ -160,6 +151,19 @@
     return took, idle, after, used
 
 
+async def until_ready(port):
+    ready = False
+    while not ready:
+        try:
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
+            ready = b" 200 " in (await read(reader))[0]
+            writer.close()
+        except OSError:
+            pass
+        await asyncio.sleep(0.003)
+
+
 async def client(port, number):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for k in range(REQUESTS // CLIENTS):
--- a/examples/toy_host.py
+++ b/examples/toy_host.py
@@ -7,6 +7,7 @@
 """
 
 import asyncio
+import contextlib
 import json
 import sys
 
@@ -89,7 +90,5 @@
 
 
 if __name__ == "__main__":
-    try:
+    with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(main())
-    except KeyboardInterrupt:
-        pass
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -9,9 +9,9 @@
 
 from benchmarks.capacity import virtual
 from benchmarks.capacity.__main__ import PAGE, RESULTS
-from benchmarks.capacity.fit import LEAST_SIZES, Point, TooFewSizes, line_through
+from benchmarks.capacity.fit import LEAST_SIZES, Point, TooFewSizesError, line_through
 from benchmarks.capacity.markdown import significant
-from benchmarks.capacity.page import BLOCKS, UnknownBlock, block, fill, tables
+from benchmarks.capacity.page import BLOCKS, UnknownBlockError, block, fill, tables
 from benchmarks.capacity.reckon import Reckoning
 from benchmarks.capacity.results import load, series_of
 from benchmarks.capacity.run import LONGEST_HOLD_S, Sizes
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("given", [points((1, 1), (2, 2), (3, 3)), points((1, 1), (1, 2), (2, 2), (2, 3), (3, 3))])
 def test_fewer_than_four_sizes_give_no_slope(given):
-    with pytest.raises(TooFewSizes):
+    with pytest.raises(TooFewSizesError):
         line_through(given)
 
 
@@ -83,9 +83,9 @@
 
 def test_a_page_that_lacks_a_table_or_names_another_is_turned_down(results):
     page = PAGE.read_text()
-    with pytest.raises(UnknownBlock, match="quota"):
+    with pytest.raises(UnknownBlockError, match="quota"):
         fill(page.replace("capacity:quota", "no-table"), results)
-    with pytest.raises(UnknownBlock, match="nothing"):
+    with pytest.raises(UnknownBlockError, match="nothing"):
         fill(page + "<!-- capacity:nothing -->\n<!-- /capacity:nothing -->\n", results)
 
 
--- a/tests/emulator/test_nodes.py
+++ b/tests/emulator/test_nodes.py
@@ -31,11 +31,11 @@
             lambda n, s: None,
         )
 
-    def ask(self, id, work=100 * MS, slots=1, memory=0.0, dispatcher=0):
-        return self.node.submit(Job(id, id, 0, dispatcher, work, slots, memory))
+    def ask(self, request_id, work=100 * MS, slots=1, memory=0.0, dispatcher=0):
+        return self.node.submit(Job(request_id, request_id, 0, dispatcher, work, slots, memory))
 
-    def when(self, id, state):
-        return [t // MS for t, j, s in self.told if (j, s) == (id, state)]
+    def when(self, request_id, state):
+        return [t // MS for t, j, s in self.told if (j, s) == (request_id, state)]
 
 
 def test_the_head_of_the_queue_waits_until_it_fits_and_nothing_overtakes_it():
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -91,7 +91,7 @@
     assert c.seeds == 8
     assert c.verdict == verdict
     assert c.difference == pytest.approx(shift, abs=1e-9)
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="seed"):
         compare.compare({1: b[1]}, {2: b[2]})
 
 
--- a/tests/mutation/mutations.py
+++ b/tests/mutation/mutations.py
@@ -132,11 +132,15 @@
         for length in (kind.min_length or 0, kind.max_length):
             yield "x" * (length or 0), f"{path} of {length} characters"
     elif isinstance(kind, inspect.VarTupleType | inspect.ListType) and value:
-        yield (), f"{path} empty"
-        yield value + value, f"{path} doubled"
-        if isinstance(value[0], msgspec.Struct):
-            for text, element in at_bounds(value[0], f"{path}[0]."):
-                yield (element, *value[1:]), text
-        else:
-            for element, text in _bounds(kind.item_type, value[0], f"{path}[0]"):
-                yield (element, *value[1:]), text
+        yield from _sequence_bounds(kind, value, path)
+
+
+def _sequence_bounds(kind: inspect.VarTupleType | inspect.ListType, value: Any, path: str) -> Iterator[tuple[Any, str]]:
+    yield (), f"{path} empty"
+    yield value + value, f"{path} doubled"
+    if isinstance(value[0], msgspec.Struct):
+        for text, element in at_bounds(value[0], f"{path}[0]."):
+            yield (element, *value[1:]), text
+    else:
+        for element, text in _bounds(kind.item_type, value[0], f"{path}[0]"):
+            yield (element, *value[1:]), text
