--- a/badgerroad/admin/listener.py
+++ b/badgerroad/admin/listener.py
@@ -13,8 +13,8 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad.net import http1
-from badgerroad.net.connection import Address, Connection, Descriptors, spawn
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.connection import Address, Connection, DescriptorBudget, spawn
+from badgerroad.net.timer_wheel import TimerWheel
 
 # Callers at one time. Two or three ask every second; the rest is for those that say nothing, of which the oldest goes
 # when there are more, so that one that asks always finds a place.
@@ -36,22 +36,22 @@
         self.listener = listener
         self.asked = False  # its call has come whole, or cannot any more
         self.since = listener.wheel.clock.now()
-        self._timer = listener.wheel.after(CALL_TIME, self._out_of_time, patient=True)
+        self._timer = listener.wheel.after(CALL_TIME, self._out_of_time, awaits_peer=True)
 
-    def wants(self) -> bool:
+    def wants_message(self) -> bool:
         return not self.asked
 
     def on_message(self, message: http1.Message) -> None:
         self._answer(*self.listener.answer(message))
 
-    def on_bad(self, error: http1.BadMessage) -> None:
+    def on_bad_message(self, error: http1.BadMessageError) -> None:
         self._answer(error.status, str(error).encode() + b"\n")
 
     def _out_of_time(self) -> None:
         if self.asked or self.parser.idle:
             self.close()
         else:
-            self.on_bad(http1.BadMessage(408, "the call stopped halfway"))
+            self.on_bad_message(http1.BadMessageError(408, "the call stopped halfway"))
 
     def _answer(self, status: int, body: bytes, headers: http1.Headers = []) -> None:
         if not self.asked:
@@ -61,7 +61,7 @@
             self.send(http1.response(status, body, headers, close=True))
 
     def on_written(self) -> None:
-        if self.peer_has_spoken() or len(self.ring_in):
+        if self.peer_has_sent() or len(self.receive_buffer):
             try:
                 self.stream.socket.shutdown(socket.SHUT_WR)  # an end with bytes unread would be a reset
                 return
@@ -77,9 +77,9 @@
 class Listener:
     """`ready`: does this process take clients? `figures`: what `/metrics` shows, reckoned when it is asked for."""
 
-    def __init__(self, wheel: Wheel, ready: Callable[[], bool], figures: Callable[[], dict[str, Any]]) -> None:
+    def __init__(self, wheel: TimerWheel, ready: Callable[[], bool], figures: Callable[[], dict[str, Any]]) -> None:
         self.wheel, self.ready, self.figures = wheel, ready, figures
-        self.descriptors = Descriptors(MOST + Descriptors.RESERVE)  # a count of their own
+        self.descriptors = DescriptorBudget(MOST + DescriptorBudget.RESERVE)  # a count of their own
         self.callers: dict[Caller, None] = {}  # the oldest first
         self._socket: socket.socket | None = None
         self._loop = IOLoop.current()
@@ -126,7 +126,7 @@
         """The oldest that has not asked goes, unless it is young or its call lies unread."""
         old = self.wheel.clock.now() - YOUNG
         for caller in self.callers:
-            if not caller.asked and caller.since <= old and not caller.peer_has_spoken():
+            if not caller.asked and caller.since <= old and not caller.peer_has_sent():
                 caller.close()
                 return True
         return False
--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -15,30 +15,37 @@
 from typing import Any
 
 from badgerroad.backend.attempts import Attempt, WorkerConnections
-from badgerroad.backend.reports import Load, Reports
+from badgerroad.backend.reports import LoadReport, LoadReportParser
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import Address, Broken, CallConnection, Descriptors, NoDescriptor, spawn
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.connection import (
+    Address,
+    CallConnection,
+    ConnectionBrokenError,
+    DescriptorBudget,
+    NoDescriptorError,
+    spawn,
+)
+from badgerroad.net.timer_wheel import TimerWheel
 
 log = logs.get("badgerroad")
 
 # A host answers 202 as soon as it has the job, whether or not it can start it: within 26 ms in 266 cases measured. One
 # that has said nothing by then has vanished or is cut off, which no end of a connection shows.
-ACCEPT_TIME = 300_000
-DELETE_TIME = 1_000_000  # how long a cancel may take
-PROBE_TIME = 1_000_000  # or a probe
-AFTERMATH = 2_000_000  # or the 202 of an attempt that a call-back has ended already
-RETIRE = 0.75  # part of the allowed idle time after which a connection is closed from this side
+ACCEPT_TIMEOUT_US = 300_000
+CANCEL_TIMEOUT_US = 1_000_000  # how long a cancel may take
+HEALTH_CHECK_TIMEOUT_US = 1_000_000  # or a probe
+LATE_ACCEPT_TIMEOUT_US = 2_000_000  # or the 202 of an attempt that a call-back has ended already
+IDLE_TIME_FRACTION = 0.75  # part of the allowed idle time after which a connection is closed from this side
 
 
 class Backend:
     def __init__(
         self,
-        wheel: Wheel,
-        descriptors: Descriptors,
+        wheel: TimerWheel,
+        descriptors: DescriptorBudget,
         settings: interface.Settings,
-        report: Callable[[Attempt, str, Load, bytes], None],
+        report: Callable[[Attempt, str, LoadReport, bytes], None],
         raise_event: Callable[[interface.Event], None],
         may_begin: Callable[[Attempt], bool],
         make_room: Callable[[], None],
@@ -46,53 +53,53 @@
     ) -> None:
         """`may_begin`: the last look; `make_room`: of others' descriptors for an attempt; `sent` is told of each
         attempt whose last byte is written."""
-        self.wheel, self.clock, self.descriptors, self.settings = wheel, wheel.clock, descriptors, settings
-        self.report, self.raise_event, self.may_begin, self.sent = report, raise_event, may_begin, sent
-        self.make_room = make_room
+        self.timers, self.clock, self.descriptors, self.settings = wheel, wheel.clock, descriptors, settings
+        self.report, self.raise_event, self.may_begin, self.on_sent = report, raise_event, may_begin, sent
+        self.free_descriptors = make_room
         # While another process takes the new jobs: passes an idle connection on to it. Descriptor, host, address,
         # microseconds it may stay idle; false if that cannot be now.
-        self.heir: Callable[[int, str, Address, int], bool] | None = None
-        self.hosts: dict[str, WorkerConnections] = {}
+        self.successor: Callable[[int, str, Address, int], bool] | None = None
+        self.workers: dict[str, WorkerConnections] = {}
         self.attempts: dict[tuple[bytes, str], Attempt] = {}  # a host holds one attempt of a request at a time
-        self.learn_words()
+        self.reload_report_fields()
 
-    def learn_words(self) -> None:
+    def reload_report_fields(self) -> None:
         """The settings name the figures of a load report, in order."""
-        self.reports = Reports(self.settings.load_report_fields)
+        self.reports = LoadReportParser(self.settings.load_report_fields)
 
-    def place(self, name: str, address: Address) -> None:
+    def set_address(self, name: str, address: Address) -> None:
         """The worker list names a host, or its new address."""
-        host = self.hosts.get(name)
+        host = self.workers.get(name)
         if host is None:
-            self.hosts[name] = WorkerConnections(name, address)
+            self.workers[name] = WorkerConnections(name, address)
         elif host.address != address:
             self.close_idle(name)
             host.address = address
 
-    def places(self) -> dict[str, Address]:
-        return {name: host.address for name, host in self.hosts.items()}
+    def addresses(self) -> dict[str, Address]:
+        return {name: host.address for name, host in self.workers.items()}
 
     # Attempts.
 
-    def start(self, attempt: Attempt, timeout: int, accept_time: int) -> None:
+    def start_attempt(self, attempt: Attempt, timeout: int, accept_time: int) -> None:
         """`timeout`: microseconds until it is given up, 0 for as long as the client waits. `accept_time`: until the
         host must have taken it, 0 for no such limit."""
         left = attempt.forwarded.deadline - attempt.sent_at
         left = min(left, timeout) if timeout else left
         key = attempt.forwarded.id, attempt.worker
-        host = attempt.connections = self.hosts.get(attempt.worker)
+        host = attempt.connections = self.workers.get(attempt.worker)
         if left <= 0 or key in self.attempts or host is None:
             attempt.ended = True
             self.report(attempt, interface.AttemptResult.NOT_NEEDED, None, b"")
             return
         self.attempts[key] = attempt
-        attempt.timeout_timer = self.wheel.after(left, lambda: self._give_up(attempt, interface.AttemptResult.TIMEOUT))
+        attempt.timeout_timer = self.timers.after(left, lambda: self._give_up(attempt, interface.AttemptResult.TIMEOUT))
         spawn(self._run(attempt, host, attempt.sent_at + left, accept_time))
 
     async def _run(self, attempt: Attempt, host: WorkerConnections, until: int, accept_time: int) -> None:
         try:
             await self._run_attempt(attempt, host, until, accept_time)
-        except NoDescriptor as e:
+        except NoDescriptorError as e:
             log.warning(
                 "attempt not sent",
                 request=attempt.forwarded.id.decode("latin-1"),
@@ -101,7 +108,7 @@
                 **e.fields,
             )
             self._end(attempt, interface.AttemptResult.NOT_NEEDED)  # a failed connection would strike a healthy host
-        except Broken as e:
+        except ConnectionBrokenError as e:
             if not attempt.ended:
                 log.info(
                     "attempt broken",
@@ -143,10 +150,12 @@
         )
         attempt.written = True
         timer = (
-            self.wheel.after(accept_time, lambda: self._unheard(attempt, host), patient=True) if accept_time else None
+            self.timers.after(accept_time, lambda: self._unheard(attempt, host), awaits_peer=True)
+            if accept_time
+            else None
         )
         try:
-            answer = await connection.call(data, self.sent)
+            answer = await connection.call(data, self.on_sent)
         finally:
             if timer:
                 timer.cancel()
@@ -158,11 +167,11 @@
         # connection, it could say that a job never ran which runs. A 202 or a probe's answer cannot.
         connection.close()
         attempt.status = answer.status
-        self._end(attempt, self._result_of(answer), self.reports.header(answer.get(b"server-load")))
+        self._end(attempt, self._result_of(answer), self.reports.header(answer.header(b"server-load")))
 
     @staticmethod
     def _result_of(answer: http1.Message) -> str:
-        if answer.status in (503, 504) and (answer.get(b"not-started") or b"").strip() == b"1":
+        if answer.status in (503, 504) and (answer.header(b"not-started") or b"").strip() == b"1":
             return interface.AttemptResult.QUEUE_FULL
         # Counted as errors, four answers to one bad client had four healthy hosts shunned. 408 and 429 do speak of
         # the host.
@@ -172,7 +181,7 @@
             else interface.AttemptResult.ERROR
         )
 
-    def _end(self, attempt: Attempt, result: str, load: Load = None, body: bytes = b"") -> None:
+    def _end(self, attempt: Attempt, result: str, load: LoadReport = None, body: bytes = b"") -> None:
         """The one place where an attempt is given back."""
         if attempt.ended:
             return
@@ -188,7 +197,7 @@
         if attempt.ended:
             return
         connection = attempt.connection
-        crossed = attempt.written and connection is not None and connection.peer_has_spoken()
+        crossed = attempt.written and connection is not None and connection.peer_has_sent()
         if (
             (attempt.accepted or crossed)
             and attempt.connections
@@ -205,17 +214,12 @@
             connection.close()
 
     def _unheard(self, attempt: Attempt, host: WorkerConnections) -> None:
-        if (
-            attempt.ended
-            or attempt.event_received
-            or attempt.connection is None
-            or attempt.connection.peer_has_spoken()
-        ):
+        if attempt.ended or attempt.event_received or attempt.connection is None or attempt.connection.peer_has_sent():
             return  # an answer that waits on the socket means that this side was slow
         self.close_idle(host.name)  # as silent as this one: the next attempt there should find out sooner
         self._give_up(attempt, interface.AttemptResult.TIMEOUT)
 
-    def drop(self, attempt: Attempt) -> None:
+    def release_attempt(self, attempt: Attempt) -> None:
         """Another process goes on with it."""
         if not attempt.ended:
             attempt.ended = True
@@ -223,29 +227,29 @@
             if attempt.timeout_timer:
                 attempt.timeout_timer.cancel()
 
-    def go_on(self, attempt: Attempt, left: int) -> None:
+    def resume_attempt(self, attempt: Attempt, left: int) -> None:
         """With one that a host has accepted from another process. `left`: microseconds until it is given up."""
-        attempt.connections = self.hosts.get(attempt.worker)
+        attempt.connections = self.workers.get(attempt.worker)
         self.attempts[attempt.forwarded.id, attempt.worker] = attempt
-        attempt.timeout_timer = self.wheel.after(left, lambda: self._give_up(attempt, interface.AttemptResult.TIMEOUT))
+        attempt.timeout_timer = self.timers.after(left, lambda: self._give_up(attempt, interface.AttemptResult.TIMEOUT))
 
-    def cancel(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         self._give_up(attempt, interface.AttemptResult.CANCELLED)
 
     async def _delete(self, host: WorkerConnections, request_id: bytes, attempt: Attempt | None) -> None:
         """`attempt`: what ends once the host has answered."""
         try:
-            await self._short_call(host, b"DELETE", b"/jobs/" + request_id, DELETE_TIME)
+            await self._short_call(host, b"DELETE", b"/jobs/" + request_id, CANCEL_TIMEOUT_US)
             if attempt is not None:
                 self._end(attempt, interface.AttemptResult.CANCELLED)
-        except Broken as e:
+        except ConnectionBrokenError as e:
             log.info("cancel failed", request=request_id.decode("latin-1"), host=host.name, code=e.code, why=str(e))
         finally:
             host.cancelling.pop(request_id).set_result(None)
 
     # Call-backs name the request and the host, not the attempt, and may come again or before the 202.
 
-    def called_back(self, request_id: bytes, name: str, state: str, item: dict[str, Any]) -> bool:
+    def handle_job_event(self, request_id: bytes, name: str, state: str, item: dict[str, Any]) -> bool:
         """False if there is no such attempt here: told twice, or of one that is over, or another process has it."""
         attempt = self.attempts.get((request_id, name))
         if attempt is None or not attempt.written:
@@ -280,7 +284,9 @@
             )
         if connection is not None:
             # The 202 is still to come; a host that has fallen silent must not keep the socket for good.
-            self.wheel.after(AFTERMATH, lambda: connection.close() if attempt.connection is connection else None)
+            self.timers.after(
+                LATE_ACCEPT_TIMEOUT_US, lambda: connection.close() if attempt.connection is connection else None
+            )
         return True
 
     # Connections.
@@ -289,22 +295,22 @@
         while host.idle:
             connection, timer = host.idle.pop()
             timer.cancel()
-            if connection.reusable and not connection.peer_has_spoken():
+            if connection.reusable and not connection.peer_has_sent():
                 return connection
             connection.close()
         if self.descriptors.scarce:
-            self.shed()
-        if self.descriptors.short:
-            self.make_room()
-        if self.descriptors.spent:
-            raise NoDescriptor(False, "no descriptor left")
+            self.shed_idle_connections()
+        if self.descriptors.nearly_exhausted:
+            self.free_descriptors()
+        if self.descriptors.exhausted:
+            raise NoDescriptorError(False, "no descriptor left")
         try:
             connection = CallConnection(self.descriptors)
         except OSError as e:
-            raise NoDescriptor(False, f"no descriptor: {e}") from e
+            raise NoDescriptorError(False, f"no descriptor: {e}") from e
         if attempt is not None:
             attempt.connection, attempt.opened_connection = connection, True
-        timer = self.wheel.after(self.settings.connect_timeout or 1_000_000, connection.close, patient=True)
+        timer = self.timers.after(self.settings.connect_timeout or 1_000_000, connection.close, awaits_peer=True)
         try:
             await connection.connect(host.address)
         finally:
@@ -315,31 +321,31 @@
         if not connection.reusable or connection.address != host.address:
             connection.close()
             return
-        self._keep(host, connection, int((self.settings.connection_idle_timeout or 60_000_000) * RETIRE))
+        self._keep(host, connection, int((self.settings.connection_idle_timeout or 60_000_000) * IDLE_TIME_FRACTION))
 
     def _keep(self, host: WorkerConnections, connection: CallConnection, idle: int) -> None:
         if (
-            self.heir is not None
-            and connection.at_rest
-            and not connection.peer_has_spoken()
-            and self.heir(connection.stream.socket.fileno(), host.name, host.address, idle)
+            self.successor is not None
+            and connection.no_read_in_progress
+            and not connection.peer_has_sent()
+            and self.successor(connection.stream.socket.fileno(), host.name, host.address, idle)
         ):
             connection.close()  # it lives on over there
             return
-        host.idle.append((connection, self.wheel.after(idle, lambda: self._retire(host, connection))))
+        host.idle.append((connection, self.timers.after(idle, lambda: self._retire(host, connection))))
 
-    def pass_on(self) -> None:
+    def pass_connections_on(self) -> None:
         """Idle connections to the process that takes the new jobs: each saves it a handshake."""
-        for host in self.hosts.values():
+        for host in self.workers.values():
             idle, host.idle = host.idle, []
             for connection, timer in idle:
                 timer.cancel()
-                self._keep(host, connection, max(timer.due - self.clock.now(), 0))
+                self._keep(host, connection, max(timer.due_at - self.clock.now(), 0))
 
-    def adopt(self, sock: socket.socket, name: str, address: Address, idle: int) -> None:
+    def adopt_connection(self, sock: socket.socket, name: str, address: Address, idle: int) -> None:
         """An idle connection that another process held."""
-        host = self.hosts.get(name)
-        if host is None or host.address != address or self.descriptors.spent:
+        host = self.workers.get(name)
+        if host is None or host.address != address or self.descriptors.exhausted:
             sock.close()
             return
         sock.setblocking(False)
@@ -351,28 +357,28 @@
         connection.close()
 
     def close_idle(self, name: str) -> None:
-        host = self.hosts.get(name)
+        host = self.workers.get(name)
         while host and host.idle:
             connection, timer = host.idle.pop()
             timer.cancel()
             connection.close()
 
-    def shed(self) -> None:
+    def shed_idle_connections(self) -> None:
         """Near the descriptor limit: idle connections go, all of them."""
-        for name in self.hosts:
+        for name in self.workers:
             self.close_idle(name)
 
-    def forget_gone(self, listed: Callable[[str], bool]) -> None:
+    def forget_unlisted(self, listed: Callable[[str], bool]) -> None:
         """Hosts that are off the list and hold nothing of ours any more."""
         busy = {worker for _, worker in self.attempts}
-        for name in [n for n in self.hosts if not listed(n)]:
+        for name in [n for n in self.workers if not listed(n)]:
             self.close_idle(name)
-            if name not in busy and not self.hosts[name].cancelling:
-                del self.hosts[name]
+            if name not in busy and not self.workers[name].cancelling:
+                del self.workers[name]
 
     async def _short_call(self, host: WorkerConnections, method: bytes, target: bytes, time: int) -> http1.Message:
         connection = await self._checkout(host)
-        timer = self.wheel.after(time, connection.close, patient=True)
+        timer = self.timers.after(time, connection.close, awaits_peer=True)
         try:
             answer = await connection.call(http1.request(method, target, f"{host.address[0]}:{host.address[1]}"))
         finally:
@@ -382,17 +388,17 @@
 
     # Probes and load reports.
 
-    def probe(self, name: str) -> None:
-        if name in self.hosts:
-            spawn(self._probe(self.hosts[name]))
+    def check_health(self, name: str) -> None:
+        if name in self.workers:
+            spawn(self._probe(self.workers[name]))
 
     async def _probe(self, host: WorkerConnections) -> None:
         begun, result, load = self.clock.now(), interface.AttemptResult.CONNECT_FAILED, None
         try:
-            answer = await self._short_call(host, b"GET", b"/-/load", PROBE_TIME)
+            answer = await self._short_call(host, b"GET", b"/-/load", HEALTH_CHECK_TIMEOUT_US)
             result = interface.AttemptResult.OK if answer.status == 200 else interface.AttemptResult.ERROR
             load = self.reports.text(answer.body.decode("latin-1"))
-        except Broken as e:
+        except ConnectionBrokenError as e:
             result = interface.AttemptResult.RESET if e.sent else interface.AttemptResult.CONNECT_FAILED
         finally:
             self.raise_event(interface.HealthCheckResult(host.name, result, self.clock.now() - begun, load))
--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -12,8 +12,15 @@
 from badgerroad.discovery.watch_schedule import WatchSchedule
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import Address, Broken, CallConnection, Descriptors, NoDescriptor, spawn
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.connection import (
+    Address,
+    CallConnection,
+    ConnectionBrokenError,
+    DescriptorBudget,
+    NoDescriptorError,
+    spawn,
+)
+from badgerroad.net.timer_wheel import TimerWheel
 
 log = logs.get("badgerroad")
 
@@ -26,7 +33,7 @@
 MOVE_PAUSE = 250_000
 
 
-class Silent(Broken):
+class Silent(ConnectionBrokenError):
     """A watch said nothing when its wait was over: it is broken, which no end of the connection shows. Discovery itself
     may be well."""
 
@@ -37,8 +44,8 @@
 class WorkerListWatch:
     def __init__(
         self,
-        wheel: Wheel,
-        descriptors: Descriptors,
+        wheel: TimerWheel,
+        descriptors: DescriptorBudget,
         reader: Reader,
         address: Address,
         news: Callable[[interface.EndpointList, dict[str, Address]], None],
@@ -162,10 +169,10 @@
             news, places = await self._call(target, call.patience)
             if news.scope == interface.ListScope.INCREMENTAL and self.seq is not None and news.version < self.seq:
                 raise BadList(f"version {news.version} after {self.seq}")
-        except (Broken, BadList) as e:
+        except (ConnectionBrokenError, BadList) as e:
             took = self.wheel.clock.now() - begun
             pause = self.schedule.failed(call, took)
-            if isinstance(e, Broken) and call.watches and took >= call.patience:
+            if isinstance(e, ConnectionBrokenError) and call.watches and took >= call.patience:
                 await self._again(Silent(True, "the watch has fallen silent"), moves, pause)
             else:
                 await self._again(e, moves, pause)
@@ -176,7 +183,7 @@
         self.schedule.answered()
         self._tell(news, places)
 
-    async def _again(self, e: Broken | BadList, moves: int, pause: int) -> None:
+    async def _again(self, e: ConnectionBrokenError | BadList, moves: int, pause: int) -> None:
         """After a failure: when the next call is due, and what the module hears. In a move, and until a look has failed
         too, it is not the module's."""
         log.info("discovery failed", code=e.code, why=str(e), again=pause // 1000)
@@ -206,7 +213,7 @@
         try:
             connection = self._open()
             self._tell(*await self._call(b"/api/targets", FETCH_TIME, connection))
-        except (Broken, BadList) as e:
+        except (ConnectionBrokenError, BadList) as e:
             log.info("discovery failed", code=e.code, why=str(e))
             self.news(interface.EndpointList(interface.ListScope.FAILED), {})
         finally:
@@ -217,7 +224,7 @@
         try:
             return CallConnection(self.descriptors, LIST_LIMIT)
         except OSError as e:  # the module and the next call must hear of it as of any failure
-            raise NoDescriptor(False, f"no descriptor for discovery: {e}") from e
+            raise NoDescriptorError(False, f"no descriptor for discovery: {e}") from e
 
     async def _call(
         self, target: bytes, patience: int, connection: CallConnection | None = None
@@ -227,7 +234,7 @@
         if connection is None and (mine is None or not mine.reusable):
             mine = self._connection = self._open()
         assert mine is not None
-        timer = self.wheel.after(patience, mine.close, patient=True)
+        timer = self.wheel.after(patience, mine.close, awaits_peer=True)
         try:
             if not mine.reusable:
                 await mine.connect(self.address)
@@ -235,7 +242,7 @@
         finally:
             timer.cancel()
         if answer.status != 200:
-            raise Broken(True, f"status {answer.status}")
+            raise ConnectionBrokenError(True, f"status {answer.status}")
         try:
             return await self.reader.read_slowly(json.loads(answer.body))
         except (ValueError, RecursionError) as e:
--- a/badgerroad/dispatcher.py
+++ b/badgerroad/dispatcher.py
@@ -12,8 +12,8 @@
 
 from badgerroad import request_log
 from badgerroad.backend.attempts import Attempt, ForwardedRequest
-from badgerroad.backend.http import ACCEPT_TIME, Backend
-from badgerroad.backend.reports import Load
+from badgerroad.backend.http import ACCEPT_TIMEOUT_US, Backend
+from badgerroad.backend.reports import LoadReport
 from badgerroad.class_table import Classes
 from badgerroad.config import Config
 from badgerroad.discovery.endpoint_watch import WorkerListWatch
@@ -25,8 +25,8 @@
 from badgerroad.load_balancing.policy import DispatchPolicy as Decisions
 from badgerroad.load_balancing.state import avoided
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import Address, Descriptors
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.connection import Address, DescriptorBudget
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import BadRequest, OpenRequest, headers_of, id_of, read
 
 if TYPE_CHECKING:
@@ -41,14 +41,14 @@
 
 
 class Dispatcher:
-    def __init__(self, config: Config, wheel: Wheel, counts: Counts | None = None, kept: int = 0) -> None:
+    def __init__(self, config: Config, wheel: TimerWheel, counts: Counts | None = None, kept: int = 0) -> None:
         """`counts`: kept up where there is a second address; `kept`: descriptors for what others hold."""
         self.config, self.settings, self.wheel, self.clock = config, config.settings, wheel, wheel.clock
         self.counts = counts
         self._extensions_by_name: dict[str, DispatcherExtension] = {}
         self.extensions: tuple[DispatcherExtension, ...] = ()  # the same, in the order of their coming
         self.decisions = Decisions(config.settings, config.seed)
-        self.descriptors = Descriptors(config.sockets, kept)
+        self.descriptors = DescriptorBudget(config.sockets, kept)
         self.backend = Backend(
             wheel,
             self.descriptors,
@@ -56,7 +56,7 @@
             self._attempt_ended,
             self.feed,
             self._may_begin,
-            lambda: self.frontend.make_room(),
+            lambda: self.frontend.free_descriptors(),
             counts.sent if counts else None,
         )
         self.worker_list = WorkerListWatch(
@@ -86,7 +86,7 @@
             interface.SetTimer: lambda a: self._set_timer(a),
             interface.Subscribe: lambda a: self.worker_list.subscribe(a.on),
             interface.FetchEndpoints: lambda a: self.worker_list.fetch(),
-            interface.HealthCheck: lambda a: self.backend.probe(str(a.worker)),
+            interface.HealthCheck: lambda a: self.backend.check_health(str(a.worker)),
             interface.CloseIdle: lambda a: self.backend.close_idle(str(a.worker)),
             interface.Log: lambda a: log.info("module", text=a.text),
         }
@@ -148,7 +148,7 @@
         fresh = self.worker_list.reader.renumbered(config.settings, config.zones, config.kinds)
         classes = self.classes.change(fresh.classes, {n for n, c in enumerate(self.classes.places) if c in open_now})
         self.settings = self.backend.settings = fresh._replace(classes=classes)
-        self.backend.learn_words()
+        self.backend.reload_report_fields()
         self.tenants = {t.name.encode(): n for n, t in enumerate(fresh.tenants)}
         if self.counts:
             self.counts.know(c.name for c in fresh.classes)
@@ -227,17 +227,17 @@
             for extension in self.extensions:
                 extension.attempt_sent(request, attempt)
             # Where nothing may be sent again, there is nothing to be won by giving a silent host up.
-            self.backend.start(
+            self.backend.start_attempt(
                 attempt,
                 a.timeout,
-                0 if request.request_class.semantics == interface.RetrySemantics.NON_IDEMPOTENT else ACCEPT_TIME,
+                0 if request.request_class.semantics == interface.RetrySemantics.NON_IDEMPOTENT else ACCEPT_TIMEOUT_US,
             )
 
     def _may_begin(self, attempt: Attempt) -> bool:
         """The last look, immediately before an attempt's first byte. Its client's end may lie unread on the socket; all
         else is the module's to say, by what it knows now."""
         exchange = self.requests[attempt.request].exchange
-        if not exchange.answered and exchange.client_left():
+        if not exchange.answered and exchange.client_has_closed():
             exchange.close()
         return not exchange.answered and self.decisions.may_begin(self.clock.now(), attempt.request, attempt.number)
 
@@ -257,11 +257,11 @@
     def _cancel(self, a: interface.Cancel) -> None:
         request = self.requests.get(a.request)
         if request and a.attempt < len(request.attempts):
-            self.backend.cancel(request.attempts[a.attempt])
+            self.backend.cancel_attempt(request.attempts[a.attempt])
 
     def _set_timer(self, a: interface.SetTimer) -> None:
         self.wheel.after(
-            a.delay, lambda: self.feed(interface.Timer(a.token)), patient=True
+            a.delay, lambda: self.feed(interface.Timer(a.token)), awaits_peer=True
         )  # hosts' silence among them
 
     def _finish(self, request: OpenRequest, status: int, body: bytes, headers: http1.Headers = []) -> None:
@@ -286,7 +286,7 @@
 
     # The backend and the worker list report.
 
-    def _attempt_ended(self, attempt: Attempt, result: str, load: Load, body: bytes) -> None:
+    def _attempt_ended(self, attempt: Attempt, result: str, load: LoadReport, body: bytes) -> None:
         request = self.requests[attempt.request]
         request.open_attempts -= 1
         for extension in self.extensions:
@@ -304,20 +304,20 @@
 
     def _news(self, news: interface.EndpointList, places: dict[str, Address]) -> None:
         for name, address in places.items():
-            self.backend.place(name, address)
+            self.backend.set_address(name, address)
         self.feed(news)
         if news.scope != interface.ListScope.FAILED:
-            self.backend.forget_gone(self.worker_list.listed.__contains__)
+            self.backend.forget_unlisted(self.worker_list.listed.__contains__)
 
     # The frontend.
 
-    def knows_path(self, path: bytes) -> bool:
+    def serves_path(self, path: bytes) -> bool:
         return path.split(b"/")[1:2] != [] and path.split(b"/")[1] in self.classes.by_name
 
-    def shed(self) -> None:
-        self.backend.shed()
+    def shed_idle_connections(self) -> None:
+        self.backend.shed_idle_connections()
 
-    def turned_away(self, path: bytes) -> None:
+    def record_rejection(self, path: bytes) -> None:
         if self.counts:
             self.counts.turned_away(path.split(b"/")[1].decode())
 
@@ -326,12 +326,12 @@
         assert self.counts is not None
         return self.counts.figures(len(self.worker_list.listed), avoided(self.decisions, self.clock.now()))
 
-    def called_back(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        if not self.backend.called_back(request_id, host, state, item):
+    def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
+        if not self.backend.handle_job_event(request_id, host, state, item):
             for extension in self.extensions:
                 extension.unknown_job_event(request_id, host, state, item)
 
-    def take(self, message: http1.Message, exchange: Exchange) -> None:
+    def handle_request(self, message: http1.Message, exchange: Exchange) -> None:
         try:
             request_id = id_of(message)
             if request_id in self.by_id or any(extension.has_open_request(request_id) for extension in self.extensions):
@@ -369,7 +369,7 @@
         left = request.forwarded.deadline - self.clock.now() - self.settings.tick
         request.deadline_timer = self.wheel.after(max(left, 0), lambda: self._finish(request, 504, b"out of time\n"))
 
-    def client_gone(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         request = self.requests.get(exchange.number)
         if request:
             log.info("the client has left", request=request.forwarded.id.decode("latin-1"))
@@ -390,14 +390,14 @@
         self.frontend.drain()
 
     @property
-    def owed(self) -> bool:
-        return self.frontend.owed or any(not r.exchange.answered for r in self.requests.values())
+    def has_pending_responses(self) -> bool:
+        return self.frontend.has_pending_responses or any(not r.exchange.answered for r in self.requests.values())
 
     def end(self) -> bool:
         """Once nothing is owed: True when all connections of clients have been ended."""
-        return self.frontend.end()
+        return self.frontend.end_connections()
 
     def close(self) -> None:
         self.frontend.close()
         self.worker_list.close()
-        self.backend.shed()
+        self.backend.shed_idle_connections()
--- a/badgerroad/emulator/live/node_servers.py
+++ b/badgerroad/emulator/live/node_servers.py
@@ -121,7 +121,7 @@
             self._says(node, dispatcher, connection, 404)
 
     def _takes(self, node: RenderNode, dispatcher: int, connection: Served, message: http1.Message, begun: int) -> None:
-        world, id = self.world, (message.get(b"request-id") or b"").decode("latin-1")
+        world, id = self.world, (message.header(b"request-id") or b"").decode("latin-1")
         client_try = self.tries.get(id)
         told = world.registry.counts_as_told(dispatcher, node.name, world.referee.ask_within)
         attempt = world.referee.attempt(
@@ -151,7 +151,7 @@
     def _same(self, client_try: Try, message: http1.Message) -> bool:
         """Method, path, query, body and key must pass unchanged."""
         head, body = self.request(client_try)
-        key = message.get(b"idempotency-key")
+        key = message.header(b"idempotency-key")
         keyed = self.world.kinds[client_try.job.class_index].semantics != "retryable"
         return (
             message.body == body
--- a/badgerroad/emulator/live/tier.py
+++ b/badgerroad/emulator/live/tier.py
@@ -222,7 +222,7 @@
         self.world.referee.answered(client_try.id, kind, answer.body.decode("latin-1") if kind == SERVED else "")
         self.world.note("answer", id=client_try.id, kind=kind, status=answer.status)
         try:
-            wait = int(float(answer.get(b"retry-after") or 0) * 1e6)
+            wait = int(float(answer.header(b"retry-after") or 0) * 1e6)
         except ValueError:
             wait = 0
         delay = self.world.network.delay(self.world.home[client_try.dispatcher], CLIENTS) or 0
--- a/badgerroad/emulator/live/wire.py
+++ b/badgerroad/emulator/live/wire.py
@@ -7,7 +7,7 @@
 
 from badgerroad.errors import Error
 from badgerroad.net import http1
-from badgerroad.net.ring_buffer import Ring
+from badgerroad.net.ring_buffer import RingBuffer
 
 Address = tuple[str, int]
 
@@ -24,7 +24,7 @@
         on_lost: Callable[[Served], None],
     ) -> None:
         self.now, self.accept, self.on_message, self.on_lost = now, accept, on_message, on_lost
-        self.ring = Ring(http1.RING_LIMIT)
+        self.ring = RingBuffer(http1.MESSAGE_LIMIT)
         self.parser = http1.Parser(self.ring)
         self.begun = 0
         self.transport: asyncio.Transport | None = None
@@ -41,10 +41,10 @@
             self.begun = self.now()
         try:
             self.ring.put(data)
-            while (message := self.parser.next()) is not None:
+            while (message := self.parser.next_message()) is not None:
                 self.on_message(self, message, self.begun)
                 self.begun = self.now()
-        except (http1.BadMessage, ValueError):
+        except (http1.BadMessageError, ValueError):
             self.abort()
 
     def answer(self, status: int, body: bytes = b"", headers: http1.Headers = []) -> None:
@@ -94,7 +94,7 @@
     """One connection to a server: a call at a time."""
 
     def __init__(self) -> None:
-        self.ring = Ring(http1.RING_LIMIT)
+        self.ring = RingBuffer(http1.MESSAGE_LIMIT)
         self.parser = http1.Parser(self.ring, responses=True)
         self.transport: asyncio.Transport | None = None
         self.answer: asyncio.Future[http1.Message] | None = None
@@ -109,9 +109,9 @@
         self.got = True
         try:
             self.ring.put(data)
-            while (message := self.parser.next()) is not None:
+            while (message := self.parser.next_message()) is not None:
                 self._came(message)
-        except (http1.BadMessage, ValueError):
+        except (http1.BadMessageError, ValueError):
             self.close()
 
     def _came(self, message: http1.Message) -> None:
--- a/badgerroad/fleet/extension.py
+++ b/badgerroad/fleet/extension.py
@@ -17,7 +17,7 @@
 from badgerroad.fleet.table import fields_of
 from badgerroad.load_balancing import interface
 from badgerroad.net import logs
-from badgerroad.net.timer_wheel import Timer, Wheel
+from badgerroad.net.timer_wheel import Timer, TimerWheel
 from badgerroad.requests import OpenRequest
 
 log = logs.get("badgerroad")
@@ -45,7 +45,7 @@
 class QuotaExtension(DispatcherExtension):
     """It owns the leases, the connections to controllers and its timers, from `start` to `close`."""
 
-    def __init__(self, wheel: Wheel, settings: FleetSettings, name: str, zone: str) -> None:
+    def __init__(self, wheel: TimerWheel, settings: FleetSettings, name: str, zone: str) -> None:
         self.settings = settings
         self._wheel, self._clock = wheel, wheel.clock
         random, incarnation = Random(os.urandom(16)), new_incarnation()
@@ -148,7 +148,7 @@
     def _arm(self) -> None:
         """Be awake when a waiting request must be decided."""
         due = self.leases.next_wakeup()
-        if due is None or self._over or self._wakeup is not None and self._wakeup.due <= due:
+        if due is None or self._over or self._wakeup is not None and self._wakeup.due_at <= due:
             return
         if self._wakeup is not None:
             self._wakeup.cancel()
--- a/badgerroad/hot_restart/peer.py
+++ b/badgerroad/hot_restart/peer.py
@@ -6,7 +6,7 @@
 
 from badgerroad.hot_restart import rules
 from badgerroad.load_balancing import state
-from badgerroad.net.timer_wheel import Timer, Wheel
+from badgerroad.net.timer_wheel import Timer, TimerWheel
 from badgerroad.net.unix_channel import Link
 
 
@@ -18,10 +18,10 @@
         self.timer: Timer | None = None  # until its next word is overdue
         self.open: set[bytes] = set()  # the ids of requests that it had when this process took over
 
-    def wait(self, wheel: Wheel, time: int, back: Callable[[str], None]) -> None:
+    def wait(self, wheel: TimerWheel, time: int, back: Callable[[str], None]) -> None:
         """For its next message, so many microseconds; then `back` hears that it is overdue."""
         self.waits_no_longer()
-        self.timer = wheel.after(time, lambda: back(rules.TIMED_OUT), patient=True)
+        self.timer = wheel.after(time, lambda: back(rules.TIMED_OUT), awaits_peer=True)
 
     def waits_no_longer(self) -> None:
         if self.timer is not None:
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -23,7 +23,7 @@
 from badgerroad.load_balancing import state
 from badgerroad.net import framing, logs
 from badgerroad.net.connection import Address
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.net.unix_channel import Link, Place
 from badgerroad.requests import OpenRequest
 
@@ -38,7 +38,7 @@
 
 
 class Handover(DispatcherExtension):
-    def __init__(self, dispatcher: Dispatcher, wheel: Wheel, folder: str) -> None:
+    def __init__(self, dispatcher: Dispatcher, wheel: TimerWheel, folder: str) -> None:
         self.dispatcher, self.wheel = dispatcher, wheel
         host, port = dispatcher.config.listen
         self.place = Place(folder, f"badgerroad-{host}-{port}.sock")
@@ -100,7 +100,7 @@
             assert self._listener is not None
             self.begun.set_result(d.frontend.adopt_listener(self._listener, accept=False))
             try:
-                d.descriptors.share(int(self._offer["held"]) + BASE)
+                d.descriptors.set_used_elsewhere(int(self._offer["held"]) + BASE)
                 d.count_as(self._offer["zones"], self._offer["kinds"])
                 d.begin(self._offer["known"])
             except (KeyError, TypeError, ValueError, BadList) as e:
@@ -108,7 +108,7 @@
                 d.begin(d.config.known)
             self._look()
         elif action == rules.ACCEPT:
-            d.frontend.accept()
+            d.frontend.start_accepting()
             self._be_found()
             self._tell_held()
         elif action == rules.STOP:
@@ -119,7 +119,7 @@
                 self.older.link.send(messages.PASSED_ON, {"on": True})
         elif action == rules.RESUME:
             self._keep_all()
-            d.frontend.take_back()
+            d.frontend.resume_accepting()
             self._be_found()  # the name is the other one's, or a dead one's
             if self.older is not None:
                 self.older.link.send(messages.PASSED_ON, {"on": False})
@@ -131,24 +131,24 @@
                 self.older = None
             else:
                 self.newer = None
-            d.descriptors.share(0)
+            d.descriptors.set_used_elsewhere(0)
         elif action == rules.CLOSE:
             if other is not None:
                 other.link.close()
                 if self.predecessor.state == "over" and other is self.newer:
-                    d.descriptors.share(0)
+                    d.descriptors.set_used_elsewhere(0)
                     self.newer = None
         elif action == rules.DRAIN:
             self._keep_all()
-            if d.frontend.heir is not None:
-                d.frontend.take_back()
+            if d.frontend.successor is not None:
+                d.frontend.resume_accepting()
             d.drain()
         elif action == rules.RETIRE:
             self._keep_all()
             d.frontend.retire()
         elif action == rules.FINISH:
             self.ending = True
-            d.frontend.finish()
+            d.frontend.mark_draining()
         elif other is not None:
             self._say(action, other, back)
 
@@ -159,10 +159,10 @@
         elif action == rules.SAY_OFFER:
             listener = d.frontend.listener
             assert listener is not None
-            d.descriptors.share(BASE)
+            d.descriptors.set_used_elsewhere(BASE)
             if d.descriptors.scarce:
-                d.frontend.shed()
-                d.backend.shed()
+                d.frontend.shed_idle_connections()
+                d.backend.shed_idle_connections()
             link.send(messages.OFFER, snapshot.offer(d), descriptor=listener.fileno())
         elif action == rules.SAY_TAKE:
             link.send(messages.TAKE, {})
@@ -211,16 +211,16 @@
         self.heir = other
         # An older process that takes over again keeps what it knows: of this one's sends it was told.
         other.link.send(messages.YOURS, snapshot.yours(d, attempts, self.elsewhere, learned=other is self.newer))
-        d.descriptors.share(d.descriptors.whole - d.descriptors.used - SPARE)
-        d.backend.heir = self._give_host
-        d.backend.pass_on()
+        d.descriptors.set_used_elsewhere(d.descriptors.total - d.descriptors.used - SPARE)
+        d.backend.successor = self._give_host
+        d.backend.pass_connections_on()
         self._pass_on()
         self._tell_held()
 
     def _pass_on(self) -> None:
         """What could not be passed on at once: the link was busy, or the connection had just been read from."""
-        if self.dispatcher.frontend.heir is not None:
-            self.dispatcher.frontend.pass_on()
+        if self.dispatcher.frontend.successor is not None:
+            self.dispatcher.frontend.pass_connections_on()
             self.wheel.after(LOOK, self._pass_on)
 
     def _give_client(self, descriptor: int, about: dict[str, Any], data: bytes, exchange: Exchange | None) -> bool:
@@ -251,8 +251,8 @@
         return self.older is not None and self.newer is not None and self.heir is self.newer
 
     def _keep_all(self) -> None:
-        self.dispatcher.backend.heir = self.heir = None
-        self.dispatcher.descriptors.share(0)
+        self.dispatcher.backend.successor = self.heir = None
+        self.dispatcher.descriptors.set_used_elsewhere(0)
 
     def _tell_held(self) -> None:
         """How many descriptors are held here, as both processes together have one limit; and a sign of life."""
@@ -281,15 +281,15 @@
 
     def _take_client(self, sock: socket.socket, head: dict[str, Any], payload: bytes) -> None:
         d, job, body = self.dispatcher, head["job"], payload[: head["body"]]
-        d.descriptors.share(max(d.descriptors.whole - d.descriptors.limit - 1, 0))
+        d.descriptors.set_used_elsewhere(max(d.descriptors.total - d.descriptors.limit - 1, 0))
         if job is not None:
             self.elsewhere.discard(job["id"].encode("latin-1"))
-        d.frontend.adopt(
+        d.frontend.adopt_connection(
             sock, head, payload[head["body"] :], None if job is None else lambda c: transfer.taken_in(d, job, body, c)
         )
         if job is not None:
             for call in self._strays.of(job["id"].encode("latin-1")):
-                d.backend.called_back(*call)
+                d.backend.handle_job_event(*call)
 
     def _told_by_newer(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
         sock = None if descriptor is None else socket.socket(fileno=descriptor)
@@ -328,12 +328,12 @@
         elif kind == messages.CLIENT and sock is not None:
             self._take_client(sock, head, payload)
         elif kind == messages.HOST and sock is not None:
-            d.backend.adopt(
+            d.backend.adopt_connection(
                 sock, str(head["host"]), (str(head["address"][0]), int(head["address"][1])), int(head["idle"])
             )
         elif kind == messages.HELD:
             if self.heir is None:
-                d.descriptors.share(int(head["held"]) + BASE)
+                d.descriptors.set_used_elsewhere(int(head["held"]) + BASE)
         elif kind == messages.ENDED:
             self.elsewhere.discard(head["id"].encode("latin-1"))
             if self.heir is not None and self.heir is not by:
@@ -347,7 +347,7 @@
         d = self.dispatcher
         if kind == messages.CALL_BACK:
             call = head["id"].encode("latin-1"), head["host"], head["state"], head["item"]
-            if d.backend.called_back(*call):
+            if d.backend.handle_job_event(*call):
                 return
             self._strays.keep(call, d.clock.now())
         elif not self._attempts.told(kind, head, by, d.clock.now()):
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -20,7 +20,7 @@
     reader = d.worker_list.reader
     return {
         "version": rules.VERSION,
-        "known": d.worker_list.as_told(d.backend.places()),
+        "known": d.worker_list.as_told(d.backend.addresses()),
         "zones": reader.zones,
         "kinds": reader.kinds,
         "held": d.descriptors.used,
--- a/badgerroad/hot_restart/transfer.py
+++ b/badgerroad/hot_restart/transfer.py
@@ -42,7 +42,7 @@
             "worker": attempt.worker,
             "sent": attempt.sent_at - now,
             "start": attempt.started_at - now if attempt.started_at else 0,
-            "left": attempt.timeout_timer.due - now if attempt.timeout_timer else 0,
+            "left": attempt.timeout_timer.due_at - now if attempt.timeout_timer else 0,
             **{field: getattr(attempt, name) for field, name in {**_FIELDS, **_LATER_FIELDS}.items()},
         }
         for attempt in request.attempts
@@ -66,7 +66,7 @@
 def gone(d: Dispatcher, request: OpenRequest) -> None:
     """It is another process's now: forget it without a word to client or hosts."""
     for attempt in request.attempts:
-        d.backend.drop(attempt)
+        d.backend.release_attempt(attempt)
     state.job_gone(d.decisions, request.number)
     request.exchange.answered = True
     request.open_attempts = 0
@@ -97,6 +97,6 @@
         request.attempts.append(attempt)
         if not attempt.ended:
             request.open_attempts += 1
-            d.backend.go_on(attempt, told["left"])
+            d.backend.resume_attempt(attempt, told["left"])
     d.enter(request)
     d.act(state.job_in(d.decisions, request.number, cls, head["job"], now))
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -13,7 +13,7 @@
 from badgerroad.extension import DispatcherExtension
 from badgerroad.multiprocess import messages
 from badgerroad.net import framing, logs
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.net.unix_channel import Link
 from badgerroad.operator_limits import limit
 
@@ -88,7 +88,7 @@
 
 
 class ServerProcess(DispatcherExtension):
-    def __init__(self, joined: Joined, dispatcher: Dispatcher, wheel: Wheel, stop: Callable[[], None]) -> None:
+    def __init__(self, joined: Joined, dispatcher: Dispatcher, wheel: TimerWheel, stop: Callable[[], None]) -> None:
         """`stop`: what a SIGTERM does; also the end of the supervisor, which must leave no orphans."""
         self.part, self.dispatcher, self.wheel = joined.part, dispatcher, wheel
         self.peers: dict[int, Link] = {}
@@ -145,7 +145,9 @@
             raise framing.BadPacket(f"a word not known here: {kind}")
         # It has been to the process that it reached; if it is not known here either, another one holds the attempt, or
         # none.
-        self.dispatcher.backend.called_back(head["id"].encode("latin-1"), head["host"], head["state"], head["item"])
+        self.dispatcher.backend.handle_job_event(
+            head["id"].encode("latin-1"), head["host"], head["state"], head["item"]
+        )
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
         """A call-back for an attempt that is not known here."""
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -24,7 +24,7 @@
 from badgerroad.multiprocess.server_process import Part
 from badgerroad.net import logs
 from badgerroad.net.connection import spawn
-from badgerroad.net.timer_wheel import Clock, Timer, Wheel
+from badgerroad.net.timer_wheel import Clock, Timer, TimerWheel
 from badgerroad.net.unix_channel import Link
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         operator: Operator | None,
         operator_file: str | None,
         verbose: bool,
-        wheel: Wheel,
+        wheel: TimerWheel,
     ) -> None:
         self.config, self.text, self.wheel = config, text, wheel
         self.operator, self.operator_file, self.verbose = operator, operator_file, verbose
@@ -139,7 +139,7 @@
     def _await(self, number: int, slot: ProcessSlot, time: int) -> None:
         if slot.timer:
             slot.timer.cancel()
-        slot.timer = self.wheel.after(time, lambda: self._do(self.group.silent(number)), patient=True)
+        slot.timer = self.wheel.after(time, lambda: self._do(self.group.silent(number)), awaits_peer=True)
 
     def _config(self) -> dict[str, Any]:
         return {
@@ -218,7 +218,7 @@
     size: int, config: Config, text: bytes, operator: Operator | None, operator_file: str | None, verbose: bool
 ) -> int:
     """Until SIGTERM and the server processes' end; returns the exit code."""
-    wheel = Wheel(Clock(), IOLoop.current())
+    wheel = TimerWheel(Clock(), IOLoop.current())
     supervisor, ops = Supervisor(size, config, text, operator, operator_file, verbose, wheel), None
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/badgerroad/net/logs.py
+++ b/badgerroad/net/logs.py
@@ -23,7 +23,7 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-class Choice(NamedTuple):
+class LogSettings(NamedTuple):
     """How to log: `format` console or json, `level` debug, info, warning or error."""
 
     format: str = "console"
@@ -81,7 +81,7 @@
     log = debug = info = warning = error = critical = failure = fatal = msg
 
 
-def configure(choice: Any = Choice(), debug: bool = False, **fields: Any) -> None:
+def configure(choice: Any = LogSettings(), debug: bool = False, **fields: Any) -> None:
     """Set format and level for the whole process; may be called again, on a reload. `fields` go with each line."""
     level = logging.DEBUG if debug else LEVELS[choice.level]
     json = choice.format == "json"
--- a/badgerroad/net/ring_buffer.py
+++ b/badgerroad/net/ring_buffer.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-SMALL = 1024
+INITIAL_CAPACITY = 1024
 
 
-class Ring:
-    def __init__(self, limit: int, small: int = SMALL) -> None:
-        self.limit, self.small = limit, min(small, limit)
-        self._data = bytearray(self.small)
+class RingBuffer:
+    def __init__(self, limit: int, initial_capacity: int = INITIAL_CAPACITY) -> None:
+        self.limit, self.initial_capacity = limit, min(initial_capacity, limit)
+        self._data = bytearray(self.initial_capacity)
         self._head, self._count = 0, 0
 
     def __len__(self) -> int:
@@ -83,8 +83,8 @@
 
     def shrink(self) -> None:
         """Give the memory of a large message back. Not while a read into the ring is pending."""
-        if not self._count and len(self._data) > self.small:
-            self._data, self._head = bytearray(self.small), 0
+        if not self._count and len(self._data) > self.initial_capacity:
+            self._data, self._head = bytearray(self.initial_capacity), 0
 
     def _resize(self, size: int) -> None:
         # A new block, as the old one may still be lent out to a write on its way.
--- a/badgerroad/requests.py
+++ b/badgerroad/requests.py
@@ -83,7 +83,7 @@
 
 def id_of(message: http1.Message) -> bytes:
     """The request's id. Raises BadRequest."""
-    request_id = message.get(b"request-id") or b""
+    request_id = message.header(b"request-id") or b""
     if not REQUEST_ID.match(request_id):
         raise BadRequest("request-id is missing or malformed")
     return request_id
@@ -99,36 +99,36 @@
     """What the module hears of it as request `number`. `classes` and `tenants`: their places in the settings. Raises
     BadRequest."""
     parts = message.path.split(b"/")
-    class_name = message.get(b"request-class")
+    class_name = message.header(b"request-class")
     if class_name is not None and class_name != parts[1]:
         raise BadRequest("request-class is not that of the path")
     index = classes[parts[1]]
     cls = settings.classes[index]
-    if cls.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY and not message.get(b"idempotency-key"):
+    if cls.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY and not message.header(b"idempotency-key"):
         # Without it no host could drop a repeat, and the module repeats because hosts do.
         raise BadRequest("idempotency-key is missing")
     slots, memory = _size(message)
-    if tenants and (message.get(b"tenant") or b"") not in tenants:
+    if tenants and (message.header(b"tenant") or b"") not in tenants:
         raise BadRequest("tenant is missing or unknown")
     key = int.from_bytes(blake2b(parts[-1], digest_size=8).digest(), "big") if len(parts) > 2 else 0
     wait = min(_number(message, b"request-timeout-ms", 1, LONGEST_WAIT, None) * 1000, cls.deadline)
     return interface.Request(
         number,
         index,
-        tenants.get(message.get(b"tenant") or b"", 0),
+        tenants.get(message.header(b"tenant") or b"", 0),
         key,
         wait,
         _number(message, b"work-hint", 0, 10**12, 0),
         slots,
         memory,
-        message.get(b"client-retry") == b"1",
+        message.header(b"client-retry") == b"1",
     )
 
 
 def info_of(message: http1.Message) -> dict[bytes, float]:
     """The figures of `Request-Info`. Raises BadRequest."""
     extras = {}
-    for part in (message.get(b"request-info") or b"").split(b","):
+    for part in (message.header(b"request-info") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if not part.strip():
             continue
@@ -148,7 +148,7 @@
 
 
 def _number(message: http1.Message, name: bytes, least: int, most: int, default: int | None) -> int:
-    text = message.get(name)
+    text = message.header(name)
     if text is None and default is not None:
         return default
     if text is None or not text.isdigit() or len(text) > 15 or not least <= int(text) <= most:
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -17,7 +17,7 @@
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.errors import CannotListen
 from badgerroad.net import logs
-from badgerroad.net.timer_wheel import Clock, Wheel
+from badgerroad.net.timer_wheel import Clock, TimerWheel
 from badgerroad.operator_limits import limit
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
 OK, CANNOT_LISTEN, BAD_CONFIG = 0, 1, 2  # exit codes
 
 
-def assemble(config: Config, wheel: Wheel, counted: bool = False) -> tuple[Dispatcher, Listener | None]:
+def assemble(config: Config, wheel: TimerWheel, counted: bool = False) -> tuple[Dispatcher, Listener | None]:
     """The dispatcher, and the second address where there is one; else nothing of that is imported, but for the counts
     of one that is `counted` elsewhere."""
     if config.ops is None and not counted:
@@ -85,7 +85,7 @@
 
 async def _serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None) -> int:
     """Raises CannotListen."""
-    wheel = Wheel(Clock(), IOLoop.current())
+    wheel = TimerWheel(Clock(), IOLoop.current())
     dispatcher, ops = assemble(config, wheel, counted=joined is not None)
     limit(dispatcher, operator)
     quotas = join_fleet(dispatcher, operator, operator_file)
@@ -95,13 +95,13 @@
 
     def check(since: int) -> None:
         after = wheel.clock.now() - since
-        finishing = handover is not None and handover.ending and dispatcher.frontend.heir is not None
+        finishing = handover is not None and handover.ending and dispatcher.frontend.successor is not None
         # Clients whose connections go to another process need no grace here, but each connection has to get there.
-        wait = dispatcher.frontend.left and after < GRACE if finishing else after < GRACE
+        wait = dispatcher.frontend.has_connections_to_pass and after < GRACE if finishing else after < GRACE
         if handover is not None and handover.between and after < BETWEEN:
             wait = True
         # Where another process has the clients, none of them is ended for the end of this one.
-        if dispatcher.owed or wait or not finishing and not dispatcher.end():
+        if dispatcher.has_pending_responses or wait or not finishing and not dispatcher.end():
             wheel.after(CHECK, lambda: check(since))
         else:
             done.set()
@@ -233,7 +233,7 @@
             if operator.fleet is not None:
                 print(f"{operator_file}: quotas are shared by the fleet")
         return OK
-    choice = operator.log if operator is not None else logs.Choice()
+    choice = operator.log if operator is not None else logs.LogSettings()
     if joined is not None:
         logs.configure(choice, debug=verbose, process=joined.part.number)
     else:
--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -71,7 +71,7 @@
 
 def main() -> None:
     options = docopt(__doc__)
-    logs.configure(logs.Choice(level="warning"))
+    logs.configure(logs.LogSettings(level="warning"))
     for scenario in [] if options["--only-page"] else chosen(options):
         result = play(
             scenario,
--- a/benchmarks/fleet/hollow.py
+++ b/benchmarks/fleet/hollow.py
@@ -304,5 +304,5 @@
 
 
 if __name__ == "__main__":
-    logs.configure(logs.Choice(level="warning"))
+    logs.configure(logs.LogSettings(level="warning"))
     asyncio.run(run())
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -35,12 +35,12 @@
         )
     ]
     for form in ("console", "json"):
-        logs.configure(logs.Choice(form, "info"))
+        logs.configure(logs.LogSettings(form, "info"))
         log = logs.get("x")
         rows.append(
             (form, timed(lambda n: log.info("answered", request="r1", cls="preview", status=200, ms=n, attempts=1)))
         )
-    logs.configure(logs.Choice("console", "warning"))
+    logs.configure(logs.LogSettings("console", "warning"))
     log = logs.get("x")
     rows.append(("off by its level", timed(lambda n: log.info("answered", request="r1", cls="preview", status=200))))
     print("| format | us a line |\n| --- | ---: |")
--- a/examples/fleet/two_regions.py
+++ b/examples/fleet/two_regions.py
@@ -221,7 +221,7 @@
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     for phase, seconds in (("before", 4), ("cut", 8), ("after", 5)):
         parser.add_argument(f"--{phase}", type=int, default=seconds, metavar="S")
-    logs.configure(logs.Choice("console", "warning"))
+    logs.configure(logs.LogSettings("console", "warning"))
     return asyncio.run(run(parser.parse_args()))
 
 
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -111,7 +111,7 @@
 
 @async_test
 async def test_a_host_that_does_not_take_a_job_is_given_up_and_another_serves_it(monkeypatch):
-    monkeypatch.setattr(dispatcher, "ACCEPT_TIME", 100_000)
+    monkeypatch.setattr(dispatcher, "ACCEPT_TIMEOUT_US", 100_000)
 
     async def deaf_at_first(world, head, body):
         if sum(len(h.got) for h in world.hosts) == 1:
@@ -126,7 +126,7 @@
 
 @async_test
 async def test_a_host_that_calls_back_before_it_answers_is_not_given_up(monkeypatch):
-    monkeypatch.setattr(dispatcher, "ACCEPT_TIME", 100_000)
+    monkeypatch.setattr(dispatcher, "ACCEPT_TIMEOUT_US", 100_000)
 
     async def slow_to_answer(world, head, body):
         assert await world.call_back(id_of(head), "started", world.name_of(head)) == 200
@@ -172,7 +172,7 @@
         for request in list(w.dispatcher.requests.values()):
             attempt = request.attempts[0]
             await until(lambda: attempt.accepted or attempt.worker == "h1")
-            w.dispatcher.backend.cancel(attempt)
+            w.dispatcher.backend.cancel_attempt(attempt)
         await until(lambda: len(hosts[0].got) == 2)
         name = id_of(hosts[0].got[0][0]).encode()
         assert hosts[0].got[1][0].startswith(b"DELETE /jobs/" + name + b" HTTP/1.1\r\n")
@@ -193,7 +193,7 @@
     async with World(script) as w:
         answer = w.begin(w.ask(job()))
         await until(lambda: w.dispatcher.requests and w.dispatcher.requests[1].attempts[0].accepted)
-        w.dispatcher.backend.cancel(w.dispatcher.requests[1].attempts[0])
+        w.dispatcher.backend.cancel_attempt(w.dispatcher.requests[1].attempts[0])
         w.dispatcher.decisions.may_begin = lambda *_: True  # the scenario decides in the module's place
         w.dispatcher._send(interface.Send(1, "h0"))  # waits until the host has answered the cancel
         assert await w.call_back("r1", "done", result="of the first") == 200
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -42,7 +42,7 @@
         self.sock.sendall(job("r1", self.cls, 5000))
         await until(lambda: d.requests and d.requests[1].attempts and d.requests[1].attempts[0].accepted)
         d.decisions.workers["h1"].until = 0
-        d.backend.cancel(d.requests[1].attempts[0])
+        d.backend.cancel_attempt(d.requests[1].attempts[0])
         await until(lambda: len(d.requests[1].attempts) == 3)
         self.attempt, self.connections = d.requests[1].attempts[2], len(w.hosts[0].writers)
         assert (self.attempt.worker, posts(w.hosts[0]), posts(w.hosts[1])) == ("h0", ["r1"], ["r1"])
@@ -118,7 +118,7 @@
         heard, handle = [], w.dispatcher.decisions.handle
         w.dispatcher.decisions.handle = lambda now, e: heard.append(type(e)) or handle(now, e)
         sock.close()
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         # Seen at once: the attempt has not run out of its time first.
         assert (
             next(e for e in heard if e in (interface.ClientDisconnected, interface.AttemptEnded))
@@ -142,7 +142,7 @@
 @async_test
 async def test_the_answer_reaches_a_client_whose_next_bytes_come_in_the_moment_of_the_close(monkeypatch):
     """Looked at an instant before, nothing was there; closed over unread bytes, the connection is reset."""
-    monkeypatch.setattr(ClientConnection, "peer_has_spoken", lambda self: False)
+    monkeypatch.setattr(ClientConnection, "peer_has_sent", lambda self: False)
     async with World(lambda *_: reply(202)) as w:
         await until(lambda: w.dispatcher.ready)
         sock = socket.create_connection(("127.0.0.1", w.port))
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("ends", ["drain", "shed", "patience"])
 @async_test
 async def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on(ends, monkeypatch):
-    monkeypatch.setattr("badgerroad.frontend.client.FRESH", 0)
+    monkeypatch.setattr("badgerroad.frontend.client.FRESH_TIME_US", 0)
     async with World(serve) as w:
         sock = socket.create_connection(("127.0.0.1", w.port))
         sock.sendall(b"GET /-/ready HTTP/1.1\r\n\r\n")
@@ -171,9 +171,11 @@
         (connection,) = w.dispatcher.frontend.connections
         if ends == "shed":
             w.dispatcher.descriptors.used += w.dispatcher.descriptors.limit
-        {"drain": w.dispatcher.drain, "shed": w.dispatcher.frontend.shed, "patience": connection._out_of_patience}[
-            ends
-        ]()
+        {
+            "drain": w.dispatcher.drain,
+            "shed": w.dispatcher.frontend.shed_idle_connections,
+            "patience": connection._request_timed_out,
+        }[ends]()
         sock.sendall(job("r1"))  # before the loop turns again
         assert await loop.run_in_executor(None, sock.recv, 65536) == b""
         await asyncio.sleep(0.05)
@@ -193,7 +195,7 @@
         w.dispatcher.drain()
         late = socket.create_connection(("127.0.0.1", w.port))  # accepted by the system, not by the loop
         late.sendall(job("r1"))
-        while w.dispatcher.owed or not w.dispatcher.end():
+        while w.dispatcher.has_pending_responses or not w.dispatcher.end():
             await asyncio.sleep(0.005)
         w.dispatcher.close()
         got = await asyncio.get_running_loop().run_in_executor(None, late.recv, 65536)
@@ -246,14 +248,14 @@
         await until(lambda: w.hosts[0].got)
         attempt = w.dispatcher.requests[1].attempts[0]
         w.hosts[0].writers[0].write(reply(202))  # it goes to the socket at once; the loop has not turned since
-        w.dispatcher.backend.cancel(attempt)
+        w.dispatcher.backend.cancel_attempt(attempt)
         await until(lambda: any(head.startswith(b"DELETE /jobs/r1 ") for head, _ in w.hosts[0].got))
 
 
 @pytest.mark.parametrize("hears", [True, False])
 @async_test
 async def test_where_two_may_never_be_out_an_attempt_has_ended_only_when_its_host_has_heard_so(hears, monkeypatch):
-    monkeypatch.setattr("badgerroad.backend.http.DELETE_TIME", 100_000)
+    monkeypatch.setattr("badgerroad.backend.http.CANCEL_TIMEOUT_US", 100_000)
     gate = asyncio.Event()
 
     async def slow(_world, head, _body):
@@ -266,7 +268,7 @@
         w.begin(w.ask(job("r1")))
         await until(lambda: w.dispatcher.requests and w.dispatcher.requests[1].attempts[0].accepted)
         request = w.dispatcher.requests[1]
-        w.dispatcher.backend.cancel(request.attempts[0])
+        w.dispatcher.backend.cancel_attempt(request.attempts[0])
         await asyncio.sleep(0.05)
         assert not request.attempts[0].ended
         assert len(request.attempts) == 1
@@ -388,11 +390,11 @@
         await until(lambda: w.dispatcher.ready)
         w.dispatcher.decisions.workers["h1"].until = w.dispatcher.clock.now() + 60 * SEC
         assert (await w.ask(job("r1")))[0] == 200
-        worker = w.dispatcher.backend.hosts["h0"]
+        worker = w.dispatcher.backend.workers["h0"]
         ((connection, timer),) = worker.idle
         worker.idle = []
         timer.cancel()
-        w.dispatcher.backend.place("h0", ("127.0.0.1", w.hosts[1].port))  # while it was in use
+        w.dispatcher.backend.set_address("h0", ("127.0.0.1", w.hosts[1].port))  # while it was in use
         w.dispatcher.backend._checkin(worker, connection)
         assert not worker.idle
         assert connection.closed
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -13,7 +13,7 @@
 from badgerroad.discovery import endpoint_watch
 from badgerroad.frontend import client as frontend_client
 from badgerroad.load_balancing import interface
-from badgerroad.net.connection import Descriptors
+from badgerroad.net.connection import DescriptorBudget
 from tests.support.loopback import SETTINGS, Peer, World, async_test, host, id_of, job, reply, serve, until
 from tests.support.program import program
 
@@ -131,12 +131,12 @@
         assert (await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
         late = w.begin(w.ask(job("r2")))
         await until(lambda: len(w.dispatcher.requests) == 2)
-        assert w.dispatcher.owed
+        assert w.dispatcher.has_pending_responses
         gate.set()
         for status, head, _ in await asyncio.gather(busy, late):
             assert status == 200
             assert b"Connection: close" in head
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
 
 
 @pytest.mark.parametrize("hint", [10_000_000, 0])
@@ -167,7 +167,7 @@
 
 @async_test
 async def test_near_the_descriptor_limit_the_least_useful_connections_go_first(monkeypatch):
-    monkeypatch.setattr(frontend_client, "FRESH", 0)
+    monkeypatch.setattr(frontend_client, "FRESH_TIME_US", 0)
     async with World(silent, limits=64) as w:
         served = [await w.connect() for _ in range(5)]
         for connection in served:
@@ -183,7 +183,7 @@
         idle = [await w.connect() for _ in range(34)]
         for connection in idle:
             await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", connection)
-        await asyncio.sleep(frontend_client.FRESH / 1e6 + 0.1)  # they have rested
+        await asyncio.sleep(frontend_client.FRESH_TIME_US / 1e6 + 0.1)  # they have rested
         idle += [await w.connect() for _ in range(3)]  # each may have a request on its way
         await until(lambda: any(reader.at_eof() for reader, _ in idle))
         assert not any(reader.at_eof() for reader, _ in idle[34:])
@@ -199,7 +199,7 @@
     async with World(serve, serve) as w:
         client = await w.connect()
         await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", client)
-        w.dispatcher.backend.descriptors = Descriptors(0)
+        w.dispatcher.backend.descriptors = DescriptorBudget(0)
         w.dispatcher.backend.descriptors.used = 8
         status, head, _ = await w.ask(job(), client)
         assert status == 503
@@ -219,7 +219,7 @@
             await asyncio.sleep(0.005)
             seen.append(descriptors.used)
         assert 170 < max(seen) <= 196
-        assert not descriptors.spent
+        assert not descriptors.exhausted
 
 
 @async_test
@@ -229,7 +229,7 @@
         writer.write(job()[:40])
         await until(lambda: any(not c.idle for c in w.dispatcher.frontend.connections))
         w.dispatcher.drain()
-        assert not w.dispatcher.owed
+        assert not w.dispatcher.has_pending_responses
 
 
 @async_test
@@ -280,7 +280,7 @@
     async with World(lambda *_: reply(200, b"qps=1.5,inflight=3,x0=2,x1=9")) as w:
         got = []
         w.dispatcher.backend.raise_event = got.append
-        w.dispatcher.backend.probe("h0")
+        w.dispatcher.backend.check_health("h0")
         await until(lambda: got)
         assert (got[0].worker, got[0].result, got[0].load_report) == ("h0", interface.AttemptResult.OK, (1.5, 3.0, 2.0))
         assert w.dispatcher.backend.reports.text(json.dumps({"load": {"rps": 1, "active": 2, "x0": 0}})) == (1, 2, 0)
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -15,7 +15,7 @@
 from badgerroad.fleet.errors import FleetRefused
 from badgerroad.fleet.extension import QuotaExtension
 from badgerroad.load_balancing import interface
-from badgerroad.net.timer_wheel import Clock, Wheel
+from badgerroad.net.timer_wheel import Clock, TimerWheel
 from badgerroad.operator.schema import load
 from tests.support.loopback import SETTINGS, World, job, serve
 
@@ -355,7 +355,7 @@
         async with Controllers(tmp_path, 1) as fleet, Around(serve) as w:
             operator = load(str(fleet.write_operator("dispatcher")))
             settings = table.settings_of(operator.fleet, "o")
-            wheel = Wheel(Clock(), IOLoop.current())
+            wheel = TimerWheel(Clock(), IOLoop.current())
             names = {QuotaExtension(wheel, settings, "x" * 200, "z0").connections.hello.name for _ in range(2)}
             assert len(names) == 2
             assert all(len(name.encode()) <= 64 for name in names)
--- a/tests/frontend/test_client_requests.py
+++ b/tests/frontend/test_client_requests.py
@@ -21,7 +21,7 @@
         writer.write(job())
         await until(lambda: w.hosts[0].got)
         writer.close()
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         assert await w.call_back("r1", "done", result="x") == 200
         assert not w.dispatcher.requests
 
@@ -97,7 +97,7 @@
 
 @async_test
 async def test_a_request_that_stops_or_trickles_is_given_up_and_so_is_a_silent_connection(monkeypatch):
-    monkeypatch.setattr(frontend_client, "REQUEST_TIME", 300_000)
+    monkeypatch.setattr(frontend_client, "REQUEST_TIMEOUT_US", 300_000)
     async with World(serve) as w:
 
         async def trickle(writer):
@@ -114,7 +114,7 @@
             if more:
                 w.begin(trickle(writer))
             assert (await read_message(reader))[0].startswith(b"HTTP/1.1 408 ")
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         assert await silence.read() == b""
         assert (await w.ask(job("r2"), served))[0] == 200  # between requests a client may rest
 
@@ -129,7 +129,7 @@
 )
 @async_test
 async def test_what_cannot_be_used_is_answered_and_closed_on_whatever_is_sent_behind_it(monkeypatch, bad, status):
-    monkeypatch.setattr(frontend_client, "LINGER", 60_000_000)
+    monkeypatch.setattr(frontend_client, "LINGER_TIME_US", 60_000_000)
     async with World(serve) as w:
         reader, writer = await w.connect()
         writer.write(bad + b"z" * 32_000_000)
@@ -137,7 +137,7 @@
         assert (await read_message(reader))[0].startswith(b"HTTP/1.1 %d " % status)
         assert await reader.read() == b""
         writer.close()
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         assert not w.hosts[0].got
 
 
--- a/tests/frontend/test_partial_messages.py
+++ b/tests/frontend/test_partial_messages.py
@@ -50,7 +50,7 @@
 
 @async_test
 async def test_who_is_silent_or_stopped_halfway_gives_way_to_whole_requests_and_to_those_that_wait(monkeypatch):
-    for name, time in (("FRESH", 60_000_000), ("REQUEST_TIME", 60_000_000), ("YOUNG", 0)):
+    for name, time in (("FRESH_TIME_US", 60_000_000), ("REQUEST_TIMEOUT_US", 60_000_000), ("EVICTION_GRACE_US", 0)):
         monkeypatch.setattr(frontend_client, name, time)  # nothing ends by itself
     async with World(serve, limits=224, ops=True) as w:
         side, descriptors = w.dispatcher.frontend, w.dispatcher.descriptors
@@ -74,7 +74,7 @@
     async with World(serve) as w:
         await until(lambda: w.dispatcher.ready)
         looks = []
-        w.dispatcher.shed = lambda: looks.append(1)
+        w.dispatcher.shed_idle_connections = lambda: looks.append(1)
         w.dispatcher.descriptors.used += int(0.92 * w.dispatcher.descriptors.limit)
         crowd = [socket.create_connection(("127.0.0.1", w.port)) for _ in range(40)]  # the loop stands meanwhile
         await until(lambda: len(w.dispatcher.frontend.connections) == 40)
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -13,7 +13,7 @@
 from badgerroad.frontend import client as frontend_client
 from badgerroad.hot_restart import rules, transfer
 from badgerroad.hot_restart.process import Handover
-from badgerroad.net.timer_wheel import Clock, Wheel
+from badgerroad.net.timer_wheel import Clock, TimerWheel
 from badgerroad.net.unix_channel import Place
 from badgerroad.serving import assemble
 from tests.support.loopback import World, async_test, id_of, job, read_message, reply, serve, until
@@ -24,7 +24,7 @@
     """A second dispatcher in this process, with `over` in its configuration, that takes over from the one of a World."""
     first = Handover(w.dispatcher, w.dispatcher.wheel, str(folder))
     first._be_found()
-    new, ops = assemble(w.dispatcher.config._replace(**over), Wheel(Clock(), IOLoop.current()))
+    new, ops = assemble(w.dispatcher.config._replace(**over), TimerWheel(Clock(), IOLoop.current()))
     second = Handover(new, new.wheel, str(folder))
     w.begin(second.begin())
     await until(lambda: new.taking)
@@ -70,7 +70,10 @@
             assert b"open request" in why
             attempt.accepted = True
             first.term()
-            await until(lambda: not first.dispatcher.owed and not first.dispatcher.frontend.left)
+            await until(
+                lambda: not first.dispatcher.has_pending_responses
+                and not first.dispatcher.frontend.has_connections_to_pass
+            )
             for n, (_, writer) in enumerate(crowd):
                 writer.write(texts[n][2 * n :])
             gate.set()
@@ -88,7 +91,7 @@
         await until(lambda: w.dispatcher.ready)
         async with with_second_process(w, tmp_path) as (first, second):
             for back in (True, False):
-                d, ops = assemble(w.dispatcher.config, Wheel(Clock(), IOLoop.current()))
+                d, ops = assemble(w.dispatcher.config, TimerWheel(Clock(), IOLoop.current()))
                 third = Handover(d, d.wheel, str(tmp_path))
                 w.begin(third.begin())
                 await until(lambda: d.taking and first.predecessor.state == "passed")
@@ -127,19 +130,19 @@
         answer, attempt = await stuck(w)
         async with with_second_process(w, tmp_path) as (first, second):
             attempt.accepted = True
-            first.dispatcher.frontend.pass_on()
+            first.dispatcher.frontend.pass_connections_on()
             assert not first.dispatcher.requests
             assert not second.dispatcher.requests
             for n in range(99):
-                second.dispatcher.called_back(b"other", "h0", "done", {"result": str(n)})
-            second.dispatcher.called_back(b"r1", "h0", "done", {"result": "made"})
+                second.dispatcher.handle_job_event(b"other", "h0", "done", {"result": str(n)})
+            second.dispatcher.handle_job_event(b"r1", "h0", "done", {"result": "made"})
             if ends:
                 first.newer.link.close()
             assert (await answer)[0] == 200
             assert (await w.figures())["current"] == 0
             here, there = socket.socketpair()
             with pytest.raises(ZeroDivisionError):  # a job that cannot be read: its client must not wait for ever
-                w.dispatcher.frontend.adopt(
+                w.dispatcher.frontend.adopt_connection(
                     there, {"served": True, "left": -1, "closing": False}, b"", lambda c: 1 // 0
                 )
             assert here.recv(1) == b""
@@ -149,7 +152,7 @@
 async def test_the_new_process_is_told_all_that_the_rules_need_and_each_hears_of_the_others_attempts(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(frontend_client, "REQUEST_TIME", 1_000_000)
+    monkeypatch.setattr(frontend_client, "REQUEST_TIMEOUT_US", 1_000_000)
     monkeypatch.setattr(transfer, "movable", lambda request: False)  # open jobs stay: each has attempts out
 
     def tallies(d):
@@ -184,10 +187,10 @@
             assert new.decisions.hints.sample[0] == 300_000
             assert new.decisions.runs.mean_of == old.decisions.runs.mean_of != {}
             assert tallies(new)[attempt.worker] == (1, 1)
-            assert any(h.idle for h in new.backend.hosts.values())
-            assert not any(h.idle for h in old.backend.hosts.values())
-            assert old.descriptors.limit < old.descriptors.whole / 2
-            assert new.descriptors.limit <= new.descriptors.whole - old.descriptors.used  # one limit for both
+            assert any(h.idle for h in new.backend.workers.values())
+            assert not any(h.idle for h in old.backend.workers.values())
+            assert old.descriptors.limit < old.descriptors.total / 2
+            assert new.descriptors.limit <= new.descriptors.total - old.descriptors.used  # one limit for both
             assert await silent[0].read() == b""  # its time went on over there
             # A repeat of the old one is told, with its start, and its end; the new one's own job likewise.
             await w.call_back("r1", "failed", attempt.worker)
@@ -264,7 +267,7 @@
         await until(lambda: first.newer is None and w.dispatcher.taking)
         assert first.predecessor.state == "over"
         assert (await w.ask(job()))[0] == 200
-        assert w.dispatcher.descriptors.limit == w.dispatcher.descriptors.whole
+        assert w.dispatcher.descriptors.limit == w.dispatcher.descriptors.total
         first.close()
         new.close()
 
@@ -290,14 +293,14 @@
         config, arrived = w.dispatcher.config._replace(listen=("127.0.0.1", w.port)), []
         place = Place(str(tmp_path), f"badgerroad-127.0.0.1-{w.port}.sock")
         place.bind(arrived.append)
-        d, ops = assemble(config, Wheel(Clock(), IOLoop.current()))
+        d, ops = assemble(config, TimerWheel(Clock(), IOLoop.current()))
         second = Handover(d, d.wheel, str(tmp_path))
         w.begin(second.begin())
         await until(lambda: arrived)
         if at:
             say(arrived[0], dict(OFFER, known=config.known), w.dispatcher.frontend.listener.fileno())
             await until(lambda: second.successor.state == "claiming")
-            assert d.descriptors.limit <= d.descriptors.whole - 100
+            assert d.descriptors.limit <= d.descriptors.total - 100
             assert not d.taking
         say(arrived[0], told, w.dispatcher.frontend.listener.fileno())
         await until(lambda: d.taking)
--- a/tests/hot_restart/test_upgrade_rules.py
+++ b/tests/hot_restart/test_upgrade_rules.py
@@ -13,7 +13,7 @@
 from badgerroad.load_balancing.policy import DispatchPolicy
 from badgerroad.net import framing
 from badgerroad.net.http1 import Parser
-from badgerroad.net.ring_buffer import Ring
+from badgerroad.net.ring_buffer import RingBuffer
 from badgerroad.net.unix_channel import Link
 from tests.support.loopback import async_test, until
 
@@ -142,14 +142,14 @@
 @pytest.mark.parametrize("text", FORMS)
 def test_a_message_goes_on_in_another_parser_from_any_byte(text):
     for cut in range(len(text)):
-        rings = Ring(4096), Ring(4096)
+        rings = RingBuffer(4096), RingBuffer(4096)
         first, second = Parser(rings[0]), Parser(rings[1])
         rings[0].put(text[:cut])
-        assert first.next() is None
-        rings[1].put(first.unread())
-        between = second.next()
+        assert first.next_message() is None
+        rings[1].put(first.unconsumed_bytes())
+        between = second.next_message()
         rings[1].put(text[cut:])
-        message = between or second.next()
+        message = between or second.next_message()
         assert message is not None
         assert message.body == b"hello"
         assert (message.method, message.path) == (b"POST", b"/a")
--- a/tests/net/test_primitives.py
+++ b/tests/net/test_primitives.py
@@ -8,12 +8,12 @@
 import pytest
 
 from badgerroad.net import http1, timer_wheel
-from badgerroad.net.ring_buffer import Ring
+from badgerroad.net.ring_buffer import RingBuffer
 from tests.support.loopback import SETTINGS, host
 
 
 def test_a_ring_wraps_grows_to_its_limit_and_shrinks_when_empty():
-    ring = Ring(64, small=8)
+    ring = RingBuffer(64, initial_capacity=8)
     ring.put(b"abcdef")
     assert ring.take(4) == b"abcd"
     ring.put(b"ghijk")  # wraps inside the first 8 bytes
@@ -55,7 +55,7 @@
 
 def test_timers_fire_in_order_and_never_early_beyond_a_revolution_too():
     hand, fired = Hand(), []
-    w = timer_wheel.Wheel(hand, hand)
+    w = timer_wheel.TimerWheel(hand, hand)
     for delay in (3_000_000, 1, 2_600, 2_500):
         due = hand.now() + delay
         w.after(delay, lambda due=due: fired.append((due, hand.now())))
@@ -63,12 +63,12 @@
     w.after(5_000, lambda: fired.append("cancelled")).cancel()
     hand.run_to(4_000_000)
     assert [due for due, _ in fired] == [10_501, 13_000, 13_100, 16_100, 3_010_500]
-    assert all(due <= at < due + 2 * timer_wheel.TICK for due, at in fired)
+    assert all(due <= at < due + 2 * timer_wheel.TICK_US for due, at in fired)
 
 
 def test_a_timer_that_breaks_does_not_stop_the_others():
     hand, fired = Hand(), []
-    w = timer_wheel.Wheel(hand, hand)
+    w = timer_wheel.TimerWheel(hand, hand)
     w.after(100, lambda: 1 / 0)
     w.after(200, lambda: fired.append(1))
     w.after(90_000, lambda: fired.append(2))
@@ -77,11 +77,11 @@
 
 
 def parse(data, step, responses=False):
-    ring = Ring(http1.RING_LIMIT)
+    ring = RingBuffer(http1.MESSAGE_LIMIT)
     parser, messages = http1.Parser(ring, responses), []
     for at in range(0, len(data), step):
         ring.put(data[at : at + step])
-        while (message := parser.next()) is not None:
+        while (message := parser.next_message()) is not None:
             messages.append(message)
     return messages
 
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize(("data", "status"), BAD)
 def test_what_could_be_framed_in_two_ways_is_refused(data, status):
-    with pytest.raises(http1.BadMessage) as e:
+    with pytest.raises(http1.BadMessageError) as e:
         parse(data, 4096)
     assert e.value.status == status
 
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -58,7 +58,7 @@
 
 def test_lines_carry_their_fields_in_both_formats(capsys):
     for form in ("json", "console"):
-        logs.configure(logs.Choice(form, "info"))
+        logs.configure(logs.LogSettings(form, "info"))
         log = logs.get("x")
         log.debug("unheard")
         log.info("attempt ended", request="r1", attempt=0, host="h", why="two words")
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -8,7 +8,7 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad.config import read
-from badgerroad.net.timer_wheel import Clock, Wheel
+from badgerroad.net.timer_wheel import Clock, TimerWheel
 from badgerroad.serving import assemble
 
 CLASS = {"semantics": "retryable", "goalTimeUs": 4_000_000, "deadlineUs": 6_000_000}
@@ -142,7 +142,7 @@
     async def __aenter__(self):
         config = read(await self.open(), {"PROXY_OPS": "127.0.0.1:1"} if self.ops else {})
         self.dispatcher, self.second = assemble(
-            config._replace(listen=("127.0.0.1", 0)), Wheel(Clock(), IOLoop.current())
+            config._replace(listen=("127.0.0.1", 0)), TimerWheel(Clock(), IOLoop.current())
         )
         self.port = self.dispatcher.start()[1]
         self.ops_port = self.second.listen(("127.0.0.1", 0))[1] if self.second else 0
