--- a/badgerroad/admin/listener.py
+++ b/badgerroad/admin/listener.py
@@ -13,7 +13,9 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad.net import http1
-from badgerroad.net.connection import Address, Connection, DescriptorBudget, spawn
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.connection import Address, Connection
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
 # Callers at one time. Two or three ask every second; the rest is for those that say nothing, of which the oldest goes
--- a/badgerroad/backend/attempts.py
+++ b/badgerroad/backend/attempts.py
@@ -5,7 +5,8 @@
 import asyncio
 
 from badgerroad.net import http1
-from badgerroad.net.connection import Address, CallConnection
+from badgerroad.net.call_connection import CallConnection
+from badgerroad.net.connection import Address
 from badgerroad.net.timer_wheel import Timer
 
 
--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -18,14 +18,10 @@
 from badgerroad.backend.reports import LoadReport, LoadReportParser
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import (
-    Address,
-    CallConnection,
-    ConnectionBrokenError,
-    DescriptorBudget,
-    NoDescriptorError,
-    spawn,
-)
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.call_connection import CallConnection, ConnectionBrokenError, NoDescriptorError
+from badgerroad.net.connection import Address
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
 log = logs.get("badgerroad")
@@ -61,11 +57,12 @@
         self.successor: Callable[[int, str, Address, int], bool] | None = None
         self.workers: dict[str, WorkerConnections] = {}
         self.attempts: dict[tuple[bytes, str], Attempt] = {}  # a host holds one attempt of a request at a time
-        self.reload_report_fields()
+        self.apply_settings(settings)
 
-    def reload_report_fields(self) -> None:
-        """The settings name the figures of a load report, in order."""
-        self.reports = LoadReportParser(self.settings.load_report_fields)
+    def apply_settings(self, settings: interface.Settings) -> None:
+        """These settings hold from now on; they name the figures of a load report, in order."""
+        self.settings = settings
+        self.reports = LoadReportParser(settings.load_report_fields)
 
     def set_address(self, name: str, address: Address) -> None:
         """The worker list names a host, or its new address."""
--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -12,14 +12,10 @@
 from badgerroad.discovery.watch_schedule import WatchSchedule
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import (
-    Address,
-    CallConnection,
-    ConnectionBrokenError,
-    DescriptorBudget,
-    NoDescriptorError,
-    spawn,
-)
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.call_connection import CallConnection, ConnectionBrokenError, NoDescriptorError
+from badgerroad.net.connection import Address
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
 log = logs.get("badgerroad")
--- a/badgerroad/dispatcher.py
+++ b/badgerroad/dispatcher.py
@@ -25,7 +25,8 @@
 from badgerroad.load_balancing.policy import DispatchPolicy as Decisions
 from badgerroad.load_balancing.state import avoided
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import Address, DescriptorBudget
+from badgerroad.net.connection import Address
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import BadRequest, OpenRequest, headers_of, id_of, read
 
@@ -147,8 +148,8 @@
         open_now = {r.request_class for r in self.requests.values()}
         fresh = self.worker_list.reader.renumbered(config.settings, config.zones, config.kinds)
         classes = self.classes.change(fresh.classes, {n for n, c in enumerate(self.classes.places) if c in open_now})
-        self.settings = self.backend.settings = fresh._replace(classes=classes)
-        self.backend.reload_report_fields()
+        self.settings = fresh._replace(classes=classes)
+        self.backend.apply_settings(self.settings)
         self.tenants = {t.name.encode(): n for n, t in enumerate(fresh.tenants)}
         if self.counts:
             self.counts.know(c.name for c in fresh.classes)
--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -23,7 +23,8 @@
 from badgerroad.fleet.peer_connection import PeerConnection, Traffic
 from badgerroad.fleet.rules.actions import Peer
 from badgerroad.net import logs
-from badgerroad.net.connection import Address, spawn
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.connection import Address
 
 log = logs.get("badgerroad")
 
--- a/badgerroad/frontend/client.py
+++ b/badgerroad/frontend/client.py
@@ -9,7 +9,8 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import Connection, DescriptorBudget
+from badgerroad.net.connection import Connection
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import Timer, TimerWheel
 
 log = logs.get("badgerroad")
--- a/badgerroad/frontend/http.py
+++ b/badgerroad/frontend/http.py
@@ -16,7 +16,10 @@
 from badgerroad.frontend import client
 from badgerroad.frontend.client import ClientConnection, ConnectionSuccessor, Exchange, RequestHandler
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import Address, DescriptorBudget, NoDescriptorError, spawn
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.call_connection import NoDescriptorError
+from badgerroad.net.connection import Address
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
 log = logs.get("badgerroad")
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -23,7 +23,7 @@
 from badgerroad.multiprocess.figures import Sums
 from badgerroad.multiprocess.server_process import Part
 from badgerroad.net import logs
-from badgerroad.net.connection import spawn
+from badgerroad.net.background_tasks import spawn
 from badgerroad.net.timer_wheel import Clock, Timer, TimerWheel
 from badgerroad.net.unix_channel import Link
 
--- /dev/null
+++ b/badgerroad/net/call_connection.py
@@ -0,0 +1,127 @@
+"""A connection on which this process sends requests: to a worker or to discovery, one call at a time."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+from tornado.iostream import StreamClosedError
+
+from badgerroad.errors import Error
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.connection import Address, Connection
+from badgerroad.net.descriptor_budget import DescriptorBudget
+from badgerroad.net.http1 import BODY_LIMIT, BadMessageError, Message
+
+
+class ConnectionBrokenError(Error):
+    """The connection ended before the response; `sent`: whether the last byte of the request was written."""
+
+    code = "broken"
+    remedy = "look at the peer and the network to it if it goes on"
+
+    def __init__(self, sent: bool, reason: str) -> None:
+        """`reason`: what happened, for the log."""
+        super().__init__(reason)
+        self.sent = sent
+
+
+class NoDescriptorError(ConnectionBrokenError):
+    """This process had no descriptor left: nothing was sent, and the peer has no part in it."""
+
+    code = "descriptors"
+    remedy = "raise limits.sockets, or start more dispatchers"
+
+
+class CallConnection(Connection):
+    """A connection to a worker or to discovery: one call at a time."""
+
+    def __init__(
+        self,
+        descriptors: DescriptorBudget,
+        body_limit: int = BODY_LIMIT,
+        sock: socket.socket | None = None,
+        address: Address | None = None,
+    ) -> None:
+        """`sock`: an idle socket that is already connected to `address`; a new one otherwise. Raises OSError."""
+        self.address = address
+        self._response: asyncio.Future[Message] | None = None
+        self._on_sent: Callable[[], None] | None = None
+        super().__init__(
+            sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM),
+            descriptors,
+            responses=True,
+            body_limit=body_limit,
+        )
+        self.reusable = sock is not None
+        if sock is not None:
+            spawn(self.read())
+
+    async def connect(self, address: Address) -> None:
+        """Connect to `address`. Raises ConnectionBrokenError, with `sent` false."""
+        self.address = address
+        try:
+            await self.stream.connect(address)
+        except (StreamClosedError, OSError) as error:
+            self.close()
+            raise ConnectionBrokenError(False, f"no connection: {self.stream.error or error}") from error
+        if self.closed:
+            raise ConnectionBrokenError(False, "given up while connecting")
+        self.reusable = True
+        spawn(self.read())
+
+    async def call(self, data: bytes, on_sent: Callable[[], None] | None = None) -> Message:
+        """Send a request and return its response.
+
+        `on_sent` is called once, when the request's last byte is written. Raises ConnectionBrokenError.
+        """
+        if self.closed:
+            raise ConnectionBrokenError(False, "closed before the call")
+        self.reusable = False
+        self._response = asyncio.get_event_loop().create_future()
+        self._on_sent = on_sent
+        self.send(data)
+        self._report_sent()  # nearly always the data went to the socket at once
+        return await self._response
+
+    def _report_sent(self) -> None:
+        if self._on_sent is not None and self.all_written:
+            on_sent = self._on_sent
+            self._on_sent = None
+            on_sent()
+
+    def _take_response_future(self) -> asyncio.Future[Message] | None:
+        future = self._response
+        self._response = None
+        return future
+
+    def on_written(self) -> None:
+        """Report the request as sent."""
+        self._report_sent()
+
+    def on_message(self, message: Message) -> None:
+        """Complete the call with its response."""
+        future = self._take_response_future()
+        if future is None:
+            self.close()  # a response without a request: what follows could be taken for that of another call
+            return
+        self.reusable = not message.close and self.parser.idle and self.all_written
+        future.set_result(message)
+        if not self.reusable:
+            self.close()
+
+    def on_bad_message(self, error: BadMessageError) -> None:
+        """Fail the call: the peer has sent something else than a response."""
+        future = self._take_response_future()
+        if future is not None:
+            future.set_exception(ConnectionBrokenError(True, f"not an answer: {error}"))
+
+    def on_closed(self) -> None:
+        """Fail the call that is open, if there is one."""
+        self.reusable = False
+        self._report_sent()
+        future = self._take_response_future()
+        if future is not None:
+            reason = f"broken off: {self.stream.error or 'closed'}"
+            future.set_exception(ConnectionBrokenError(self.all_written, reason))
--- a/badgerroad/net/http1.py
+++ b/badgerroad/net/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages: an incremental parser over a ring, and the serializer.
+"""HTTP/1.1 messages (RFC 9112): an incremental parser over a ring buffer, and the serializer.
 
-It reads strictly: whatever two readers could frame in two ways (two lengths, a length with chunks, bare line
-feeds, blanks before a colon) is refused, as the bytes behind it would be taken for another request.
+The parser is strict: whatever two parsers could frame differently (two lengths, a length with chunks, bare line feeds,
+white space before a colon) is rejected, as the bytes behind it would be taken for another request.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from badgerroad.errors import Error
 from badgerroad.net.ring_buffer import RingBuffer
 
-HEADER_LIMIT = 16 * 1024
-BODY_LIMIT = 64 * 1024
+HEADER_LIMIT = 16 * 1024  # bytes
+BODY_LIMIT = 64 * 1024  # bytes
 MESSAGE_LIMIT = HEADER_LIMIT + BODY_LIMIT
 REASONS = {
     100: "Continue",
@@ -36,20 +36,31 @@
 Headers = list[tuple[bytes, bytes]]
 
 _TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
-_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):([\t -~\x80-\xff]*)\Z")
+_HEADER_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):([\t -~\x80-\xff]*)\Z")
 _TARGET = re.compile(rb"[!-~]+\Z")
-_VERSION = re.compile(rb"HTTP/1\.[01]\Z")
-_CHUNK = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[\t -~\x80-\xff]*)?\Z")
+_SUPPORTED_VERSION = re.compile(rb"HTTP/1\.[01]\Z")
+_ANY_VERSION = re.compile(rb"HTTP/\d\.\d\Z")
+_STATUS = re.compile(rb"[1-5]\d\d\Z")
+_LENGTH = re.compile(rb"\d{1,15}\Z")
+_CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[\t -~\x80-\xff]*)?\Z")
+
+# Values of the body's length beside a number of bytes.
+_CHUNKED = -1
+_UNTIL_CLOSE = -2
+# Values of the bytes left of a chunk beside a number of bytes.
+_AT_SIZE_LINE = -1
+_IN_TRAILERS = -2
 
 
 class BadMessageError(Error):
-    """What came is not a message; `status` is the answer where one is owed."""
+    """What has arrived is not a message; `status` is the response where one is due."""
 
     code = "message"
     remedy = "look at what the peer sent: it does not speak HTTP/1.1, or too large messages"
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        """`reason`: what is wrong, also the body of the response."""
+        super().__init__(reason)
         self.status = status
 
 
@@ -59,132 +70,153 @@
     __slots__ = ("method", "target", "status", "headers", "body", "close")
 
     def __init__(self, method: bytes, target: bytes, status: int, headers: Headers, version: bytes) -> None:
-        self.method, self.target, self.status, self.headers = method, target, status, headers
+        """`version` as on the first line, which decides on the connection's reuse."""
+        self.method = method
+        self.target = target
+        self.status = status
+        self.headers = headers
         self.body = b""
         connection = self.header(b"connection")
-        options = [o.strip().lower() for o in connection.split(b",")] if connection is not None else ()
+        options = [option.strip().lower() for option in connection.split(b",")] if connection is not None else ()
         self.close = b"close" in options or version == b"HTTP/1.0" and b"keep-alive" not in options
 
     @property
     def path(self) -> bytes:
+        """The target without its query."""
         return self.target.partition(b"?")[0]
 
     def header_values(self, name: bytes) -> list[bytes]:
-        return [v for n, v in self.headers if n == name]
+        """All values of a header, whose name is given in lower case."""
+        return [value for header_name, value in self.headers if header_name == name]
 
     def header(self, name: bytes) -> bytes | None:
-        values = [v for n, v in self.headers if n == name]
-        return None if not values else values[0] if len(values) == 1 else b",".join(values)
+        """The value of a header, several joined by commas; None without one."""
+        values = [value for header_name, value in self.headers if header_name == name]
+        if not values:
+            return None
+        return values[0] if len(values) == 1 else b",".join(values)
 
 
 class Parser:
-    """Takes whole messages out of a ring. `next` gives None while one is incomplete."""
+    """Takes complete messages out of a ring buffer."""
 
-    def __init__(self, ring: RingBuffer, responses: bool = False, body_limit: int = BODY_LIMIT) -> None:
-        """`body_limit`: bytes of the longest body; the ring must hold that and a header."""
-        self.buffer, self.responses, self.body_limit = ring, responses, body_limit
+    def __init__(self, buffer: RingBuffer, responses: bool = False, body_limit: int = BODY_LIMIT) -> None:
+        """`body_limit`: bytes of the longest body; the buffer must hold that and a header."""
+        self.buffer = buffer
+        self.responses = responses
+        self.body_limit = body_limit
         self.head: Message | None = None
-        self._length = 0  # -1: chunked, -2: up to the end of the connection
+        self._length = 0  # bytes of the body, _CHUNKED or _UNTIL_CLOSE
         self._chunks = bytearray()
-        self._left = -1  # of the current chunk with its line end; -1: a size line is next; -2: trailers
+        self._chunk_left = _AT_SIZE_LINE  # bytes of the current chunk with its line end, or _IN_TRAILERS
 
     @property
     def idle(self) -> bool:
+        """Whether no part of a message has arrived."""
         return self.head is None and not len(self.buffer)
 
     def next_message(self) -> Message | None:
+        """The next message, or None while it is incomplete. Raises BadMessageError."""
         if self.head is None and not self._read_head():
             return None
-        if self._length == -1:
+        if self._length == _CHUNKED:
             return self._read_chunks()
-        if self._length == -2:
+        if self._length == _UNTIL_CLOSE:
             if len(self.buffer) > self.body_limit:
                 raise BadMessageError(413, "the body is too large")
             return None
         if len(self.buffer) < self._length:
             return None
-        return self._done(self.buffer.take(self._length))
+        return self._complete(self.buffer.take(self._length))
 
     def unconsumed_bytes(self) -> bytes:
-        """What a parser elsewhere needs to go on from here: the ring's bytes, before them the head of the message that
-        is not whole yet, in the same words."""
+        """What another parser needs to go on from here.
+
+        These are the buffer's bytes, preceded by the head of the incomplete message, serialized again.
+        """
         head = self.head
         if head is None:
             return self.buffer.peek()
-        before = b""
-        if self._length == -1:
-            before = b"%x\r\n%b\r\n" % (len(self._chunks), self._chunks) if self._chunks else b""
-            before += b"0\r\n" if self._left == -2 else b"%x\r\n" % (self._left - 2) if self._left >= 0 else b""
-        return _message(_first(head), _options(head), None) + before + self.buffer.peek()
+        start = _serialize(_request_line(head), _headers_with_close(head), None)
+        if self._length == _CHUNKED:
+            start += self._serialized_chunks()
+        return start + self.buffer.peek()
+
+    def _serialized_chunks(self) -> bytes:
+        chunks = b"%x\r\n%b\r\n" % (len(self._chunks), self._chunks) if self._chunks else b""
+        if self._chunk_left == _IN_TRAILERS:
+            return chunks + b"0\r\n"
+        if self._chunk_left >= 0:
+            return chunks + b"%x\r\n" % (self._chunk_left - 2)
+        return chunks
 
     def message_at_end(self) -> Message | None:
-        """The peer has closed: a response without a length ends here."""
-        if self.head is not None and self._length == -2 and len(self.buffer) <= self.body_limit:
+        """The peer has closed: a response without a length is complete."""
+        if self.head is not None and self._length == _UNTIL_CLOSE and len(self.buffer) <= self.body_limit:
             self.head.close = True
-            return self._done(self.buffer.take(len(self.buffer)))
+            return self._complete(self.buffer.take(len(self.buffer)))
         return None
 
-    def _done(self, body: bytes) -> Message:
-        message, self.head = self.head, None
-        assert message is not None
+    def _complete(self, body: bytes) -> Message:
+        message = self.head
+        self.head = None
+        if message is None:
+            raise RuntimeError("a body without a head")
         message.body = body
         return message
 
     def _read_head(self) -> bool:
+        """Parse the next head, over interim responses; False while it is incomplete."""
+        while True:
+            block = self._take_head()
+            if block is None:
+                return False
+            first_line, *lines = block.split(b"\r\n")
+            headers = _parse_headers(lines)
+            head = (
+                _parse_status_line(first_line, headers) if self.responses else _parse_request_line(first_line, headers)
+            )
+            self._length = self._body_length(head)
+            self._chunks = bytearray()
+            self._chunk_left = _AT_SIZE_LINE
+            if not self.responses or head.status >= 200:
+                self.head = head
+                return True
+
+    def _take_head(self) -> bytes | None:
+        """The bytes of the next head, taken from the buffer with the empty line behind it."""
         data = self.buffer.peek()
-        blank = 0
-        while data.startswith(b"\r\n", blank) and not self.responses:
-            blank += 2  # blank lines before a request are allowed
-        end = data.find(b"\r\n\r\n", blank)
-        if end < 0 and len(data) - blank < HEADER_LIMIT:
-            self.buffer.skip(blank)
-            return False
-        if end < 0 or end - blank > HEADER_LIMIT:
+        start = 0
+        while data.startswith(b"\r\n", start) and not self.responses:
+            start += 2  # empty lines before a request are allowed
+        end = data.find(b"\r\n\r\n", start)
+        if end < 0 and len(data) - start < HEADER_LIMIT:
+            self.buffer.skip(start)
+            return None
+        if end < 0 or end - start > HEADER_LIMIT:
             raise BadMessageError(431, "the header is too large")
         self.buffer.skip(end + 4)
-        first, *lines = data[blank:end].split(b"\r\n")
-        headers: Headers = []
-        for line in lines:
-            match = _LINE.match(line)
-            if match is None:
-                raise BadMessageError(400, "a header line is malformed")
-            headers.append((match[1].lower(), match[2].strip(b" \t")))
-        words = first.split(b" ", 2)
-        if self.responses:
-            if len(words) < 2 or not _VERSION.match(words[0]) or not re.match(rb"[1-5]\d\d\Z", words[1]):
-                raise BadMessageError(502, "the status line is malformed")
-            head = Message(b"", b"", int(words[1]), headers, words[0])
-        else:
-            if len(words) != 3 or not _TOKEN.match(words[0]) or not _TARGET.match(words[1]):
-                raise BadMessageError(400, "the request line is malformed")
-            if not _VERSION.match(words[2]):
-                known = re.match(rb"HTTP/\d\.\d\Z", words[2])
-                raise BadMessageError(505 if known else 400, "the version is not HTTP/1.1")
-            head = Message(words[0], words[1], 0, headers, words[2])
-        self._length = self._framing(head)
-        self._chunks, self._left = bytearray(), -1
-        if self.responses and 100 <= head.status < 200:
-            return self._read_head()  # an interim answer
-        self.head = head
-        return True
+        return data[start:end]
 
-    def _framing(self, head: Message) -> int:
-        lengths, codings = head.header_values(b"content-length"), head.header_values(b"transfer-encoding")
+    def _body_length(self, head: Message) -> int:
+        lengths = head.header_values(b"content-length")
+        codings = head.header_values(b"transfer-encoding")
         if codings:
-            if lengths or [c.lower() for c in codings] != [b"chunked"]:
+            if lengths or [coding.lower() for coding in codings] != [b"chunked"]:
                 raise BadMessageError(400, "the framing is ambiguous")
-            return -1
-        if len(lengths) > 1 or lengths and not re.match(rb"\d{1,15}\Z", lengths[0]):
+            return _CHUNKED
+        if len(lengths) > 1 or lengths and not _LENGTH.match(lengths[0]):
             raise BadMessageError(400, "the length is malformed or given twice")
         if self.responses and (head.status in (204, 304) or head.status < 200):
             return 0
-        if lengths and int(lengths[0]) > self.body_limit:
+        if not lengths:
+            return _UNTIL_CLOSE if self.responses else 0
+        length = int(lengths[0])
+        if length > self.body_limit:
             raise BadMessageError(413, "the body is too large")
-        if lengths:
-            return int(lengths[0])
-        return -2 if self.responses else 0
+        return length
 
-    def _line(self) -> bytes | None:
+    def _take_line(self) -> bytes | None:
         data = self.buffer.peek()
         end = data.find(b"\r\n")
         if end > HEADER_LIMIT or end < 0 and len(data) > HEADER_LIMIT:
@@ -193,60 +225,97 @@
 
     def _read_chunks(self) -> Message | None:
         while True:
-            if self._left >= 0:
-                if len(self.buffer) < self._left:
-                    return None
-                part = self.buffer.take(self._left)
-                if part[-2:] != b"\r\n":
-                    raise BadMessageError(400, "a chunk does not end where it says")
-                self._chunks += part[:-2]
-                self._left = -1
-            line = self._line()
+            if self._chunk_left >= 0 and not self._take_chunk():
+                return None
+            line = self._take_line()
             if line is None:
                 return None
-            if self._left == -2:
-                if not line:
-                    return self._done(bytes(self._chunks))
-                continue  # trailers are dropped
-            match = _CHUNK.match(line)
-            if not match:
-                raise BadMessageError(400, "a chunk's size is malformed")
-            size = int(match.group(1), 16)
-            if len(self._chunks) + size > self.body_limit:
-                raise BadMessageError(413, "the body is too large")
-            self._left = size + 2 if size else -2
+            if self._chunk_left == _AT_SIZE_LINE:
+                self._start_chunk(line)
+            elif not line:
+                return self._complete(bytes(self._chunks))
+            # Other lines are trailers, which are dropped.
+
+    def _take_chunk(self) -> bool:
+        if len(self.buffer) < self._chunk_left:
+            return False
+        chunk = self.buffer.take(self._chunk_left)
+        if chunk[-2:] != b"\r\n":
+            raise BadMessageError(400, "a chunk does not end where it says")
+        self._chunks += chunk[:-2]
+        self._chunk_left = _AT_SIZE_LINE
+        return True
+
+    def _start_chunk(self, line: bytes) -> None:
+        match = _CHUNK_SIZE_LINE.match(line)
+        if not match:
+            raise BadMessageError(400, "a chunk's size is malformed")
+        size = int(match.group(1), 16)
+        if len(self._chunks) + size > self.body_limit:
+            raise BadMessageError(413, "the body is too large")
+        self._chunk_left = size + 2 if size else _IN_TRAILERS
+
+
+def _parse_headers(lines: list[bytes]) -> Headers:
+    headers: Headers = []
+    for line in lines:
+        match = _HEADER_LINE.match(line)
+        if match is None:
+            raise BadMessageError(400, "a header line is malformed")
+        headers.append((match[1].lower(), match[2].strip(b" \t")))
+    return headers
+
+
+def _parse_status_line(line: bytes, headers: Headers) -> Message:
+    parts = line.split(b" ", 2)
+    if len(parts) < 2 or not _SUPPORTED_VERSION.match(parts[0]) or not _STATUS.match(parts[1]):
+        raise BadMessageError(502, "the status line is malformed")
+    return Message(b"", b"", int(parts[1]), headers, parts[0])
+
+
+def _parse_request_line(line: bytes, headers: Headers) -> Message:
+    parts = line.split(b" ", 2)
+    if len(parts) != 3 or not _TOKEN.match(parts[0]) or not _TARGET.match(parts[1]):
+        raise BadMessageError(400, "the request line is malformed")
+    method, target, version = parts
+    if not _SUPPORTED_VERSION.match(version):
+        raise BadMessageError(505 if _ANY_VERSION.match(version) else 400, "the version is not HTTP/1.1")
+    return Message(method, target, 0, headers, version)
 
 
-def _first(head: Message) -> str:
+def _request_line(head: Message) -> str:
     return f"{head.method.decode('latin-1')} {head.target.decode('latin-1')} HTTP/1.1"
 
 
 def serialize_request(message: Message) -> bytes:
-    """A request that was read whole, as it could have come."""
-    headers = [(n, v) for n, v in _options(message) if n not in (b"content-length", b"transfer-encoding")]
-    return _message(_first(message), headers, message.body)
+    """A complete request, as it could have arrived."""
+    framing = (b"content-length", b"transfer-encoding")
+    headers = [(name, value) for name, value in _headers_with_close(message) if name not in framing]
+    return _serialize(_request_line(message), headers, message.body)
 
 
-def _options(head: Message) -> Headers:
-    """An HTTP/1.0 request without a word ends its connection; in HTTP/1.1 that must be said."""
+def _headers_with_close(head: Message) -> Headers:
+    """An HTTP/1.0 request ends its connection by default; in HTTP/1.1 this needs a header."""
     return [*head.headers, (b"connection", b"close")] if head.close else head.headers
 
 
-def _message(first: str, headers: Iterable[tuple[bytes, bytes]], body: bytes | None) -> bytes:
-    lines = [first.encode("latin-1")] + [n + b": " + v for n, v in headers]
+def _serialize(first_line: str, headers: Iterable[tuple[bytes, bytes]], body: bytes | None) -> bytes:
+    lines = [first_line.encode("latin-1")] + [name + b": " + value for name, value in headers]
     if body is not None:
         lines.append(b"Content-Length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + (body or b"")
 
 
 def response(status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), close: bool = False) -> bytes:
-    more = [(b"Connection", b"close")] if close else []
-    sized = None if status in (100, 204) else body
-    return _message(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", [*headers, *more], sized)
+    """A serialized response; `close` adds the header that ends the connection."""
+    close_header = [(b"Connection", b"close")] if close else []
+    framed_body = None if status in (100, 204) else body
+    return _serialize(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", [*headers, *close_header], framed_body)
 
 
 def request(
     method: bytes, target: bytes, host: str, headers: Iterable[tuple[bytes, bytes]] = (), body: bytes | None = None
 ) -> bytes:
-    first = f"{method.decode('latin-1')} {target.decode('latin-1')} HTTP/1.1"
-    return _message(first, [(b"Host", host.encode("latin-1")), *headers], body)
+    """A serialized request; without a body if that is None."""
+    first_line = f"{method.decode('latin-1')} {target.decode('latin-1')} HTTP/1.1"
+    return _serialize(first_line, [(b"Host", host.encode("latin-1")), *headers], body)
--- a/badgerroad/net/logs.py
+++ b/badgerroad/net/logs.py
@@ -1,11 +1,12 @@
 """Structured logs on structlog: one event a line with its fields, as `key=value` text or as JSON lines.
 
-Fields used throughout: `request` (its id), `attempt` (number), `host`, `zone`, `cls`, `status`, `ms`. What libraries
-say through the standard library's logging goes the same way, with `logger` naming them.
+Event names are snake_case and stable; all that varies is a field. Records of the standard library go the
+same way, with `logger` naming the library.
 """
 
 from __future__ import annotations
 
+import contextlib
 import logging
 import sys
 import time
@@ -13,9 +14,9 @@
 
 _rich = sys.modules.get("rich")
 if _rich is None:
-    # structlog.dev imports rich where that is installed: 2 MB and a tenth of the start for tracebacks in colour.
+    # structlog.dev imports rich if it is installed: 2 MB and a tenth of the start time for tracebacks in colour.
     sys.modules["rich"] = None  # type: ignore[assignment]
-import structlog  # noqa: E402
+import structlog  # noqa: E402 - must follow the lines above
 
 if _rich is None:
     del sys.modules["rich"]
@@ -24,105 +25,122 @@
 
 
 class LogSettings(NamedTuple):
-    """How to log: `format` console or json, `level` debug, info, warning or error."""
+    """`format`: console or json; `level`: debug, info, warning or error."""
 
     format: str = "console"
     level: str = "info"
 
 
-_second = [0, ""]  # the last second, and its text: most lines share it with the one before
+class _TimeOfDay:
+    """Adds the local time to a line. Most lines share the text of their second with the one before."""
 
+    def __init__(self) -> None:
+        self._second = 0
+        self._text = ""
 
-def _stamp(_logger: Any, _name: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
-    now = time.time()
-    whole = int(now)
-    if whole != _second[0]:
-        _second[:] = whole, time.strftime("%H:%M:%S", time.localtime(whole))
-    event["at"] = f"{_second[1]}.{int((now - whole) * 1000):03d}"
-    return event
+    def __call__(self, _logger: Any, _name: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
+        now = time.time()
+        second = int(now)
+        if second != self._second:
+            self._second = second
+            self._text = time.strftime("%H:%M:%S", time.localtime(second))
+        event["at"] = f"{self._text}.{int((now - second) * 1000):03d}"
+        return event
 
 
-def _text(_logger: Any, _name: str, event: structlog.typing.EventDict) -> str:
+def _text_line(_logger: Any, _name: str, event: structlog.typing.EventDict) -> str:
     """`12:00:00.123 info event key=value ...`; structlog's console renderer takes seven times as long."""
-    head = f"{event.pop('at')} {event.pop('level')} {event.pop('event')}"
+    line = f"{event.pop('at')} {event.pop('level')} {event.pop('event')}"
     trace = event.pop("exception", None)
     for key, value in event.items():
         text = value if type(value) is str else str(value)
-        head += f" {key}={text!r}" if " " in text or "\n" in text else f" {key}={text}"
-    return head if trace is None else f"{head}\n{trace}"
+        line += f" {key}={text!r}" if " " in text or "\n" in text else f" {key}={text}"
+    return line if trace is None else f"{line}\n{trace}"
 
 
-def _json(_logger: Any, _name: str, event: structlog.typing.EventDict) -> str:
+def _json_line(_logger: Any, _name: str, event: structlog.typing.EventDict) -> str:
     import msgspec
 
     return msgspec.json.encode(event, enc_hook=str).decode()
 
 
-class _Forward(logging.Handler):
-    """The standard library's records, as events."""
+class _ForwardingHandler(logging.Handler):
+    """Turns the standard library's records into events."""
 
     def emit(self, record: logging.LogRecord) -> None:
         fields = {"logger": record.name}
         if record.exc_info:
             fields["exception"] = logging.Formatter().formatException(record.exc_info)
-        _Log.current.log(record.levelno, record.getMessage(), **fields)
+        Log.current.log(record.levelno, record.getMessage(), **fields)
 
 
-class _Stderr:
-    """Writes to whatever standard error is now. A log that nobody reads any more must not end the program."""
+class _StandardError:
+    """Writes to the present standard error. A log that is no longer read must not end the program."""
 
     def msg(self, message: str) -> None:
-        try:
+        with contextlib.suppress(OSError, ValueError):
             sys.stderr.write(message + "\n")
             sys.stderr.flush()
-        except (OSError, ValueError):
-            pass
 
     log = debug = info = warning = error = critical = failure = fatal = msg
 
 
-def configure(choice: Any = LogSettings(), debug: bool = False, **fields: Any) -> None:
-    """Set format and level for the whole process; may be called again, on a reload. `fields` go with each line."""
-    level = logging.DEBUG if debug else LEVELS[choice.level]
-    json = choice.format == "json"
-    stamp: Any = structlog.processors.TimeStamper(fmt="iso", key="at") if json else _stamp
+_DEFAULT_SETTINGS = LogSettings()
+
+
+def configure(settings: Any = _DEFAULT_SETTINGS, debug: bool = False, **fields: Any) -> None:
+    """Set format and level for the whole process; may be called again, on a reload.
+
+    `settings`: a LogSettings, or an object with the same attributes; `fields` go with each line.
+    """
+    level = logging.DEBUG if debug else LEVELS[settings.level]
+    json = settings.format == "json"
+    add_time: Any = structlog.processors.TimeStamper(fmt="iso", key="at") if json else _TimeOfDay()
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.format_exc_info,
-            stamp,
-            _json if json else _text,
+            add_time,
+            _json_line if json else _text_line,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
-        logger_factory=lambda *args: _Stderr(),
+        logger_factory=lambda *args: _StandardError(),
         cache_logger_on_first_use=False,
     )
-    _Log.current = structlog.get_logger().bind(**fields)
-    logging.basicConfig(level=max(level, logging.INFO), handlers=[_Forward()], force=True)
+    Log.current = structlog.get_logger().bind(**fields)
+    logging.basicConfig(level=max(level, logging.INFO), handlers=[_ForwardingHandler()], force=True)
+
 
+class Log:
+    """Forwards to the logger of the present configuration.
 
-class _Log:
-    """Hands on to the logger of the present configuration. structlog's own lazy proxy binds anew for every line,
-    which took 6 us even for a line that is not written; its cache would not see a reload."""
+    structlog's own lazy proxy binds anew for every line, even one that is not written, and its cache would not see a
+    reload.
+    """
 
     current: Any = structlog.get_logger()
 
     def debug(self, event: str, **fields: Any) -> None:
+        """Log a debug event."""
         self.current.debug(event, **fields)
 
     def info(self, event: str, **fields: Any) -> None:
+        """Log an event of normal operation."""
         self.current.info(event, **fields)
 
     def warning(self, event: str, **fields: Any) -> None:
+        """Log a degradation."""
         self.current.warning(event, **fields)
 
     def error(self, event: str, **fields: Any) -> None:
+        """Log a fault."""
         self.current.error(event, **fields)
 
     def exception(self, event: str, **fields: Any) -> None:
+        """Log a fault with the traceback of the present exception."""
         self.current.exception(event, **fields)
 
 
-def get(name: str) -> _Log:
-    """A logger; events are words, everything that varies is a field."""
-    return _Log()
+def get(name: str) -> Log:
+    """The logger of a module; event names are snake_case, everything that varies is a field."""
+    return Log()
--- a/badgerroad/net/ring_buffer.py
+++ b/badgerroad/net/ring_buffer.py
@@ -1,33 +1,41 @@
-"""A byte ring that starts small, grows to a limit and shrinks when empty.
+"""A byte ring buffer that starts small, grows to a limit and shrinks when it is empty.
 
-Two full-size rings for each connection would not fit in the dispatcher's memory, and nearly all connections
+Two full-size buffers for each connection would not fit in the dispatcher's memory, and nearly all connections
 are idle or carry a few hundred bytes.
 """
 
 from __future__ import annotations
 
-INITIAL_CAPACITY = 1024
+INITIAL_CAPACITY = 1024  # bytes
 
 
 class RingBuffer:
+    """Bytes in the order in which they were put; `limit` and the initial capacity are in bytes."""
+
     def __init__(self, limit: int, initial_capacity: int = INITIAL_CAPACITY) -> None:
-        self.limit, self.initial_capacity = limit, min(initial_capacity, limit)
+        """An empty buffer."""
+        self.limit = limit
+        self.initial_capacity = min(initial_capacity, limit)
         self._data = bytearray(self.initial_capacity)
-        self._head, self._count = 0, 0
+        self._head = 0
+        self._count = 0
 
     def __len__(self) -> int:
+        """Bytes that are in the buffer."""
         return self._count
 
     @property
     def capacity(self) -> int:
+        """Bytes that fit without growing."""
         return len(self._data)
 
     @property
     def full(self) -> bool:
+        """Whether the limit is reached."""
         return self._count >= self.limit
 
     def writable(self) -> memoryview:
-        """The next free stretch, in one piece; grows a full ring. Empty once the limit is reached."""
+        """The next free bytes, contiguous; grows a full buffer. Empty once the limit is reached."""
         if self._count == len(self._data) < self.limit:
             self._resize(min(len(self._data) * 2, self.limit))
         size = len(self._data)
@@ -36,58 +44,64 @@
         return memoryview(self._data)[start : min(end, start + size - self._count)]
 
     def commit(self, count: int) -> None:
-        """`count` bytes were written to the stretch that `writable` gave."""
+        """`count` bytes were written to the memory that `writable` gave."""
         self._count += count
 
     def put(self, data: bytes) -> None:
-        need = self._count + len(data)
-        if need > self.limit:
-            raise ValueError(f"{need} bytes do not fit in a ring of {self.limit}")
-        if need > len(self._data):
+        """Append `data`. Raises ValueError beyond the limit."""
+        needed = self._count + len(data)
+        if needed > self.limit:
+            raise ValueError(f"{needed} bytes do not fit in a ring buffer of {self.limit}")
+        if needed > len(self._data):
             size = len(self._data)
-            while size < need:
+            while size < needed:
                 size *= 2
             self._resize(min(size, self.limit))
-        at = 0
-        while at < len(data):
+        offset = 0
+        while offset < len(data):
             view = self.writable()
-            part = data[at : at + len(view)]
+            part = data[offset : offset + len(view)]
             view[: len(part)] = part
             self.commit(len(part))
-            at += len(part)
+            offset += len(part)
 
     def readable(self) -> memoryview:
-        """The first filled stretch, in one piece."""
+        """The first bytes, contiguous, without a copy."""
         return memoryview(self._data)[self._head : min(self._head + self._count, len(self._data))]
 
     def peek(self) -> bytes:
+        """A copy of all bytes, which stay."""
         return self._copy(self._count)
 
     def _copy(self, count: int) -> bytes:
-        end, size = self._head + count, len(self._data)
-        if end <= size:  # in one piece, as nearly always: one copy
+        end = self._head + count
+        size = len(self._data)
+        if end <= size:  # contiguous, as nearly always: one copy
             return bytes(memoryview(self._data)[self._head : end])
         return bytes(memoryview(self._data)[self._head :]) + bytes(memoryview(self._data)[: end - size])
 
     def take(self, count: int) -> bytes:
+        """Remove and return the first `count` bytes, or all if there are fewer."""
         count = min(count, self._count)
         data = self._copy(count)
         self.skip(count)
         return data
 
     def skip(self, count: int) -> None:
-        """Take without a copy."""
+        """Remove the first `count` bytes without a copy."""
         count = min(count, self._count)
         self._count -= count
         self._head = (self._head + count) % len(self._data) if self._count else 0
 
     def shrink(self) -> None:
-        """Give the memory of a large message back. Not while a read into the ring is pending."""
+        """Free the memory of a large message, if empty. Not allowed while a read into the buffer is pending."""
         if not self._count and len(self._data) > self.initial_capacity:
-            self._data, self._head = bytearray(self.initial_capacity), 0
+            self._data = bytearray(self.initial_capacity)
+            self._head = 0
 
     def _resize(self, size: int) -> None:
-        # A new block, as the old one may still be lent out to a write on its way.
+        # A new block, as a pending write may still refer to the old one.
         data = bytearray(size)
         data[: self._count] = self.peek()
-        self._data, self._head = data, 0
+        self._data = data
+        self._head = 0
--- a/badgerroad/net/timer_wheel.py
+++ b/badgerroad/net/timer_wheel.py
@@ -1,4 +1,4 @@
-"""The clock, and a wheel of coarse ticks on which all timers of the program lie."""
+"""The clock, and a timer wheel of coarse ticks on which all timers of the program lie."""
 
 from __future__ import annotations
 
@@ -8,119 +8,161 @@
 
 from badgerroad.net import logs
 
-TICK_US = 1_000  # microseconds
+TICK_US = 1_000
 SLOT_COUNT = 1_024
-# A loop that wakes this late was not awake: the process was stopped, its core taken, or one callback took as long.
-STALL_TICKS = 100  # ticks
-# What peers said meanwhile lies unread on the sockets, several turns of the loop deep. So long it is heard first.
-PEER_GRACE_TICKS = 25  # ticks
+# An event loop that wakes this late was not running: process stopped, core taken, or one callback took as long.
+STALL_TICKS = 100
+# After a stall, what peers sent meanwhile is read first, which takes several loop iterations.
+PEER_GRACE_TICKS = 25
 log = logs.get("badgerroad")
 
 
 class Clock:
-    """Microseconds since the Unix epoch that never go back: workers' starts are told in Unix time, so the
-    monotonic clock is anchored to it once."""
+    """Microseconds since the Unix epoch that never go back.
+
+    Workers report their start in Unix time, so the monotonic clock is anchored to it once.
+    """
 
     def __init__(self) -> None:
+        """Anchor the clock to the present Unix time."""
         self._anchor = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now(self) -> int:
+        """The present time in microseconds."""
         return self._anchor + time.monotonic_ns() // 1000
 
 
 class Loop(Protocol):
-    """What the wheel needs of the event loop."""
+    """What the timer wheel needs of the event loop."""
 
-    def call_later(self, delay: float, callback: Callable[[], None]) -> object: ...
+    def call_later(self, delay: float, callback: Callable[[], None]) -> object:
+        """Call back after `delay` seconds; returns a handle for `remove_timeout`."""
 
-    def remove_timeout(self, timeout: object) -> None: ...
+    def remove_timeout(self, timeout: object) -> None:
+        """Cancel a call."""
 
 
 class Timer:
-    """One entry. Who asked for it owns it; it is given back by `cancel` or by firing."""
+    """One entry, owned by whoever asked for it; it ends by `cancel` or by firing. `due_at` is in microseconds."""
 
-    __slots__ = ("due_at", "tick", "awaits_peer", "_call", "_wheel")
+    __slots__ = ("due_at", "tick", "awaits_peer", "_callback", "_timers")
 
     def __init__(
-        self, due: int, tick: int, call: Callable[[], None], wheel: TimerWheel, awaits_peer: bool = False
+        self, due_at: int, tick: int, callback: Callable[[], None], timers: TimerWheel, awaits_peer: bool = False
     ) -> None:
-        self.due_at, self.tick, self.awaits_peer = due, tick, awaits_peer
-        self._call: Callable[[], None] | None = call
-        self._wheel = wheel
+        """Made by `TimerWheel.after` only."""
+        self.due_at = due_at
+        self.tick = tick
+        self.awaits_peer = awaits_peer
+        self._callback: Callable[[], None] | None = callback
+        self._timers = timers
 
     def cancel(self) -> None:
-        if self._call is not None:
-            self._call = None
-            self._wheel.remove(self)
+        """Remove the entry; no effect once it has fired."""
+        if self._callback is not None:
+            self._callback = None
+            self._timers.remove(self)
 
     def fire(self) -> None:
-        call, self._call = self._call, None
-        if call is not None:
-            call()
+        """Call back, once."""
+        callback = self._callback
+        self._callback = None
+        if callback is not None:
+            callback()
 
 
 class TimerWheel:
+    """Timers by the tick at which they are due, modulo the number of slots (Varghese and Lauck, 1987, scheme 6)."""
+
     def __init__(self, clock: Clock, loop: Loop) -> None:
-        self.clock, self._loop = clock, loop
+        """An empty wheel, which wakes `loop` only while it has timers."""
+        self.clock = clock
+        self._loop = loop
         self._slots: list[dict[Timer, None]] = [{} for _ in range(SLOT_COUNT)]
-        self._at = clock.now() // TICK_US  # all ticks up to this one are done
+        self._done_tick = clock.now() // TICK_US  # all ticks up to this one are done
         self._count = 0
-        self._wake: object = None
-        self._wake_tick = 0
-        self._turning = False
-        self._hear_until = 0  # a tick: until then patient timers wait
+        self._wakeup: object = None
+        self._wakeup_tick = 0
+        self._firing = False
+        self._peer_grace_until = 0  # a tick: until then timers that await a peer are put off
         self.stall_count = 0
 
-    def after(self, delay: int, call: Callable[[], None], awaits_peer: bool = False) -> Timer:
-        """Call after `delay` microseconds. `patient`: the call concludes that a peer has said nothing, which is known
-        only once this process has been awake to hear it."""
-        due = self.clock.now() + max(delay, 0)
+    def after(self, delay: int, callback: Callable[[], None], awaits_peer: bool = False) -> Timer:
+        """Call back after `delay` microseconds.
+
+        `awaits_peer`: the callback concludes that a peer has sent nothing. This is known only once the process has had
+        time to read from its sockets, so such a timer is put off after a stall of the event loop.
+        """
+        due_at = self.clock.now() + max(delay, 0)
         # Rounded up: a timer may be late by a tick, never early.
-        timer = Timer(due, max(-(-due // TICK_US), self._at + 1), call, self, awaits_peer)
-        self._slots[timer.tick % SLOT_COUNT][timer] = None
-        self._count += 1
-        if not self._turning and (self._wake is None or timer.tick < self._wake_tick):
-            self._arm(timer.tick)
+        timer = Timer(due_at, max(-(-due_at // TICK_US), self._done_tick + 1), callback, self, awaits_peer)
+        self._insert(timer)
+        if not self._firing and (self._wakeup is None or timer.tick < self._wakeup_tick):
+            self._schedule_wakeup(timer.tick)
         return timer
 
     def remove(self, timer: Timer) -> None:
+        """Take an entry out, if it is there."""
         if self._slots[timer.tick % SLOT_COUNT].pop(timer, 0) is None:
             self._count -= 1
 
-    def _arm(self, tick: int) -> None:
-        if self._wake is not None:
-            self._loop.remove_timeout(self._wake)
-        self._wake_tick = tick
-        self._wake = self._loop.call_later(max(tick * TICK_US - self.clock.now(), 0) / 1e6, self.turn)
+    def _insert(self, timer: Timer) -> None:
+        self._slots[timer.tick % SLOT_COUNT][timer] = None
+        self._count += 1
+
+    def _schedule_wakeup(self, tick: int) -> None:
+        if self._wakeup is not None:
+            self._loop.remove_timeout(self._wakeup)
+        self._wakeup_tick = tick
+        self._wakeup = self._loop.call_later(max(tick * TICK_US - self.clock.now(), 0) / 1e6, self.fire_due)
 
-    def turn(self) -> None:
-        """Fire what is due and sleep until the next entry, a revolution at most."""
-        self._wake, self._turning = None, True
+    def fire_due(self) -> None:
+        """Fire the timers that are due and sleep until the next one, for one revolution at most."""
+        self._wakeup = None
+        self._firing = True
         now = self.clock.now() // TICK_US
-        if now - self._wake_tick > STALL_TICKS:
+        if now - self._wakeup_tick > STALL_TICKS:
             self.stall_count += 1
-            self._hear_until = now + PEER_GRACE_TICKS
-            log.warning("stalled", ms=(now - self._wake_tick) * TICK_US // 1000)
-        ready: list[Timer] = []
-        for tick in range(max(self._at + 1, now - SLOT_COUNT + 1), now + 1):
-            ready += [t for t in self._slots[tick % SLOT_COUNT] if t.tick <= now]
-        self._at = max(now, self._at)
-        ready.sort(key=lambda t: t.due_at)
-        for timer in ready:
-            self.remove(timer)
-        if now < self._hear_until:
-            for timer in [t for t in ready if t.awaits_peer]:
-                ready.remove(timer)
-                timer.tick = self._hear_until
-                self._slots[timer.tick % SLOT_COUNT][timer] = None
-                self._count += 1
-        for timer in ready:
-            try:
-                timer.fire()
-            except Exception:
-                # One broken callback must not take the other timers with it.
-                log.exception("unexpected exception in a timer")
-        self._turning = False
+            self._peer_grace_until = now + PEER_GRACE_TICKS
+            log.warning("event_loop_stalled", ms=(now - self._wakeup_tick) * TICK_US // 1000)
+        due = self._take_due(now)
+        if now < self._peer_grace_until:
+            due = self._put_off_awaiting(due)
+        for timer in due:
+            _fire_safely(timer)
+        self._firing = False
         if self._count:
-            ahead = (t for t in range(self._at + 1, self._at + SLOT_COUNT) if self._slots[t % SLOT_COUNT])
-            self._arm(next(ahead, self._at + SLOT_COUNT))
+            self._schedule_wakeup(self._next_tick())
+
+    def _take_due(self, now: int) -> list[Timer]:
+        due: list[Timer] = []
+        for tick in range(max(self._done_tick + 1, now - SLOT_COUNT + 1), now + 1):
+            due += [timer for timer in self._slots[tick % SLOT_COUNT] if timer.tick <= now]
+        self._done_tick = max(now, self._done_tick)
+        due.sort(key=lambda timer: timer.due_at)
+        for timer in due:
+            self.remove(timer)
+        return due
+
+    def _put_off_awaiting(self, due: list[Timer]) -> list[Timer]:
+        """Put off the timers that await a peer; returns the others."""
+        ready = []
+        for timer in due:
+            if timer.awaits_peer:
+                timer.tick = self._peer_grace_until
+                self._insert(timer)
+            else:
+                ready.append(timer)
+        return ready
+
+    def _next_tick(self) -> int:
+        ahead = range(self._done_tick + 1, self._done_tick + SLOT_COUNT)
+        return next((tick for tick in ahead if self._slots[tick % SLOT_COUNT]), self._done_tick + SLOT_COUNT)
+
+
+def _fire_safely(timer: Timer) -> None:
+    """A callback that raises must not take the other timers with it."""
+    try:
+        timer.fire()
+    except Exception:
+        log.exception("unexpected_exception_in_timer")
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -13,7 +13,7 @@
 from badgerroad.discovery import endpoint_watch
 from badgerroad.frontend import client as frontend_client
 from badgerroad.load_balancing import interface
-from badgerroad.net.connection import DescriptorBudget
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from tests.support.loopback import SETTINGS, Peer, World, async_test, host, id_of, job, reply, serve, until
 from tests.support.program import program
 
@@ -332,7 +332,7 @@
         attempts = [line for line in seen.splitlines() if b" attempt ended " in line]
     assert attempts
     assert all(b" result=ok " in line for line in attempts)
-    assert seen.count(b" warning stalled ") >= 2
+    assert seen.count(b" warning event_loop_stalled ") >= 2
 
 
 @async_test
