--- a/badgerroad/emulator/live/node_servers.py
+++ b/badgerroad/emulator/live/node_servers.py
@@ -122,13 +122,13 @@
             self._says(node, dispatcher, connection, 404)
 
     def _takes(self, node: RenderNode, dispatcher: int, connection: Served, message: http1.Message, begun: int) -> None:
-        world, request_id = self.world, (message.get(b"request-id") or b"").decode("latin-1")
+        world, request_id = self.world, (message.header(b"request-id") or b"").decode("latin-1")
         client_try = self.tries.get(request_id)
         told = world.registry.counts_as_told(dispatcher, node.name, world.referee.ask_within)
         attempt = world.referee.attempt(
             request_id, dispatcher, node.name, node.zone, node.rack, begun, world.home[dispatcher], told
         )
-        world.note("send", request_id=request_id, dispatcher=dispatcher, node=node.name)
+        world.note("send", id=request_id, dispatcher=dispatcher, node=node.name)
         carried = Carried(request_id)
         carried.attempt, connection.hand = attempt, carried
         if client_try is None or not self._same(client_try, message):
@@ -154,7 +154,7 @@
     def _same(self, client_try: Try, message: http1.Message) -> bool:
         """Method, path, query, body and key must pass unchanged."""
         head, body = self.request(client_try)
-        key = message.get(b"idempotency-key")
+        key = message.header(b"idempotency-key")
         keyed = self.world.kinds[client_try.job.class_index].semantics != "retryable"
         return (
             message.body == body
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -49,9 +49,9 @@
         )
     ]
     for form in ("console", "json"):
-        logs.configure(logs.Choice(form, "info"))
+        logs.configure(logs.LogSettings(form, "info"))
         rows.append((form, timed(partial(answered, logs.get("x")))))
-    logs.configure(logs.Choice("console", "warning"))
+    logs.configure(logs.LogSettings("console", "warning"))
     log = logs.get("x")
     rows.append(("off by its level", timed(lambda n: log.info("answered", request="r1", cls="preview", status=200))))
     return rows
