--- a/badgerroad/__main__.py
+++ b/badgerroad/__main__.py
@@ -15,7 +15,7 @@
     if sys.argv[1:2] in (["serve"], ["control"]):
         from badgerroad import startup_signals
 
-        startup_signals.hear()  # the imports take longest, and a reload may be asked for meanwhile
+        startup_signals.install()  # the imports take longest, and a reload may be asked for meanwhile
     from badgerroad.cli import main
 
     gc.enable()
--- a/badgerroad/class_table.py
+++ b/badgerroad/class_table.py
@@ -11,19 +11,21 @@
 from badgerroad.load_balancing import interface
 
 
-class Classes:
+class ClassTable:
     def __init__(self, fresh: Sequence[interface.RequestClass]) -> None:
-        self.places: list[interface.RequestClass] = list(fresh)
-        self.by_name: dict[bytes, int] = {c.name.encode(): n for n, c in enumerate(fresh)}
+        self.request_classes: list[interface.RequestClass] = list(fresh)
+        self.index_by_name: dict[bytes, int] = {c.name.encode(): n for n, c in enumerate(fresh)}
 
-    def change(self, fresh: Sequence[interface.RequestClass], in_use: set[int]) -> tuple[interface.RequestClass, ...]:
+    def update(self, fresh: Sequence[interface.RequestClass], in_use: set[int]) -> tuple[interface.RequestClass, ...]:
         """The classes are `fresh` now. `in_use`: places that open jobs have. Returns the list, retired ones too."""
-        places: list[interface.RequestClass | None] = [c if n in in_use else None for n, c in enumerate(self.places)]
+        places: list[interface.RequestClass | None] = [
+            c if n in in_use else None for n, c in enumerate(self.request_classes)
+        ]
         by_name: dict[bytes, int] = {}
         moved: list[interface.RequestClass] = []
         for c in fresh:
-            place = self.by_name.get(c.name.encode())
-            if place is not None and (self.places[place] == c or place not in in_use):
+            place = self.index_by_name.get(c.name.encode())
+            if place is not None and (self.request_classes[place] == c or place not in in_use):
                 places[place], by_name[c.name.encode()] = c, place
             else:
                 moved.append(c)
@@ -34,6 +36,6 @@
         while places and places[-1] is None:
             places.pop()
         # A place of nobody's in between, to which no name leads, repeats one that is somebody's.
-        self.places = [fresh[0] if c is None else c for c in places]
-        self.by_name = by_name
-        return tuple(self.places)
+        self.request_classes = [fresh[0] if c is None else c for c in places]
+        self.index_by_name = by_name
+        return tuple(self.request_classes)
--- a/badgerroad/cli.py
+++ b/badgerroad/cli.py
@@ -62,7 +62,7 @@
 from typing import Any
 
 from badgerroad import __version__
-from badgerroad.errors import BadArgument, Error
+from badgerroad.errors import ArgumentError, BadgerroadError
 
 BAD_ARGUMENT = 2
 MOST_WORKERS = 16  # each tells all others of call-backs that it does not know: with more, that is most of the work
@@ -86,7 +86,7 @@
 
         workers = o["--workers"]
         if not workers.isdigit() or not 1 <= int(workers) <= MOST_WORKERS:
-            return _say(BadArgument(f"--workers: not a whole number from 1 to {MOST_WORKERS}: {workers!r}"))
+            return _say(ArgumentError(f"--workers: not a whole number from 1 to {MOST_WORKERS}: {workers!r}"))
         return serve(bool(o["check-config"]), o["--operator"], bool(o["--verbose"]), int(workers))
     if o["control"]:
         from badgerroad.fleet.controller import main as control
@@ -118,21 +118,21 @@
 
         return commands.main(o)
     except ModuleNotFoundError as e:
-        return _say(NotInstalled(f"{e.name} is not installed"))
-    except Error as e:
+        return _say(NotInstalledError(f"{e.name} is not installed"))
+    except BadgerroadError as e:
         return _say(e)
     except ValueError as e:
-        return _say(BadArgument(str(e)))
+        return _say(ArgumentError(str(e)))
 
 
-class NotInstalled(Error):
+class NotInstalledError(BadgerroadError):
     """A library of the emulator and the laboratory is missing."""
 
     code = "installed"
     remedy = "pip install 'badgerroad[lab]' brings it"
 
 
-def _say(error: Error) -> int:
+def _say(error: BadgerroadError) -> int:
     print(f"badgerroad: {error.line}", file=sys.stderr)
     return BAD_ARGUMENT
 
@@ -141,5 +141,5 @@
     if text is None:
         return None
     if not text.isdigit():
-        raise BadArgument(f"--seed: not a whole number: {text!r}")
+        raise ArgumentError(f"--seed: not a whole number: {text!r}")
     return int(text)
--- a/badgerroad/config.py
+++ b/badgerroad/config.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from badgerroad.discovery.reader import BadList, Reader, address_of
-from badgerroad.errors import Error
+from badgerroad.discovery.reader import EndpointListError, EndpointListReader, address_of
+from badgerroad.errors import BadgerroadError
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.settings import BadInput, settings_from
 from badgerroad.net.connection import Address
 
 
-class BadConfig(Error):
+class ConfigError(BadgerroadError):
     """One line that names the field."""
 
     code = "config"
@@ -27,13 +27,13 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    known: Any
+    max_sockets: int
+    cached_endpoints: Any
     settings: interface.Settings
     zones: list[str]
-    kinds: list[str]
-    ops: Address | None = None  # the second address, for operators' calls; None: there is none
-    keys: frozenset[str] = frozenset()  # of the settings, as the file has them
+    machine_types: list[str]
+    admin: Address | None = None  # the second address, for operators' calls; None: there is none
+    settings_keys: frozenset[str] = frozenset()  # of the settings, as the file has them
 
 
 def load(environment: Mapping[str, str]) -> Config:
@@ -49,9 +49,9 @@
 
 def reread(data: dict[str, Any], environment: Mapping[str, str], present: Config) -> Config:
     fresh = read(data, {k: v for k, v in environment.items() if k != "PROXY_DISCOVERY"})
-    missing = present.keys - fresh.keys
+    missing = present.settings_keys - fresh.settings_keys
     if missing:
-        raise BadConfig(f"settings: without {', '.join(sorted(missing))}, which the settings in force have")
+        raise ConfigError(f"settings: without {', '.join(sorted(missing))}, which the settings in force have")
     return fresh
 
 
@@ -62,20 +62,20 @@
 def text_of(environment: Mapping[str, str]) -> bytes:
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise BadConfig("PROXY_CONFIG: not set")
+        raise ConfigError("PROXY_CONFIG: not set")
     try:
         return Path(path).read_bytes()
     except OSError as e:
-        raise BadConfig(f"PROXY_CONFIG: {path}: {e.strerror}") from e
+        raise ConfigError(f"PROXY_CONFIG: {path}: {e.strerror}") from e
 
 
 def parse(text: bytes, path: str) -> dict[str, Any]:
     try:
         data = json.loads(text)
     except (ValueError, RecursionError) as e:
-        raise BadConfig(f"PROXY_CONFIG: {path}: not JSON: {e}") from e
+        raise ConfigError(f"PROXY_CONFIG: {path}: not JSON: {e}") from e
     if not isinstance(data, dict):
-        raise BadConfig(f"PROXY_CONFIG: {path}: not a JSON object")
+        raise ConfigError(f"PROXY_CONFIG: {path}: not a JSON object")
     return data
 
 
@@ -85,40 +85,40 @@
     def address(field: str) -> Address:
         value = environment.get(f"PROXY_{field.upper()}") or data.get(field)
         if not value:
-            raise BadConfig(f"{field}: missing")
+            raise ConfigError(f"{field}: missing")
         try:
             return address_of(value)
         except ValueError as e:
-            raise BadConfig(f"{field}: {e}") from e
+            raise ConfigError(f"{field}: {e}") from e
 
     def names(field: str) -> list[str]:
         value = data["settings"].get(field, [])
         if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
-            raise BadConfig(f"settings.{field}: not a list of names")
+            raise ConfigError(f"settings.{field}: not a list of names")
         return value
 
     seed, limits, known = data.get("seed", "0"), data.get("limits", {}), data.get("known")
     try:
         number = int(str(seed), 16)
     except ValueError as e:
-        raise BadConfig(f"seed: not a hexadecimal number: {seed!r}") from e
+        raise ConfigError(f"seed: not a hexadecimal number: {seed!r}") from e
     if not isinstance(limits, dict):
-        raise BadConfig("limits: not an object")
+        raise ConfigError("limits: not an object")
     sockets = limits.get("sockets", resource.getrlimit(resource.RLIMIT_NOFILE)[0])
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < 64:
-        raise BadConfig(f"limits.sockets: not a whole number of 64 or more: {sockets!r}")
+        raise ConfigError(f"limits.sockets: not a whole number of 64 or more: {sockets!r}")
     if not isinstance(data.get("settings"), dict):
-        raise BadConfig("settings: missing or not an object")
+        raise ConfigError("settings: missing or not an object")
     try:
         settings = settings_from(json.dumps(data["settings"]).encode())
     except BadInput as e:
-        raise BadConfig(str(e)) from e
+        raise ConfigError(str(e)) from e
     zones, kinds = names("zones"), names("hostTypes")
     known = {"seq": 0, "whole": True, "hosts": []} if known is None else known
     try:
-        Reader(zones, kinds).read(known)
-    except BadList as e:
-        raise BadConfig(f"known: {e}") from e
+        EndpointListReader(zones, kinds).read(known)
+    except EndpointListError as e:
+        raise ConfigError(f"known: {e}") from e
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return Config(
         environment.get("PROXY_NAME") or str(data.get("name", "")),
--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from badgerroad.discovery.reader import BadList, Reader
+from badgerroad.discovery.reader import EndpointListError, EndpointListReader
 from badgerroad.discovery.watch_schedule import WatchSchedule
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
@@ -34,24 +34,30 @@
     remedy = "nothing, if a worker list follows; else look at the network to discovery"
 
 
-class WorkerListWatch:
+class EndpointWatch:
     def __init__(
         self,
         wheel: Wheel,
         descriptors: Descriptors,
-        reader: Reader,
+        reader: EndpointListReader,
         address: Address,
         news: Callable[[interface.EndpointList, dict[str, Address]], None],
         dispatchers: int = 1,
         number: int = 0,
         seed: int = 0,
     ) -> None:
-        self.wheel, self.descriptors, self.reader, self.address, self.news = (wheel, descriptors, reader, address, news)
-        self.seq: int | None = None  # of the list held; None: the whole list is needed
+        self.wheel, self.descriptors, self.reader, self.address, self.on_update = (
+            wheel,
+            descriptors,
+            reader,
+            address,
+            news,
+        )
+        self.version: int | None = None  # of the list held; None: the whole list is needed
         self.schedule = WatchSchedule(dispatchers, number, random.Random(seed))
-        self.heard = False  # discovery has answered once, or is out
-        self.entries: dict[str, interface.Endpoint] = {}
-        self.listed: dict[str, str] = {}
+        self.has_answered = False  # discovery has answered once, or is out
+        self.endpoints: dict[str, interface.Endpoint] = {}
+        self.states: dict[str, str] = {}
         self.zones: dict[str, str] = {}  # by host, for the log
         self._watching = self._wanted = False
         self._moved: int | None = None  # when; until the new address has told its whole list
@@ -59,19 +65,19 @@
         self._pausing: asyncio.Event | None = None
         self._connection: CallConnection | None = None
 
-    def known(self, data: Any) -> None:
+    def load_cached(self, data: Any) -> None:
         """The list as this dispatcher last held it; it may be out of date. What has changed since is a short answer;
         the whole list, asked for by all at once, was a long one."""
         news, places = self.reader.read(data, cached=True)
-        self._tell(news, places)
+        self._publish(news, places)
         if news.entries:
-            self.seq = news.version
+            self.version = news.version
 
-    def as_told(self, places: dict[str, Address]) -> dict[str, Any]:
+    def to_wire(self, places: dict[str, Address]) -> dict[str, Any]:
         """The list held, in discovery's form, for another process of this dispatcher."""
         reader = self.reader
         return {
-            "seq": self.seq or 0,
+            "seq": self.version or 0,
             "whole": True,
             "hosts": [
                 {
@@ -79,12 +85,12 @@
                     "dial": f"{places[str(e.worker)][0]}:{places[str(e.worker)][1]}",
                     "health": e.state,
                     "site": reader.zones[e.zone],
-                    "class": reader.kinds[e.machine_type],
+                    "class": reader.machine_types[e.machine_type],
                     "block": e.cell,
                     "share": e.weight,
                     "born_ms": e.started_at // 1000,
                 }
-                for e in self.entries.values()
+                for e in self.endpoints.values()
                 if str(e.worker) in places
             ],
         }
@@ -95,7 +101,7 @@
             self._watching = True
             spawn(self._watch())
 
-    def pushed(self, on: bool, within: int = 0) -> None:
+    def set_agent_mode(self, on: bool, within: int = 0) -> None:
         """The settings say whether an agent holds the list, which counts as told once the agent has it, and `within`
         what time sends then have to stop. Such a list is watched unasked, from the first moment on."""
         if on:
@@ -104,12 +110,12 @@
         else:
             self.schedule.asked()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Discovery is elsewhere now: leave the old address and start at the new one, from the whole list."""
         if address == self.address:
             return
         self.address, self._moved, self._moves = address, self.wheel.clock.now(), self._moves + 1
-        self.seq = None
+        self.version = None
         self.schedule.look()
         if self._connection:
             self._connection.close()  # the call that waits there breaks off, and `_watch` goes on here
@@ -126,70 +132,74 @@
         if self._connection:
             self._connection.close()
 
-    def _tell(self, news: interface.EndpointList, places: dict[str, Address]) -> None:
+    def _publish(self, news: interface.EndpointList, places: dict[str, Address]) -> None:
         if news.scope != interface.ListScope.INCREMENTAL:
-            self.entries = {}
-        self.entries.update((str(e.worker), e) for e in news.entries)
-        self.entries = {n: e for n, e in self.entries.items() if e.state != interface.WorkerState.GONE}
-        self.listed = {n: e.state for n, e in self.entries.items()}
-        self.zones = {n: self.reader.zones[e.zone] for n, e in self.entries.items()}
-        log.info("worker list", scope=news.scope, seq=news.version, entries=len(news.entries), hosts=len(self.listed))
-        self.news(news, places)
+            self.endpoints = {}
+        self.endpoints.update((str(e.worker), e) for e in news.entries)
+        self.endpoints = {n: e for n, e in self.endpoints.items() if e.state != interface.WorkerState.GONE}
+        self.states = {n: e.state for n, e in self.endpoints.items()}
+        self.zones = {n: self.reader.zones[e.zone] for n, e in self.endpoints.items()}
+        log.info("worker list", scope=news.scope, seq=news.version, entries=len(news.entries), hosts=len(self.states))
+        self.on_update(news, places)
 
     async def _watch(self) -> None:
         """What has changed since the list held, or the whole list if none is; then one watch after another without a
         pause: a gap would start a new watch. Ends only when nobody wants it any more: whoever waited for the module to
         ask again would know of no bound."""
         try:
-            await self._pause(self.schedule.before(self.seq is not None))
+            await self._pause(self.schedule.before(self.version is not None))
             while self._wanted:
-                await self._next()
+                await self._poll_once()
         finally:
             self._watching = False
             if self._wanted:
-                self._fail()  # whatever ended it, the module must hear so, or it would never ask again
+                self._report_failure()  # whatever ended it, the module must hear so, or it would never ask again
 
-    def _fail(self) -> None:
-        self.heard = True
-        self.news(interface.EndpointList(interface.ListScope.FAILED), {})
+    def _report_failure(self) -> None:
+        self.has_answered = True
+        self.on_update(interface.EndpointList(interface.ListScope.FAILED), {})
 
-    async def _next(self) -> None:
+    async def _poll_once(self) -> None:
         call, moves, begun = self.schedule.call(), self._moves, self.wheel.clock.now()
         target = b"/api/targets"
-        if self.seq is not None:
-            target = b"/api/targets?index=%d&wait=%d" % (self.seq, call.wait // 1000)
+        if self.version is not None:
+            target = b"/api/targets?index=%d&wait=%d" % (self.version, call.wait // 1000)
         try:
             news, places = await self._call(target, call.patience)
-            if news.scope == interface.ListScope.INCREMENTAL and self.seq is not None and news.version < self.seq:
-                raise BadList(f"version {news.version} after {self.seq}")
-        except (Broken, BadList) as e:
+            if (
+                news.scope == interface.ListScope.INCREMENTAL
+                and self.version is not None
+                and news.version < self.version
+            ):
+                raise EndpointListError(f"version {news.version} after {self.version}")
+        except (Broken, EndpointListError) as e:
             took = self.wheel.clock.now() - begun
             pause = self.schedule.failed(call, took)
             if isinstance(e, Broken) and call.watches and took >= call.patience:
-                await self._again(Silent(True, "the watch has fallen silent"), moves, pause)
+                await self._retry_later(Silent(True, "the watch has fallen silent"), moves, pause)
             else:
-                await self._again(e, moves, pause)
+                await self._retry_later(e, moves, pause)
             return
         if moves != self._moves:
             return  # the old address's last word
-        self._moved, self.seq, self.heard = None, news.version, True
+        self._moved, self.version, self.has_answered = None, news.version, True
         self.schedule.answered()
-        self._tell(news, places)
+        self._publish(news, places)
 
-    async def _again(self, e: Broken | BadList, moves: int, pause: int) -> None:
+    async def _retry_later(self, e: Broken | EndpointListError, moves: int, pause: int) -> None:
         """After a failure: when the next call is due, and what the module hears. In a move, and until a look has failed
         too, it is not the module's."""
         log.info("discovery failed", code=e.code, why=str(e), again=pause // 1000)
         if moves != self._moves:
             self.schedule.look()
             return
-        if isinstance(e, BadList):
-            self.seq = None
+        if isinstance(e, EndpointListError):
+            self.version = None
         if self._moved is not None and self.wheel.clock.now() - self._moved <= MOVE_PATIENCE:
             self.schedule.look()
             pause = MOVE_PAUSE
         elif self.schedule.out:
-            self._fail()
+            self._report_failure()
         await self._pause(pause)
 
     async def _pause(self, time: int) -> None:
@@ -205,10 +215,10 @@
         connection: CallConnection | None = None
         try:
             connection = self._open()
-            self._tell(*await self._call(b"/api/targets", FETCH_TIME, connection))
-        except (Broken, BadList) as e:
+            self._publish(*await self._call(b"/api/targets", FETCH_TIME, connection))
+        except (Broken, EndpointListError) as e:
             log.info("discovery failed", code=e.code, why=str(e))
-            self.news(interface.EndpointList(interface.ListScope.FAILED), {})
+            self.on_update(interface.EndpointList(interface.ListScope.FAILED), {})
         finally:
             if connection is not None:
                 connection.close()
@@ -237,6 +247,6 @@
         if answer.status != 200:
             raise Broken(True, f"status {answer.status}")
         try:
-            return await self.reader.read_slowly(json.loads(answer.body))
+            return await self.reader.read_in_slices(json.loads(answer.body))
         except (ValueError, RecursionError) as e:
-            raise BadList(f"not JSON: {e}") from e
+            raise EndpointListError(f"not JSON: {e}") from e
--- a/badgerroad/discovery/reader.py
+++ b/badgerroad/discovery/reader.py
@@ -6,7 +6,7 @@
 import math
 from typing import Any
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.load_balancing import interface
 from badgerroad.net.connection import Address
 
@@ -18,7 +18,7 @@
 }
 
 
-class BadList(Error):
+class EndpointListError(BadgerroadError):
     """What came is not a list of hosts."""
 
     code = "list"
@@ -32,14 +32,14 @@
     return host, int(port)
 
 
-class Reader:
+class EndpointListReader:
     """Discovery's form to the module's: names become places in the lists of the settings."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        self.zones, self.kinds = list(zones), list(kinds)
+        self.zones, self.machine_types = list(zones), list(kinds)
 
     @staticmethod
-    def _place(names: list[str], name: Any) -> int:
+    def _index_of(names: list[str], name: Any) -> int:
         text = str(name)
         if text not in names:
             names.append(text)  # one the settings do not know: a place of its own behind theirs
@@ -49,23 +49,23 @@
         """Settings whose own lists are these, in the numbers that hosts have here, which stay while it runs."""
 
         def kind(n: int) -> int:
-            return self._place(self.kinds, kinds[n]) if 0 <= n < len(kinds) else n
+            return self._index_of(self.machine_types, kinds[n]) if 0 <= n < len(kinds) else n
 
-        zone = self._place(self.zones, zones[settings.zone]) if settings.zone < len(zones) else settings.zone
+        zone = self._index_of(self.zones, zones[settings.zone]) if settings.zone < len(zones) else settings.zone
         return settings._replace(
             zone=zone, classes=tuple(c._replace(machine_type=kind(c.machine_type)) for c in settings.classes)
         )
 
     def read(self, data: Any, cached: bool = False) -> tuple[interface.EndpointList, dict[str, Address]]:
-        """A whole list at once. Raises BadList."""
+        """A whole list at once. Raises EndpointListError."""
         entries: list[interface.Endpoint] = []
         places: dict[str, Address] = {}
         for hosts in self._slices(data):
             self._take(hosts, entries, places)
         return self._list(data, cached, entries), places
 
-    async def read_slowly(self, data: Any) -> tuple[interface.EndpointList, dict[str, Address]]:
-        """The same, but others run between the slices of a long list. Raises BadList."""
+    async def read_in_slices(self, data: Any) -> tuple[interface.EndpointList, dict[str, Address]]:
+        """The same, but others run between the slices of a long list. Raises EndpointListError."""
         entries: list[interface.Endpoint] = []
         places: dict[str, Address] = {}
         for n, hosts in enumerate(self._slices(data)):
@@ -80,7 +80,7 @@
             hosts = data["hosts"]
             return [hosts[at : at + SLICE] for at in range(0, len(hosts), SLICE)]
         except (KeyError, TypeError) as e:
-            raise BadList(f"{type(e).__name__}: {e}") from e
+            raise EndpointListError(f"{type(e).__name__}: {e}") from e
 
     @staticmethod
     def _list(data: Any, cached: bool, entries: list[interface.Endpoint]) -> interface.EndpointList:
@@ -94,7 +94,7 @@
             )
             return interface.EndpointList(scope, int(data["seq"]), tuple(entries))
         except (KeyError, TypeError, ValueError) as e:
-            raise BadList(f"{type(e).__name__}: {e}") from e
+            raise EndpointListError(f"{type(e).__name__}: {e}") from e
 
     def _take(self, hosts: Any, entries: list[interface.Endpoint], places: dict[str, Address]) -> None:
         try:
@@ -112,11 +112,11 @@
                         name,
                         state,
                         int(h.get("born_ms") or 0) * 1000,
-                        self._place(self.kinds, h.get("class", "")),
-                        self._place(self.zones, h.get("site", "")),
+                        self._index_of(self.machine_types, h.get("class", "")),
+                        self._index_of(self.zones, h.get("site", "")),
                         int(h.get("block") or 0),
                         weight,
                     )
                 )
         except (KeyError, TypeError, ValueError, AttributeError) as e:
-            raise BadList(f"{type(e).__name__}: {e}") from e
+            raise EndpointListError(f"{type(e).__name__}: {e}") from e
--- a/badgerroad/emulator/errors.py
+++ b/badgerroad/emulator/errors.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 
 
-class BadScenario(Error):
+class BadScenario(BadgerroadError):
     """One line that names file, field and reason."""
 
     code = "scenario"
--- a/badgerroad/emulator/live/wire.py
+++ b/badgerroad/emulator/live/wire.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.net import http1
 from badgerroad.net.ring_buffer import Ring
 
@@ -78,7 +78,7 @@
             self._server = None
 
 
-class Gone(Error):
+class Gone(BadgerroadError):
     """The call got no answer. `refused`: nobody listens; `silent_reuse`: a kept connection ended without a byte,
     as it does when its end crossed the request."""
 
--- a/badgerroad/errors.py
+++ b/badgerroad/errors.py
@@ -9,7 +9,7 @@
 from typing import ClassVar
 
 
-class Error(Exception):
+class BadgerroadError(Exception):
     """`code` never changes its meaning; `remedy` is what an operator can do, as an imperative."""
 
     code: ClassVar[str] = "error"
@@ -26,14 +26,14 @@
         return {"code": self.code, "why": " ".join(str(self).split()), "do": self.remedy}
 
 
-class BadArgument(Error, ValueError):
+class ArgumentError(BadgerroadError, ValueError):
     """A command's argument cannot be."""
 
     code = "argument"
     remedy = "see badgerroad --help"
 
 
-class CannotListen(Error):
+class ListenError(BadgerroadError):
     """An address of this process's own cannot be had. `field`: of the configuration."""
 
     code = "listen"
--- a/badgerroad/extension.py
+++ b/badgerroad/extension.py
@@ -57,7 +57,7 @@
         """These hold from now on, also at the start."""
 
 
-def admit(
+def admit_request(
     request: OpenRequest,
     event: interface.Request,
     extensions: tuple[DispatcherExtension, ...],
@@ -65,7 +65,7 @@
 ) -> None:
     """Each extension in turn lets the request go on, at once or later; then the module hears of it, by `hear`."""
     if extensions:
-        extensions[0].admit(request, event, lambda changed: admit(request, changed, extensions[1:], hear))
+        extensions[0].admit(request, event, lambda changed: admit_request(request, changed, extensions[1:], hear))
     elif not request.exchange.answered and not request.admitted:
         request.admitted = True
         hear(event)
--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -15,7 +15,7 @@
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
-from badgerroad.errors import CannotListen
+from badgerroad.errors import ListenError
 from badgerroad.fleet.dialer import Dialer
 from badgerroad.fleet.errors import PeerRejected
 from badgerroad.fleet.framing import frame
@@ -76,12 +76,12 @@
     # Who is connected.
 
     def listen(self, address: Address) -> Address:
-        """Be reachable, port 0: at any. Raises CannotListen."""
+        """Be reachable, port 0: at any. Raises ListenError."""
         self._listener = Listener(self._accept)
         try:
             self._listener.listen(address[1], address[0])
         except OSError as e:
-            raise CannotListen("fleet.controllers", address, e) from e
+            raise ListenError("fleet.controllers", address, e) from e
         sock = next(iter(self._listener._sockets.values()))
         host, port = sock.getsockname()[:2]
         return host, port
--- a/badgerroad/fleet/controller.py
+++ b/badgerroad/fleet/controller.py
@@ -12,8 +12,8 @@
 from random import Random
 
 from badgerroad import startup_signals
-from badgerroad.config import BadConfig
-from badgerroad.errors import CannotListen
+from badgerroad.config import ConfigError
+from badgerroad.errors import ListenError
 from badgerroad.fleet import table
 from badgerroad.fleet.connections import ROLE_CONTROLLER, Connections, new_incarnation
 from badgerroad.fleet.messages import VERSION, Hello, Message
@@ -50,7 +50,7 @@
         self._stopping = asyncio.Event()
 
     def start(self) -> None:
-        """Be reachable, and reach the others. Raises CannotListen."""
+        """Be reachable, and reach the others. Raises ListenError."""
         self.connections.listen((self.me.host, self.me.port))
         self.connections.connect_controllers()
 
@@ -152,7 +152,7 @@
             operator, fleet = read_operator(self._file)
             settings = table.settings_of(fleet, self._file)
             quotas = table.quotas_of(fleet)
-        except BadConfig as e:
+        except ConfigError as e:
             log.error("reload failed; the old configuration stays in force", **e.fields)
             return
         self._say_what_waits(fleet, settings)
@@ -171,10 +171,10 @@
 
 
 def read_operator(operator_file: str) -> tuple[Operator, Fleet]:
-    """Raises BadConfig, also where the file has no `[fleet]`."""
+    """Raises ConfigError, also where the file has no `[fleet]`."""
     operator = load(operator_file)
     if operator.fleet is None:
-        raise BadConfig(f"{operator_file}: fleet: missing; a controller needs this table")
+        raise ConfigError(f"{operator_file}: fleet: missing; a controller needs this table")
     return operator, operator.fleet
 
 
@@ -184,11 +184,11 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, controller.stop)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    for _ in range(startup_signals.hups):
+    for _ in range(startup_signals.reload_count):
         loop.call_soon(reloader.reload)
     try:
         controller.start()
-    except CannotListen as e:
+    except ListenError as e:
         controller.connections.close()
         print(f"badgerroad: {e.line}", file=sys.stderr)
         return CANNOT_LISTEN
@@ -207,7 +207,7 @@
         settings = table.settings_of(fleet, operator_file)
         quotas = table.quotas_of(fleet)
         me = table.controller_of(fleet, settings, operator_file)
-    except BadConfig as e:
+    except ConfigError as e:
         print(f"badgerroad: {e.line}", file=sys.stderr)
         return BAD_CONFIG
     logs.configure(operator.log, debug=verbose, controller=me.name)
--- a/badgerroad/fleet/joining.py
+++ b/badgerroad/fleet/joining.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from badgerroad.config import BadConfig, Config
+from badgerroad.config import Config, ConfigError
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.fleet import table
 from badgerroad.fleet.errors import FleetRefused
@@ -14,13 +14,13 @@
 
 
 def check(config: Config, fleet: Fleet, file: str) -> FleetSettings:
-    """`file`: that the table is from. Raises FleetRefused where the settings do not permit peers, and BadConfig."""
+    """`file`: that the table is from. Raises FleetRefused where the settings do not permit peers, and ConfigError."""
     if not config.settings.peers_allowed:
         raise FleetRefused(f"{file}: fleet: the settings do not permit it (permissions.peers)")
     settings = table.settings_of(fleet, file)
     zone = zone_of(config, fleet)
     if zone not in settings.zones:
-        raise BadConfig(f"{file}: fleet.zone: no controller is in this dispatcher's zone, {zone!r}")
+        raise ConfigError(f"{file}: fleet.zone: no controller is in this dispatcher's zone, {zone!r}")
     return settings
 
 
@@ -31,7 +31,7 @@
 
 
 def join(dispatcher: Dispatcher, fleet: Fleet, file: str) -> QuotaExtension:
-    """From now on its requests are asked for. Raises FleetRefused and BadConfig, before anything is changed."""
+    """From now on its requests are asked for. Raises FleetRefused and ConfigError, before anything is changed."""
     settings = check(dispatcher.config, fleet, file)
     zone = zone_of(dispatcher.config, fleet)
     extension = QuotaExtension(dispatcher.wheel, settings, dispatcher.config.name, zone)
--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 
 VERSION = 1
 MAXIMAL_NAME = 64
@@ -232,7 +232,7 @@
     tag: int
 
 
-class MalformedMessage(Error, ValueError):
+class MalformedMessage(BadgerroadError, ValueError):
     """Bytes that are no message of this protocol."""
 
     code = "fleet-message"
--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.fleet.messages import MAXIMAL_LIST, MAXIMAL_NAME
 
 MICROSECONDS = 1000  # in a millisecond
@@ -22,7 +22,7 @@
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 
 
-class BadFleet(Error, ValueError):
+class BadFleet(BadgerroadError, ValueError):
     """The fleet's settings cannot be. `field` names the one."""
 
     code = "fleet-settings"
--- a/badgerroad/fleet/table.py
+++ b/badgerroad/fleet/table.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from badgerroad import toml_files
-from badgerroad.config import BadConfig
+from badgerroad.config import ConfigError
 from badgerroad.fleet.settings import BadFleet, Controller, FleetSettings
 from badgerroad.operator.schema import Fleet, FleetController
 
@@ -24,7 +24,7 @@
 
 
 def settings_of(table: Fleet, file: str) -> FleetSettings:
-    """The rules' settings. `file`: that the table is from. Raises BadConfig, whose one line names file and field."""
+    """The rules' settings. `file`: that the table is from. Raises ConfigError, whose one line names file and field."""
     told = {name: value for name, value in msgspec.structs.asdict(table).items() if value is not None}
     times = {name: value for name, value in told.items() if name not in NOT_TIMES}
     controllers = [msgspec.structs.asdict(controller) for controller in _controllers(table, file)]
@@ -33,50 +33,50 @@
         settings.check()
     except msgspec.ValidationError as e:
         reason, _, where = str(e).partition(" - at `")
-        raise BadConfig(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from e
+        raise ConfigError(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from e
     except BadFleet as e:
-        raise BadConfig(f"{file}: {e}") from e
+        raise ConfigError(f"{file}: {e}") from e
     return settings
 
 
 def _controllers(table: Fleet, file: str) -> tuple[FleetController, ...]:
-    """Raises BadConfig."""
+    """Raises ConfigError."""
     if table.members and table.controllers:
-        raise BadConfig(f"{file}: fleet.members: beside a list of controllers; one of the two is needed")
+        raise ConfigError(f"{file}: fleet.members: beside a list of controllers; one of the two is needed")
     if table.members:
-        return toml_files.decode(Path(table.members), Members, BadConfig).controllers
+        return toml_files.decode(Path(table.members), Members, ConfigError).controllers
     return table.controllers
 
 
 def controller_of(table: Fleet, settings: FleetSettings, file: str) -> Controller:
-    """The one that this process is to be. Raises BadConfig."""
+    """The one that this process is to be. Raises ConfigError."""
     if table.name not in settings.by_name:
-        raise BadConfig(f"{file}: fleet.name: none of the controllers: {table.name!r}")
+        raise ConfigError(f"{file}: fleet.name: none of the controllers: {table.name!r}")
     return settings.by_name[table.name]
 
 
 def quotas_of(table: Fleet) -> dict[str, float]:
-    """What the quotas file holds; nothing where there is none. Raises BadConfig."""
+    """What the quotas file holds; nothing where there is none. Raises ConfigError."""
     if not table.quotas:
         return {}
-    listed = toml_files.decode(Path(table.quotas), dict[str, Any], BadConfig)
+    listed = toml_files.decode(Path(table.quotas), dict[str, Any], ConfigError)
     return {_team(table.quotas, team): _rate(table.quotas, team, value) for team, value in listed.items()}
 
 
 def _team(file: str, team: str) -> str:
-    """Raises BadConfig."""
+    """Raises ConfigError."""
     try:
         return msgspec.convert(team, TeamName)
     except msgspec.ValidationError as e:
-        raise BadConfig(f"{file}: {team!r}: {e}") from e
+        raise ConfigError(f"{file}: {team!r}: {e}") from e
 
 
 def _rate(file: str, team: str, value: Any) -> float:
-    """Raises BadConfig."""
+    """Raises ConfigError."""
     try:
         return msgspec.convert(value, Rate)
     except msgspec.ValidationError as e:
-        raise BadConfig(f"{file}: {team}: {e}") from e
+        raise ConfigError(f"{file}: {team}: {e}") from e
 
 
 def fields_of(figures: Any) -> dict[str, Any]:
--- a/badgerroad/frontend/http.py
+++ b/badgerroad/frontend/http.py
@@ -265,7 +265,7 @@
                 self.taker.turned_away(path)
                 exchange.answer(503, b"too many connections\n", [(b"Retry-After", b"1")], close=True)
             else:
-                self.taker.take(message, exchange)
+                self.taker.handle_request(message, exchange)
 
     def _call_back(self, message: http1.Message, exchange: Exchange) -> None:
         try:
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from badgerroad.backend.attempts import Attempt
-from badgerroad.discovery.reader import BadList
+from badgerroad.discovery.reader import EndpointListError
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.extension import DispatcherExtension
 from badgerroad.frontend.client import Exchange
@@ -94,18 +94,18 @@
                 self.begun.set_exception(e)
                 return
             self.begun.set_result(address)
-            d.begin(d.config.known)
+            d.start_discovery(d.config.cached_endpoints)
             self._be_found()
         elif action == rules.ADOPT:
             assert self._listener is not None
             self.begun.set_result(d.frontend.adopt_listener(self._listener, accept=False))
             try:
                 d.descriptors.share(int(self._offer["held"]) + BASE)
-                d.count_as(self._offer["zones"], self._offer["kinds"])
-                d.begin(self._offer["known"])
-            except (KeyError, TypeError, ValueError, BadList) as e:
+                d.adopt_name_indices(self._offer["zones"], self._offer["kinds"])
+                d.start_discovery(self._offer["known"])
+            except (KeyError, TypeError, ValueError, EndpointListError) as e:
                 log.warning("handover: the offer cannot be read", why=f"{type(e).__name__}: {e}")
-                d.begin(d.config.known)
+                d.start_discovery(d.config.cached_endpoints)
             self._look()
         elif action == rules.ACCEPT:
             d.frontend.accept()
@@ -225,7 +225,7 @@
 
     def _give_client(self, descriptor: int, about: dict[str, Any], data: bytes, exchange: Exchange | None) -> bool:
         d = self.dispatcher
-        request = d.requests.get(exchange.number) if exchange is not None else None
+        request = d.open_requests.get(exchange.number) if exchange is not None else None
         if self.heir is None or self.heir.link.busy:
             return False
         if exchange is not None and (request is None or not transfer.movable(request)):
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -17,12 +17,12 @@
 
 def offer(d: Dispatcher) -> dict[str, Any]:
     """The worker list, the numbers of zones and kinds in it, and how many descriptors are held here."""
-    reader = d.worker_list.reader
+    reader = d.endpoint_watch.reader
     return {
         "version": rules.VERSION,
-        "known": d.worker_list.as_told(d.backend.places()),
+        "known": d.endpoint_watch.to_wire(d.backend.places()),
         "zones": reader.zones,
-        "kinds": reader.kinds,
+        "kinds": reader.machine_types,
         "held": d.descriptors.used,
     }
 
@@ -33,7 +33,7 @@
     return {
         "state": state.copy_out(d.decisions) if learned else None,
         "attempts": attempts,
-        "open": [i.decode("latin-1") for i in {*d.by_id, *elsewhere}],
+        "open": [i.decode("latin-1") for i in {*d.requests_by_id, *elsewhere}],
     }
 
 
@@ -45,4 +45,4 @@
         peer.attempts.sent(attempt, worker, float(slots), bool(long), (0, 0.0))
         if started:
             peer.attempts.started(attempt)
-    peer.open = {i.encode("latin-1") for i in head["open"]} - d.by_id.keys()
+    peer.open = {i.encode("latin-1") for i in head["open"]} - d.requests_by_id.keys()
--- a/badgerroad/hot_restart/transfer.py
+++ b/badgerroad/hot_restart/transfer.py
@@ -72,7 +72,7 @@
     request.open_attempts = 0
     if d.counts:
         d.counts.current -= 1
-    d.settle(request)
+    d.release_if_finished(request)
 
 
 def taken_in(d: Dispatcher, head: dict[str, Any], body: bytes, connection: ClientConnection) -> None:
@@ -83,7 +83,7 @@
     headers = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in head["headers"]]
     order = ForwardedRequest(method, target, body, name, headers, now + head["deadline"])
     cls = state.class_of(head["cls"])
-    request = OpenRequest(d.next_number(), order, exchange, cls, now + head["begun"])
+    request = OpenRequest(d.next_request_number(), order, exchange, cls, now + head["begun"])
     exchange.number = request.number
     request.work_hint, request.slots, request.admitted = head["hint"], head["slots"], True
     for n, told in enumerate(head["attempts"]):
@@ -98,5 +98,5 @@
         if not attempt.ended:
             request.open_attempts += 1
             d.backend.go_on(attempt, told["left"])
-    d.enter(request)
-    d.act(state.job_in(d.decisions, request.number, cls, head["job"], now))
+    d.register_request(request)
+    d.perform_actions(state.job_in(d.decisions, request.number, cls, head["job"], now))
--- a/badgerroad/lab/commands.py
+++ b/badgerroad/lab/commands.py
@@ -11,14 +11,14 @@
 from badgerroad.emulator import scenario as sc
 from badgerroad.emulator import virtual
 from badgerroad.emulator.rehearse import result
-from badgerroad.errors import BadArgument
+from badgerroad.errors import ArgumentError
 from badgerroad.lab import compare, experiment, paper, report, runner, theory
 from badgerroad.lab.policies import policy
 from badgerroad.lab.store import Store
 
 
 def main(o: Any) -> int:
-    """Raises Error or ValueError on what is wrong, for one line on standard error."""
+    """Raises BadgerroadError or ValueError on what is wrong, for one line on standard error."""
     if o["emulate"]:
         return emulate(o)
     if o["theory"] or o["paper"]:
@@ -28,7 +28,7 @@
 
 def _seed(text: Any, default: int) -> int:
     if text is not None and not str(text).isdigit():
-        raise BadArgument(f"--seed: not a whole number: {text!r}")
+        raise ArgumentError(f"--seed: not a whole number: {text!r}")
     return int(text) if text is not None else default
 
 
@@ -69,7 +69,7 @@
 def tables(o: Any) -> int:
     jobs, scale, out = int(o["--jobs"]) if o["--jobs"] else None, float(o["--scale"]), Path(o["--out"])
     if not 0 < scale <= 10:
-        raise BadArgument("--scale: must be above 0 and at most 10")
+        raise ArgumentError("--scale: must be above 0 and at most 10")
     if o["theory"]:
         name, text = "theory", theory.markdown(theory.table(scale, jobs))
     else:
@@ -91,7 +91,7 @@
             e = experiment.load(Path(o["EXPERIMENT"]))
             rows = store.reports(e.name)
             if not rows:
-                raise BadArgument(f"{o['--store']}: no run of {e.name!r}")
+                raise ArgumentError(f"{o['--store']}: no run of {e.name!r}")
             for path in report.write(e.name, e.about, rows, Path(o["--out"])):
                 print(path)
             return 0
@@ -131,7 +131,7 @@
 
 def _replay(o: Any, store: Store) -> int:
     if not str(o["ID"]).isdigit():
-        raise BadArgument(f"ID: not a whole number: {o['ID']!r}")
+        raise ArgumentError(f"ID: not a whole number: {o['ID']!r}")
     run, folder, was = store.by_id(int(o["ID"]))
     lines: list[str] = []
     trace, close = (
--- a/badgerroad/lab/compare.py
+++ b/badgerroad/lab/compare.py
@@ -7,7 +7,7 @@
 import numpy as np
 
 from badgerroad.emulator.report import Report
-from badgerroad.errors import BadArgument
+from badgerroad.errors import ArgumentError
 
 RESAMPLES, LEVEL = 10_000, 0.95
 
@@ -42,10 +42,10 @@
 def compare(a: dict[int, Report], b: dict[int, Report], measure: str = "figure") -> Comparison:
     """Raises ValueError where no seed is common or no such measure exists."""
     if measure not in ("figure", "worth", "worst_class", "worst_window"):
-        raise BadArgument(f"--measure: unknown: {measure!r}")
+        raise ArgumentError(f"--measure: unknown: {measure!r}")
     seeds = sorted(set(a) & set(b))
     if not seeds:
-        raise BadArgument("the two variants have no seed in common")
+        raise ArgumentError("the two variants have no seed in common")
     pairs = [(float(getattr(a[s], measure)), float(getattr(b[s], measure))) for s in seeds]
     differences = [x - y for x, y in pairs]
     low, high = interval(differences)
--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -16,7 +16,7 @@
 
 from badgerroad.emulator.live.wire import Caller, Gone, Pool
 from badgerroad.emulator.model.kernel import Draws
-from badgerroad.errors import BadArgument
+from badgerroad.errors import ArgumentError
 from badgerroad.net import http1
 
 LONGEST = 600.0  # seconds; a load is bounded
@@ -38,10 +38,10 @@
     for part in text.split(","):
         name, equals, share = part.partition("=")
         if not name or not equals or not re.match(r"\d+(\.\d+)?\Z", share):
-            raise BadArgument(f"--classes: name=share expected: {part!r}")
+            raise ArgumentError(f"--classes: name=share expected: {part!r}")
         out.append((name.strip(), float(share)))
     if sum(s for _, s in out) <= 0:
-        raise BadArgument("--classes: shares must be above 0 together")
+        raise ArgumentError("--classes: shares must be above 0 together")
     return out
 
 
@@ -62,7 +62,7 @@
         try:
             out.append(Arrival(float(cells[0]), cells[1], float(cells[2]) if len(cells) > 2 else 0.0))
         except (ValueError, IndexError) as e:
-            raise BadArgument(f"{path}: line {number}: at_s, class[, work_ms] expected") from e
+            raise ArgumentError(f"{path}: line {number}: at_s, class[, work_ms] expected") from e
     return sorted(out)
 
 
@@ -82,7 +82,7 @@
     """Loopback only: this is a tool for one's own machine. Raises ValueError."""
     match = re.match(r"http://(127(?:\.\d{1,3}){3}|localhost):(\d{1,5})/?\Z", url)
     if not match:
-        raise BadArgument(f"URL: http://127.0.0.1:PORT expected: {url!r}")
+        raise ArgumentError(f"URL: http://127.0.0.1:PORT expected: {url!r}")
     return ("127.0.0.1" if match[1] == "localhost" else match[1]), int(match[2])
 
 
@@ -155,12 +155,12 @@
 ) -> int:
     targets = [address_of(u) for u in urls]
     if not 0 < rate <= MOST_RATE:
-        raise BadArgument(f"--rate: must be above 0 and at most {MOST_RATE:.0f}")
+        raise ArgumentError(f"--rate: must be above 0 and at most {MOST_RATE:.0f}")
     if not 0 < seconds <= LONGEST:
-        raise BadArgument(f"--seconds: must be above 0 and at most {LONGEST:.0f}")
+        raise ArgumentError(f"--seconds: must be above 0 and at most {LONGEST:.0f}")
     arrivals = trace(Path(trace_file)) if trace_file else poisson(rate, seconds, seed, classes_of(classes))
     if arrivals and arrivals[-1].at > LONGEST:
-        raise BadArgument(f"--trace: must end within {LONGEST:.0f} s")
+        raise ArgumentError(f"--trace: must end within {LONGEST:.0f} s")
     began = time.perf_counter()
     outcomes = asyncio.run(send(targets, arrivals, f"l{seed:x}{time.time_ns():x}"))
     data = msgspec.json.format(msgspec.json.encode(summary(outcomes, time.perf_counter() - began)), indent=1)
--- a/badgerroad/lab/policies.py
+++ b/badgerroad/lab/policies.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from badgerroad.errors import BadArgument
+from badgerroad.errors import ArgumentError
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy import DispatchPolicy
 
@@ -287,5 +287,5 @@
 def policy(name: str) -> Callable[[interface.Settings, int], Any]:
     """The factory of that name. Raises ValueError."""
     if name not in POLICIES:
-        raise BadArgument(f"--policy: unknown: {name!r}; there are {', '.join(POLICIES)}")
+        raise ArgumentError(f"--policy: unknown: {name!r}; there are {', '.join(POLICIES)}")
     return POLICIES[name]
--- a/badgerroad/lab/store.py
+++ b/badgerroad/lab/store.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from badgerroad.emulator.report import Report
-from badgerroad.errors import BadArgument
+from badgerroad.errors import ArgumentError
 from badgerroad.lab.experiment import Run
 
 VERSION = 1
@@ -27,7 +27,7 @@
         self.connection = sqlite3.connect(path)
         version = self.connection.execute("pragma user_version").fetchone()[0]
         if version not in (0, VERSION):
-            raise BadArgument(f"{path}: a store of version {version}; this program reads version {VERSION}")
+            raise ArgumentError(f"{path}: a store of version {version}; this program reads version {VERSION}")
         self.connection.execute(SCHEMA)
         self.connection.execute(f"pragma user_version = {VERSION}")
         self.connection.commit()
@@ -62,7 +62,7 @@
             "select experiment, scenario, policy, settings, seed, folder, report from runs where id = ?", (id,)
         ).fetchone()
         if row is None:
-            raise BadArgument(f"no run {id} in the store")
+            raise ArgumentError(f"no run {id} in the store")
         return Run(*row[:5]), row[5], msgspec.json.decode(row[6], type=Report)
 
     def variants(self, variant: str) -> dict[int, Report]:
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from badgerroad.config import BadConfig, Config, parse, read, reread
+from badgerroad.config import Config, ConfigError, parse, read, reread
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.extension import DispatcherExtension
 from badgerroad.multiprocess import messages
@@ -36,14 +36,16 @@
     size: int
 
     def of(self, config: Config) -> Config:
-        """Its own part of the fleet, of the descriptors, of what a cold worker bears. Raises BadConfig."""
+        """Its own part of the fleet, of the descriptors, of what a cold worker bears. Raises ConfigError."""
         s = config.settings
-        sockets = (config.sockets - KEPT - self.size) // self.size
+        sockets = (config.max_sockets - KEPT - self.size) // self.size
         if sockets < LEAST_SOCKETS:
-            raise BadConfig(f"limits.sockets: {config.sockets} are too few for {self.size} workers: {sockets} each")
+            raise ConfigError(
+                f"limits.sockets: {config.max_sockets} are too few for {self.size} workers: {sockets} each"
+            )
         return config._replace(
-            ops=None,
-            sockets=sockets,
+            admin=None,
+            max_sockets=sockets,
             seed=config.seed + (self.number << 64),
             settings=s._replace(
                 dispatcher_count=s.dispatcher_count * self.size,
@@ -62,7 +64,7 @@
 
     @classmethod
     def with_(cls, environment: Mapping[str, str]) -> Joined:
-        """Waits for it. Raises BadConfig, also where there is no supervisor."""
+        """Waits for it. Raises ConfigError, also where there is no supervisor."""
         try:
             number, size, descriptor = map(int, environment[messages.VARIABLE].split("/"))
             sock = socket.socket(fileno=descriptor)
@@ -70,16 +72,16 @@
             while message is None:
                 packet = sock.recv(framing.LONGEST + 64)
                 if not packet:
-                    raise BadConfig(f"{messages.VARIABLE}: the supervisor has gone")
+                    raise ConfigError(f"{messages.VARIABLE}: the supervisor has gone")
                 message = reader.read(packet)
         except (ValueError, OSError, framing.BadPacket) as e:
-            raise BadConfig(f"{messages.VARIABLE}: no supervisor: {e}") from e
+            raise ConfigError(f"{messages.VARIABLE}: no supervisor: {e}") from e
         part, head = Part(number, size), message[1]
         return cls(part, sock, config_of(head, part, environment, None), messages.heard(head["operator"]))
 
 
 def config_of(head: dict[str, Any], part: Part, environment: Mapping[str, str], present: Config | None) -> Config:
-    """The configuration that the supervisor has told, as this server process's part of it. Raises BadConfig."""
+    """The configuration that the supervisor has told, as this server process's part of it. Raises ConfigError."""
     environment = {**environment, "PROXY_LISTEN": head["listen"]}
     data = parse(head["text"].encode(), environment.get("PROXY_CONFIG", ""))
     if head["reread"]:
@@ -105,7 +107,7 @@
     def _tell(self) -> None:
         if not self.closed:
             d = self.dispatcher
-            self.supervisor.send(messages.FIGURES, {"figures": d.figures(), "taking": d.taking})
+            self.supervisor.send(messages.FIGURES, {"figures": d.metrics(), "taking": d.accepts_clients})
             self.wheel.after(TELL, self._tell)
 
     def _told(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
@@ -120,7 +122,7 @@
         elif kind == messages.CONFIG and descriptor is None:
             try:
                 config = config_of(head, self.part, os.environ, self.dispatcher.config)
-            except BadConfig as e:  # the supervisor has read it before; what is left is this server process's part
+            except ConfigError as e:  # the supervisor has read it before; what is left is this server process's part
                 log.error("reload failed; the old configuration stays in force", **e.fields)
                 return
             operator = messages.heard(head["operator"])
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -17,8 +17,8 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad import startup_signals
-from badgerroad.config import BadConfig, Config, parse, reread, text_of
-from badgerroad.errors import CannotListen
+from badgerroad.config import Config, ConfigError, parse, reread, text_of
+from badgerroad.errors import ListenError
 from badgerroad.multiprocess import messages, rules
 from badgerroad.multiprocess.figures import Sums
 from badgerroad.multiprocess.server_process import Part
@@ -190,7 +190,7 @@
                 from badgerroad.operator.schema import load as load_operator
 
                 operator = load_operator(self.operator_file)
-        except BadConfig as e:
+        except ConfigError as e:
             log.error("reload failed; the old configuration stays in force", **e.fields)
             self.invalid += 1
             return
@@ -224,21 +224,21 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, supervisor.term)
     loop.add_signal_handler(signal.SIGHUP, supervisor.reread)
-    for _ in range(startup_signals.hups):
+    for _ in range(startup_signals.reload_count):
         loop.call_soon(supervisor.reread)
     held: socket.socket | None = None
-    what, address = "ops", config.ops
+    what, address = "ops", config.admin
     try:
-        if config.ops is not None:
+        if config.admin is not None:
             from badgerroad.admin.listener import Listener
 
             ops = Listener(wheel, supervisor.ready, supervisor.figures)
-            ops.listen(config.ops)
+            ops.listen(config.admin)
         what, address = "listen", config.listen
         held = supervisor.hold()
     except OSError as e:
         assert address is not None
-        raise CannotListen(what, address, e) from e
+        raise ListenError(what, address, e) from e
     log.info("listening", name=config.name, address=supervisor.listen, workers=size)
     supervisor.begin()
     code = await supervisor.code
--- a/badgerroad/net/connection.py
+++ b/badgerroad/net/connection.py
@@ -13,7 +13,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.net import logs
 from badgerroad.net.http1 import BODY_LIMIT, HEADER_LIMIT, RING_LIMIT, BadMessage, Message, Parser
 from badgerroad.net.ring_buffer import Ring
@@ -239,7 +239,7 @@
     def on_closed(self) -> None: ...
 
 
-class Broken(Error):
+class Broken(BadgerroadError):
     """The connection ended before the answer. `sent` tells whether the last byte of the request was out."""
 
     code = "broken"
--- a/badgerroad/net/framing.py
+++ b/badgerroad/net/framing.py
@@ -9,7 +9,7 @@
 import json
 from typing import Any
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 
 # A packet has to fit the socket's buffer whole: 208 KiB by default.
 PART = 32 * 1024  # bytes of one part of a long head
@@ -18,7 +18,7 @@
 PART_OF = "part"  # of a head too long for one packet; the last has no more to follow
 
 
-class BadPacket(Error):
+class BadPacket(BadgerroadError):
     """The other side speaks another language."""
 
     code = "packet"
--- a/badgerroad/net/http1.py
+++ b/badgerroad/net/http1.py
@@ -9,7 +9,7 @@
 import re
 from collections.abc import Iterable
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.net.ring_buffer import Ring
 
 HEADER_LIMIT = 16 * 1024
@@ -42,7 +42,7 @@
 _CHUNK = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[\t -~\x80-\xff]*)?\Z")
 
 
-class BadMessage(Error):
+class BadMessage(BadgerroadError):
     """What came is not a message; `status` is the answer where one is owed."""
 
     code = "message"
--- a/badgerroad/operator/schema.py
+++ b/badgerroad/operator/schema.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from badgerroad import toml_files
-from badgerroad.config import BadConfig
+from badgerroad.config import ConfigError
 
 
 class Log(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -72,8 +72,8 @@
 
 
 def load(path: str) -> Operator:
-    """The file, checked. Raises BadConfig, whose one line names file, field and reason."""
-    operator = toml_files.decode(Path(path), Operator, BadConfig)
+    """The file, checked. Raises ConfigError, whose one line names file, field and reason."""
+    operator = toml_files.decode(Path(path), Operator, ConfigError)
     if operator.fleet is None:
         return operator
     return msgspec.structs.replace(operator, fleet=_with_whole_paths(operator.fleet, Path(path).parent))
--- a/badgerroad/request_log.py
+++ b/badgerroad/request_log.py
@@ -9,7 +9,7 @@
 log = logs.get("badgerroad")
 
 
-def answered(request: OpenRequest, status: int, now: int) -> None:
+def log_answer(request: OpenRequest, status: int, now: int) -> None:
     """A request has its final answer. `now`: microseconds."""
     due = min(
         request.request_class.latency_objective + int(request.request_class.objective_per_work * request.work_hint),
@@ -27,7 +27,7 @@
     )
 
 
-def attempt_ended(request: OpenRequest, attempt: Attempt, zone: str, result: str, now: int) -> None:
+def log_attempt_ended(request: OpenRequest, attempt: Attempt, zone: str, result: str, now: int) -> None:
     """An attempt has ended; `result` in the module's words. `now`: microseconds."""
     log.info(
         "attempt ended",
--- a/badgerroad/requests.py
+++ b/badgerroad/requests.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 
 from badgerroad.backend.attempts import Attempt, ForwardedRequest
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.frontend.client import Exchange
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1
@@ -35,7 +35,7 @@
 REQUEST_ID = re.compile(rb"[A-Za-z0-9._~:@!$&'()*+;=-]{1,128}\Z")
 
 
-class BadRequest(Error):
+class InvalidRequestError(BadgerroadError):
     """A header that the request needs is missing or malformed."""
 
     code = "request"
@@ -76,20 +76,20 @@
         self.admitted = False  # the module has heard of it
 
 
-def headers_of(message: http1.Message) -> http1.Headers:
+def forwarded_headers(message: http1.Message) -> http1.Headers:
     """Those that hosts are given."""
     return [(n.title(), v) for n, v in message.headers if n not in OWN_HEADERS]
 
 
-def id_of(message: http1.Message) -> bytes:
-    """The request's id. Raises BadRequest."""
+def parse_request_id(message: http1.Message) -> bytes:
+    """The request's id. Raises InvalidRequestError."""
     request_id = message.get(b"request-id") or b""
     if not REQUEST_ID.match(request_id):
-        raise BadRequest("request-id is missing or malformed")
+        raise InvalidRequestError("request-id is missing or malformed")
     return request_id
 
 
-def read(
+def parse_request(
     message: http1.Message,
     number: int,
     settings: interface.Settings,
@@ -97,19 +97,19 @@
     tenants: Mapping[bytes, int],
 ) -> interface.Request:
     """What the module hears of it as request `number`. `classes` and `tenants`: their places in the settings. Raises
-    BadRequest."""
+    InvalidRequestError."""
     parts = message.path.split(b"/")
     class_name = message.get(b"request-class")
     if class_name is not None and class_name != parts[1]:
-        raise BadRequest("request-class is not that of the path")
+        raise InvalidRequestError("request-class is not that of the path")
     index = classes[parts[1]]
     cls = settings.classes[index]
     if cls.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY and not message.get(b"idempotency-key"):
         # Without it no host could drop a repeat, and the module repeats because hosts do.
-        raise BadRequest("idempotency-key is missing")
+        raise InvalidRequestError("idempotency-key is missing")
     slots, memory = _size(message)
     if tenants and (message.get(b"tenant") or b"") not in tenants:
-        raise BadRequest("tenant is missing or unknown")
+        raise InvalidRequestError("tenant is missing or unknown")
     key = int.from_bytes(blake2b(parts[-1], digest_size=8).digest(), "big") if len(parts) > 2 else 0
     wait = min(_number(message, b"request-timeout-ms", 1, LONGEST_WAIT, None) * 1000, cls.deadline)
     return interface.Request(
@@ -125,8 +125,8 @@
     )
 
 
-def info_of(message: http1.Message) -> dict[bytes, float]:
-    """The figures of `Request-Info`. Raises BadRequest."""
+def parse_request_info(message: http1.Message) -> dict[bytes, float]:
+    """The figures of `Request-Info`. Raises InvalidRequestError."""
     extras = {}
     for part in (message.get(b"request-info") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
@@ -135,15 +135,15 @@
         try:
             extras[name] = float(value)
         except ValueError:
-            raise BadRequest("request-info is malformed") from None
+            raise InvalidRequestError("request-info is malformed") from None
     return extras
 
 
 def _size(message: http1.Message) -> tuple[float, float]:
-    extras = info_of(message)
+    extras = parse_request_info(message)
     slots, memory = extras.get(b"slots", 1.0), extras.get(b"memory", 0.0)
     if not 0 < slots < 1e6 or not 0 <= memory < 1e9:
-        raise BadRequest("request-info is out of range")
+        raise InvalidRequestError("request-info is out of range")
     return slots, memory
 
 
@@ -152,5 +152,5 @@
     if text is None and default is not None:
         return default
     if text is None or not text.isdigit() or len(text) > 15 or not least <= int(text) <= most:
-        raise BadRequest(f"{name.decode()} is missing or malformed")
+        raise InvalidRequestError(f"{name.decode()} is missing or malformed")
     return int(text)
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -13,9 +13,9 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad import __version__, startup_signals
-from badgerroad.config import BadConfig, Config, load, parse, read, reload, text_of
+from badgerroad.config import Config, ConfigError, load, parse, read, reload, text_of
 from badgerroad.dispatcher import Dispatcher
-from badgerroad.errors import CannotListen
+from badgerroad.errors import ListenError
 from badgerroad.net import logs
 from badgerroad.net.timer_wheel import Clock, Wheel
 from badgerroad.operator_limits import limit
@@ -41,20 +41,20 @@
 def assemble(config: Config, wheel: Wheel, counted: bool = False) -> tuple[Dispatcher, Listener | None]:
     """The dispatcher, and the second address where there is one; else nothing of that is imported, but for the counts
     of one that is `counted` elsewhere."""
-    if config.ops is None and not counted:
+    if config.admin is None and not counted:
         return Dispatcher(config, wheel), None
     from badgerroad.admin.counts import Counts
 
-    if config.ops is None:
+    if config.admin is None:
         return Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes)), None
     from badgerroad.admin.listener import KEPT, Listener
 
     dispatcher = Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes), KEPT)
-    return dispatcher, Listener(wheel, lambda: dispatcher.taking, dispatcher.figures)
+    return dispatcher, Listener(wheel, lambda: dispatcher.accepts_clients, dispatcher.metrics)
 
 
 def check_fleet(config: Config, operator: Any, operator_file: str | None) -> None:
-    """Raises BadConfig where the operator's file has a `[fleet]` that is wrong or not permitted."""
+    """Raises ConfigError where the operator's file has a `[fleet]` that is wrong or not permitted."""
     if operator is not None and operator.fleet is not None:
         from badgerroad.fleet import joining
 
@@ -62,7 +62,7 @@
 
 
 def join_fleet(dispatcher: Dispatcher, operator: Any, operator_file: str | None) -> QuotaExtension | None:
-    """None without a `[fleet]` in the operator's file: nothing of the fleet is imported then. Raises BadConfig."""
+    """None without a `[fleet]` in the operator's file: nothing of the fleet is imported then. Raises ConfigError."""
     if operator is None or operator.fleet is None:
         return None
     from badgerroad.fleet import joining
@@ -78,13 +78,13 @@
 async def _to_its_end(process: Coroutine[Any, Any, int]) -> int:
     try:
         return await process
-    except CannotListen as e:
+    except ListenError as e:
         print(f"badgerroad: {e.line}", file=sys.stderr)
         return CANNOT_LISTEN
 
 
 async def _serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None) -> int:
-    """Raises CannotListen."""
+    """Raises ListenError."""
     wheel = Wheel(Clock(), IOLoop.current())
     dispatcher, ops = assemble(config, wheel, counted=joined is not None)
     limit(dispatcher, operator)
@@ -101,7 +101,7 @@
         if handover is not None and handover.between and after < BETWEEN:
             wait = True
         # Where another process has the clients, none of them is ended for the end of this one.
-        if dispatcher.owed or wait or not finishing and not dispatcher.end():
+        if dispatcher.has_pending_responses or wait or not finishing and not dispatcher.end_client_connections():
             wheel.after(CHECK, lambda: check(since))
         else:
             done.set()
@@ -127,7 +127,7 @@
 
                 operator_now = load_operator(operator_file)
                 logs.configure(operator_now.log)
-        except BadConfig as e:
+        except ConfigError as e:
             log.error("reload failed; the old configuration stays in force", **e.fields)
             if dispatcher.counts:
                 dispatcher.counts.conf_invalid += 1
@@ -150,13 +150,13 @@
         process = ServerProcess(joined, dispatcher, wheel, stop)
     else:
         loop.add_signal_handler(signal.SIGHUP, reread)
-        for _ in range(startup_signals.hups):
+        for _ in range(startup_signals.reload_count):
             loop.call_soon(reread)
-    if ops is not None and config.ops is not None:
+    if ops is not None and config.admin is not None:
         try:
-            ops.listen(config.ops)  # before anything is taken from another process
+            ops.listen(config.admin)  # before anything is taken from another process
         except OSError as e:
-            raise CannotListen("ops", config.ops, e) from e
+            raise ListenError("ops", config.admin, e) from e
         from badgerroad.hot_restart.process import Handover
 
         handover = Handover(dispatcher, wheel, os.environ.get("TMPDIR") or "/tmp")
@@ -170,7 +170,7 @@
     try:
         host, port = await handover.begin() if handover is not None else dispatcher.start(process is not None)
     except OSError as e:
-        raise CannotListen("listen", config.listen, e) from e
+        raise ListenError("listen", config.listen, e) from e
     log.info(
         "listening",
         name=config.name,
@@ -220,13 +220,13 @@
         else:
             config = load(os.environ)
         check_fleet(config, operator, operator_file)
-    except BadConfig as e:
+    except ConfigError as e:
         print(f"badgerroad: {e.line}", file=sys.stderr)
         return BAD_CONFIG
     if check_only:
         print(
-            f"{config.name}: {len(config.settings.classes)} classes, {len(config.known['hosts'])} known hosts, "
-            f"{config.sockets} sockets; listens on {config.listen[0]}:{config.listen[1]}"
+            f"{config.name}: {len(config.settings.classes)} classes, {len(config.cached_endpoints['hosts'])} known hosts, "
+            f"{config.max_sockets} sockets; listens on {config.listen[0]}:{config.listen[1]}"
         )
         if operator is not None:
             print(f"{operator_file}: log {operator.log.format} at {operator.log.level}")
--- a/badgerroad/startup_signals.py
+++ b/badgerroad/startup_signals.py
@@ -4,13 +4,13 @@
 
 import signal
 
-hups = 0
+reload_count = 0
 
 
 def _count(_number: int, _frame: object) -> None:
-    global hups
-    hups += 1
+    global reload_count
+    reload_count += 1
 
 
-def hear() -> None:
+def install() -> None:
     signal.signal(signal.SIGHUP, _count)
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -15,8 +15,8 @@
 
 from badgerroad import serving
 from badgerroad.admin import listener as ops
-from badgerroad.config import BadConfig, read
-from badgerroad.errors import CannotListen
+from badgerroad.config import ConfigError, read
+from badgerroad.errors import ListenError
 from tests.support.loopback import CLASS, SETTINGS, World, async_test, id_of, job, read_message, reply, serve, until
 
 
@@ -68,7 +68,7 @@
             told = job(f"{end}{n}", cls, 300 if end == "late" else 5000)
             if end == "gone":
                 connection[1].write(told)
-                await until(lambda: f"gone{n}".encode() in w.dispatcher.by_id)
+                await until(lambda: f"gone{n}".encode() in w.dispatcher.requests_by_id)
                 connection[1].close()
                 ledger["errored", cls] += 1
                 return
@@ -77,7 +77,7 @@
             ledger[{200: "answered", 503: "deferred", 429: "deferred"}.get(status, "errored"), cls] += 1
 
         await asyncio.gather(*(play(n) for n in range(60)))
-        await until(lambda: not w.dispatcher.requests)
+        await until(lambda: not w.dispatcher.open_requests)
         figures = await w.figures()
         for word in ("answered", "deferred", "errored"):
             assert figures[word] == {cls: ledger[word, cls] for cls in ("preview", "bundle")}
@@ -101,7 +101,7 @@
         assert (first["conf_loaded"], first["conf_invalid"]) == (0, 0)
         w.entries[0]["health"] = "draining"
         await w.lists.put({"seq": 3, "whole": True, "hosts": w.entries})
-        await until(lambda: "draining" in w.dispatcher.worker_list.listed.values())
+        await until(lambda: "draining" in w.dispatcher.endpoint_watch.states.values())
         connection = await w.connect()
         connection[1].write(job("late1"))
         await until(lambda: w.hosts[1].got)
@@ -184,10 +184,10 @@
         assert await serving.serve(read(data, {}), None, None) == 1
         said = [ln for ln in capsys.readouterr().err.splitlines() if ln.startswith("badgerroad:")]
         assert said == [
-            f"badgerroad: listen: ops: 127.0.0.1:{w.ops_port}: Address already in use; {CannotListen.remedy}"
+            f"badgerroad: listen: ops: 127.0.0.1:{w.ops_port}: Address already in use; {ListenError.remedy}"
         ]
     good = json.dumps({**data, "settings": {**SETTINGS, "requestClasses": [{**CLASS, "name": "other"}]}})
-    monkeypatch.setattr(serving.startup_signals, "hups", 2)
+    monkeypatch.setattr(serving.startup_signals, "reload_count", 2)
     (tmp_path / "c.json").write_text(json.dumps(data))
     running, figures = asyncio.ensure_future(serving.serve(read(data, {}), None, None)), {}
     for text, name, count in (
@@ -222,8 +222,8 @@
 @pytest.mark.parametrize("value", ["nowhere", "127.0.0.1:", "127.0.0.1:99999", ":7"])
 def test_a_malformed_second_address_is_named(value):
     data = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
-    with pytest.raises(BadConfig, match="^ops: "):
+    with pytest.raises(ConfigError, match="^ops: "):
         read({**data, "ops": value}, {})
-    with pytest.raises(BadConfig, match="^ops: "):
+    with pytest.raises(ConfigError, match="^ops: "):
         read({**data, "ops": "127.0.0.1:3"}, {"PROXY_OPS": value})
-    assert read(data, {}).ops is None
+    assert read(data, {}).admin is None
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -34,8 +34,8 @@
         assert b"Client-Retry" not in head
         left = int(head.split(b"Request-Timeout-Ms: ")[1].split(b"\r\n")[0])
         assert 0 < left <= 3000
-        assert not w.dispatcher.requests
-        assert not w.dispatcher.by_id
+        assert not w.dispatcher.open_requests
+        assert not w.dispatcher.requests_by_id
         assert not w.dispatcher.backend.attempts
 
 
@@ -104,7 +104,7 @@
     async with World(*[lambda *_: reply(404)] * 2) as w:
         assert (await w.ask(job()))[0] == 404
         assert sum(len(h.got) for h in w.hosts) == 1
-        assert not w.dispatcher.requests
+        assert not w.dispatcher.open_requests
         assert [x.strikes for x in w.dispatcher.decisions.fleet] == [0, 0]
         assert not w.dispatcher.decisions.jobs
 
@@ -145,11 +145,11 @@
 
     async with World(first_takes_it, first_takes_it) as w:
         answer = w.begin(w.ask(job()))
-        await until(lambda: w.dispatcher.requests and w.dispatcher.requests[1].attempts[0].accepted)
-        first = w.dispatcher.requests[1].attempts[0].worker
+        await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
+        first = w.dispatcher.open_requests[1].attempts[0].worker
         w.dispatcher.decisions.may_begin = lambda *_: True  # the scenario decides in the module's place
         w.dispatcher._send(interface.Send(1, "h1" if first == "h0" else "h0"))
-        await until(lambda: w.dispatcher.requests[1].attempts[1].ended)
+        await until(lambda: w.dispatcher.open_requests[1].attempts[1].ended)
         assert await w.call_back("r1", "done", first, result="made") == 200
         assert (await answer)[2] == b"made"
 
@@ -169,7 +169,7 @@
             w.begin(w.ask(job(f"r{n}")))
         hosts = w.hosts
         await until(lambda: hosts[0].got and hosts[1].got)
-        for request in list(w.dispatcher.requests.values()):
+        for request in list(w.dispatcher.open_requests.values()):
             attempt = request.attempts[0]
             await until(lambda: attempt.accepted or attempt.worker == "h1")
             w.dispatcher.backend.cancel(attempt)
@@ -192,13 +192,13 @@
 
     async with World(script) as w:
         answer = w.begin(w.ask(job()))
-        await until(lambda: w.dispatcher.requests and w.dispatcher.requests[1].attempts[0].accepted)
-        w.dispatcher.backend.cancel(w.dispatcher.requests[1].attempts[0])
+        await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
+        w.dispatcher.backend.cancel(w.dispatcher.open_requests[1].attempts[0])
         w.dispatcher.decisions.may_begin = lambda *_: True  # the scenario decides in the module's place
         w.dispatcher._send(interface.Send(1, "h0"))  # waits until the host has answered the cancel
         assert await w.call_back("r1", "done", result="of the first") == 200
         gate.set()
-        await until(lambda: w.dispatcher.requests[1].attempts[1].accepted)
+        await until(lambda: w.dispatcher.open_requests[1].attempts[1].accepted)
         assert await w.call_back("r1", "done", result="of the second") == 200
         assert (await answer)[2] == b"of the second"
 
@@ -211,4 +211,4 @@
         assert status == 504  # it may have run: no refusal
         assert asyncio.get_running_loop().time() - begun >= 0.9
         await until(lambda: any(h.startswith(b"DELETE") for h, _ in w.hosts[0].got))
-        await until(lambda: not w.dispatcher.requests)
+        await until(lambda: not w.dispatcher.open_requests)
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -4,7 +4,7 @@
 import json
 
 from badgerroad.discovery import watch_schedule
-from badgerroad.discovery.endpoint_watch import WorkerListWatch
+from badgerroad.discovery.endpoint_watch import EndpointWatch
 from badgerroad.load_balancing import interface
 from tests.support.loopback import World, async_test, host, job, reply, serve, until
 
@@ -63,7 +63,7 @@
 @async_test
 async def test_many_dispatchers_spread_their_first_call_and_few_do_not(monkeypatch):
     def spread(dispatchers, number):
-        return WorkerListWatch(None, None, None, ("", 1), None, dispatchers, number).schedule.before(True)
+        return EndpointWatch(None, None, None, ("", 1), None, dispatchers, number).schedule.before(True)
 
     for many in (40, 200):
         first = sorted(spread(many, number) for number in range(many))
--- a/tests/discovery/test_stale_watches.py
+++ b/tests/discovery/test_stale_watches.py
@@ -108,7 +108,7 @@
 @async_test
 async def test_a_reload_to_pushed_lists_watches_unasked():
     async with World(serve, discovery=lambda head, _body: listed(w, 2), siblings=200) as w:
-        assert not w.dispatcher.worker_list.heard
+        assert not w.dispatcher.endpoint_watch.has_answered
         config = w.dispatcher.config
         w.dispatcher.reload(config._replace(settings=config.settings._replace(must_subscribe=False)))
         await until(lambda: w.dispatcher.ready)
@@ -121,8 +121,8 @@
         await asyncio.sleep(0.05)
         assert not w.discovery.got
         began = w.dispatcher.clock.now()
-        w.dispatcher.worker_list.move(("127.0.0.1", 1))  # nobody there
-        w.dispatcher.worker_list.move(("127.0.0.1", w.discovery.port))
+        w.dispatcher.endpoint_watch.change_address(("127.0.0.1", 1))  # nobody there
+        w.dispatcher.endpoint_watch.change_address(("127.0.0.1", w.discovery.port))
         await until(lambda: w.dispatcher.ready)
         assert w.dispatcher.clock.now() - began < 2_000_000
         assert b"index" not in w.discovery.got[0][0]  # the whole list
--- a/tests/dispatcher/test_admission.py
+++ b/tests/dispatcher/test_admission.py
@@ -100,8 +100,8 @@
         await asyncio.sleep(0.05)
         assert not got
         assert not sends(w)
-        assert not w.dispatcher.requests
-        assert not w.dispatcher.owed
+        assert not w.dispatcher.open_requests
+        assert not w.dispatcher.has_pending_responses
 
 
 @async_test
@@ -115,7 +115,7 @@
         await asyncio.sleep(0.05)
         assert not got
         assert not sends(w)
-        assert not w.dispatcher.requests
+        assert not w.dispatcher.open_requests
 
 
 @async_test
@@ -124,10 +124,10 @@
         holder = Holder()
         answer = await held_by(w, holder)
         w.dispatcher.drain()
-        assert w.dispatcher.owed
+        assert w.dispatcher.has_pending_responses
         holder.release()
         assert (await answer)[0] == 200
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
 
 
 @async_test
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -40,11 +40,11 @@
         d.decisions.workers["h1"].until = d.clock.now() + SEC  # so h0 is the first
         self.sock = socket.create_connection(("127.0.0.1", w.port))
         self.sock.sendall(job("r1", self.cls, 5000))
-        await until(lambda: d.requests and d.requests[1].attempts and d.requests[1].attempts[0].accepted)
+        await until(lambda: d.open_requests and d.open_requests[1].attempts and d.open_requests[1].attempts[0].accepted)
         d.decisions.workers["h1"].until = 0
-        d.backend.cancel(d.requests[1].attempts[0])
-        await until(lambda: len(d.requests[1].attempts) == 3)
-        self.attempt, self.connections = d.requests[1].attempts[2], len(w.hosts[0].writers)
+        d.backend.cancel(d.open_requests[1].attempts[0])
+        await until(lambda: len(d.open_requests[1].attempts) == 3)
+        self.attempt, self.connections = d.open_requests[1].attempts[2], len(w.hosts[0].writers)
         assert (self.attempt.worker, posts(w.hosts[0]), posts(w.hosts[1])) == ("h0", ["r1"], ["r1"])
         return self
 
@@ -71,9 +71,9 @@
             "gone": [h1],
             "another start": [{**h0, "born_ms": 1_700_000_000_000}, h1],
         }[change]
-        seen = w.dispatcher.worker_list.seq
+        seen = w.dispatcher.endpoint_watch.version
         w.lists.put_nowait({"seq": 3, "whole": True, "hosts": entries})
-        await until(lambda: w.dispatcher.worker_list.seq != seen)
+        await until(lambda: w.dispatcher.endpoint_watch.version != seen)
         if change == "nothing":
             s.gate.set()
             await until(lambda: posts(w.hosts[0]) == ["r1", "r1"])
@@ -103,7 +103,7 @@
         IOLoop.current().remove_handler(connection.stream.fileno())  # the loop does not come to read it
         s.sock.close()
         assert await s.open_gate() == ["r1"]
-        assert not s.world.dispatcher.requests
+        assert not s.world.dispatcher.open_requests
         assert connection.closed
 
 
@@ -118,7 +118,7 @@
         heard, handle = [], w.dispatcher.decisions.handle
         w.dispatcher.decisions.handle = lambda now, e: heard.append(type(e)) or handle(now, e)
         sock.close()
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         # Seen at once: the attempt has not run out of its time first.
         assert (
             next(e for e in heard if e in (interface.ClientDisconnected, interface.AttemptEnded))
@@ -135,7 +135,7 @@
         writer.write(job("r1"))
         writer.write(b"".join(job(f"s{n}", "preview", 5000, b"x" * 60_000) for n in range(400)))  # 24 MB
         assert b" 413 " in await reader.readline()
-        await until(lambda: not w.dispatcher.requests)
+        await until(lambda: not w.dispatcher.open_requests)
         writer.close()
 
 
@@ -147,10 +147,10 @@
         await until(lambda: w.dispatcher.ready)
         sock = socket.create_connection(("127.0.0.1", w.port))
         sock.sendall(job("r1"))
-        await until(lambda: w.dispatcher.requests)
+        await until(lambda: w.dispatcher.open_requests)
         w.dispatcher.frontend.draining = True  # each answer closes
         sock.sendall(job("r2")[:-1])  # in the same turn of the loop as the answer
-        w.dispatcher.requests[1].exchange.answer(200, b"made")
+        w.dispatcher.open_requests[1].exchange.answer(200, b"made")
         loop, got = asyncio.get_running_loop(), b""
         while data := await loop.run_in_executor(None, sock.recv, 65536):  # a reset would raise
             got += data
@@ -179,7 +179,7 @@
         await asyncio.sleep(0.05)
         sock.sendall(b"x")  # raises if what crossed was met by a reset
         assert not w.hosts[0].got
-        assert not w.dispatcher.requests
+        assert not w.dispatcher.open_requests
         sock.close()
         await until(lambda: not w.dispatcher.frontend.connections)
 
@@ -193,7 +193,7 @@
         w.dispatcher.drain()
         late = socket.create_connection(("127.0.0.1", w.port))  # accepted by the system, not by the loop
         late.sendall(job("r1"))
-        while w.dispatcher.owed or not w.dispatcher.end():
+        while w.dispatcher.has_pending_responses or not w.dispatcher.end_client_connections():
             await asyncio.sleep(0.005)
         w.dispatcher.close()
         got = await asyncio.get_running_loop().run_in_executor(None, late.recv, 65536)
@@ -218,11 +218,11 @@
     async with World(full_once, requestClasses=[unsafe]) as w:
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1", timeout=5000)))
-        await until(lambda: w.dispatcher.requests and w.dispatcher.requests[1].attempts[0].ended)
+        await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].ended)
         w.dispatcher.decisions.workers["h0"].until = w.dispatcher.decisions.workers["h0"].strikes = 0
         w.begin(w.ask(job("r2")))
         await until(lambda: posts(w.hosts[0])[-1] == "r2")
-        attempt = w.dispatcher.by_id[b"r2"].attempts[0]
+        attempt = w.dispatcher.requests_by_id[b"r2"].attempts[0]
         w.hosts[0].writers[0].write(FULL)  # the second answer to r1
         await asyncio.sleep(0.05)
         gate.set()
@@ -244,7 +244,7 @@
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1")))
         await until(lambda: w.hosts[0].got)
-        attempt = w.dispatcher.requests[1].attempts[0]
+        attempt = w.dispatcher.open_requests[1].attempts[0]
         w.hosts[0].writers[0].write(reply(202))  # it goes to the socket at once; the loop has not turned since
         w.dispatcher.backend.cancel(attempt)
         await until(lambda: any(head.startswith(b"DELETE /jobs/r1 ") for head, _ in w.hosts[0].got))
@@ -264,8 +264,8 @@
     async with World(slow, slow, permissions={**SETTINGS["permissions"], "secondCopies": False}) as w:
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1")))
-        await until(lambda: w.dispatcher.requests and w.dispatcher.requests[1].attempts[0].accepted)
-        request = w.dispatcher.requests[1]
+        await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
+        request = w.dispatcher.open_requests[1]
         w.dispatcher.backend.cancel(request.attempts[0])
         await asyncio.sleep(0.05)
         assert not request.attempts[0].ended
@@ -279,7 +279,7 @@
             assert not request.attempts[0].ended
             assert len(request.attempts) == 1
             assert await w.call_back("r1", "done", request.attempts[0].worker, result="made") == 200
-            await until(lambda: not w.dispatcher.requests)
+            await until(lambda: not w.dispatcher.open_requests)
         gate.set()
 
 
@@ -296,7 +296,7 @@
         w.entries[2]["block"] = 2
         await until(lambda: w.dispatcher.ready)
         w.lists.put_nowait({"seq": 3, "whole": True, "hosts": w.entries})
-        await until(lambda: w.dispatcher.worker_list.seq == 3)
+        await until(lambda: w.dispatcher.endpoint_watch.version == 3)
         d, decisions = w.dispatcher, w.dispatcher.decisions
         for name in ("h1", "h2"):
             decisions.workers[name].until = d.clock.now() + SEC  # so h0 is the first
@@ -305,8 +305,8 @@
         decisions.workers["h2"].until = 0
         decisions._send(decisions.jobs[1], decisions.workers["h1"])
         out, decisions.out = decisions.out, []
-        d.act(out)
-        await until(lambda: d.requests[1].attempts[1].ended)  # reset: it may have run
+        d.perform_actions(out)
+        await until(lambda: d.open_requests[1].attempts[1].ended)  # reset: it may have run
         gate.set()
         assert (await answer)[0] in (502, 504)  # a failure: it may have run
         assert not w.hosts[2].got
@@ -342,10 +342,10 @@
 async def test_a_whole_list_that_cannot_be_asked_for_is_a_failure_that_the_module_hears_of(monkeypatch):
     async with World(serve) as w:
         await until(lambda: w.dispatcher.ready)
-        heard, table = [], w.dispatcher.worker_list
+        heard, table = [], w.dispatcher.endpoint_watch
         table.close()  # its watch would fail too, and be heard of
         await until(lambda: not table._watching)
-        table.news = lambda news, places: heard.append(news.scope)
+        table.on_update = lambda news, places: heard.append(news.scope)
 
         def none_left(*_):
             raise OSError(24, "Too many open files")
@@ -377,7 +377,7 @@
         out.clear()
         returned.set()
         began = w.dispatcher.clock.now()
-        await until(lambda: w.dispatcher.worker_list.seq == 3)
+        await until(lambda: w.dispatcher.endpoint_watch.version == 3)
         assert w.dispatcher.clock.now() - began < TOLD
         assert (await w.ask(job("r1")))[0] == 200
 
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgerroad.class_table import Classes
-from badgerroad.config import BadConfig, read, reload
+from badgerroad.class_table import ClassTable
+from badgerroad.config import ConfigError, read, reload
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy import DispatchPolicy
 from tests.support.loopback import CLASS, SETTINGS, World, async_test, id_of, job, reply, serve, until
@@ -33,21 +33,21 @@
 def test_a_place_that_is_in_use_is_never_given_to_another_class(history):
     """`history`: files, jobs that come (a name) and jobs that end (a number)."""
     now = [interface.RequestClass("a")]
-    classes, jobs = Classes(now), []
+    classes, jobs = ClassTable(now), []
     for step in history:
         if isinstance(step, list):
             now = step
-            given_back = classes.change(now, {place for place, _ in jobs})
-            assert given_back == tuple(classes.places)
+            given_back = classes.update(now, {place for place, _ in jobs})
+            assert given_back == tuple(classes.request_classes)
         elif isinstance(step, int):
             jobs = [j for n, j in enumerate(jobs) if n != step]
-        elif step.encode() in classes.by_name:
-            place = classes.by_name[step.encode()]
-            jobs.append((place, classes.places[place]))
-        assert {n.decode() for n in classes.by_name} == {c.name for c in now}
-        assert all(classes.places[p] == c for p, c in jobs)  # its own, though the name may mean another by now
-        assert [classes.places[classes.by_name[c.name.encode()]] for c in now] == now
-        assert len(classes.places) <= len(now) + len(jobs) + 4
+        elif step.encode() in classes.index_by_name:
+            place = classes.index_by_name[step.encode()]
+            jobs.append((place, classes.request_classes[place]))
+        assert {n.decode() for n in classes.index_by_name} == {c.name for c in now}
+        assert all(classes.request_classes[p] == c for p, c in jobs)  # its own, though the name may mean another by now
+        assert [classes.request_classes[classes.index_by_name[c.name.encode()]] for c in now] == now
+        assert len(classes.request_classes) <= len(now) + len(jobs) + 4
 
 
 def settings(*classes, attempts=4, **more):
@@ -177,7 +177,7 @@
 )
 def test_a_broken_file_is_one_line_that_names_the_field(tmp_path, text, field):
     (tmp_path / "c.json").write_bytes(text)
-    with pytest.raises(BadConfig, match=field) as e:
+    with pytest.raises(ConfigError, match=field) as e:
         reload({"PROXY_CONFIG": str(tmp_path / "c.json")}, read(DATA, {}))
     assert "\n" not in str(e.value)
 
@@ -186,7 +186,7 @@
 async def test_a_sighup_before_it_is_ready_ends_nothing_and_is_not_lost():
     code = (
         "import os, signal, sys; sys.argv = ['badgerroad', 'serve']; from badgerroad import __main__, cli, startup_signals\n"
-        "cli.main = lambda: [os.kill(os.getpid(), signal.SIGHUP) for _ in '12'] and startup_signals.hups\nsys.exit(__main__.start())"
+        "cli.main = lambda: [os.kill(os.getpid(), signal.SIGHUP) for _ in '12'] and startup_signals.reload_count\nsys.exit(__main__.start())"
     )
     assert await (await asyncio.create_subprocess_exec(sys.executable, "-c", code)).wait() == 2
 
@@ -229,7 +229,7 @@
         assert (await w.ask(job("r2", "amend")))[0] == 400  # dedup: a key is needed
         assert (await w.ask(job("r3", "amend", 5000, b"x", "Idempotency-Key: k")))[0] == 200
         assert (await w.ask(job("r4", "bundle", 5000, b"x", "X: y")))[0] == 200  # no longer dedup
-        request = w.dispatcher.by_id[b"held1"]
+        request = w.dispatcher.requests_by_id[b"held1"]
         assert request.request_class.name == "preview"
         gate.set()
         assert (await held)[0] == 200
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -130,13 +130,13 @@
         assert await idle[0].read() == b""  # closed between requests
         assert (await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
         late = w.begin(w.ask(job("r2")))
-        await until(lambda: len(w.dispatcher.requests) == 2)
-        assert w.dispatcher.owed
+        await until(lambda: len(w.dispatcher.open_requests) == 2)
+        assert w.dispatcher.has_pending_responses
         gate.set()
         for status, head, _ in await asyncio.gather(busy, late):
             assert status == 200
             assert b"Connection: close" in head
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
 
 
 @pytest.mark.parametrize("hint", [10_000_000, 0])
@@ -229,7 +229,7 @@
         writer.write(job()[:40])
         await until(lambda: any(not c.idle for c in w.dispatcher.frontend.connections))
         w.dispatcher.drain()
-        assert not w.dispatcher.owed
+        assert not w.dispatcher.has_pending_responses
 
 
 @async_test
@@ -340,7 +340,7 @@
     async with World(serve) as w:
         many = [host(f"x{n:05}", 9, "draining", block=n) for n in range(9_999)]
         await w.lists.put({"seq": 3, "whole": True, "hosts": [*w.entries, *many]})
-        await until(lambda: len(w.dispatcher.worker_list.listed) == 10_000)
+        await until(lambda: len(w.dispatcher.endpoint_watch.states) == 10_000)
         assert (await w.ask(job()))[0] == 200
         for wrong in (
             {"seq": 4, "whole": True, "hosts": 5},
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -222,7 +222,7 @@
         0
     ]
     machine.start()
-    assert type(machine.schedule) is type(endpoint_watch.WorkerListWatch(None, None, None, ("", 1), None).schedule)
+    assert type(machine.schedule) is type(endpoint_watch.EndpointWatch(None, None, None, ("", 1), None).schedule)
 
 
 def test_discoverys_dead_calls_long_lists_and_watches_that_go_on():
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from tornado.iostream import IOStream
 
-from badgerroad.errors import CannotListen
+from badgerroad.errors import ListenError
 from badgerroad.fleet import connections as c
 from badgerroad.fleet import peer_connection
 from badgerroad.fleet.errors import BadFrame
@@ -281,5 +281,5 @@
 async def test_an_address_that_is_taken_is_a_typed_error():
     async with Network("a", "b") as network:
         network.controller("a")
-        with pytest.raises(CannotListen):
+        with pytest.raises(ListenError):
             network.node("b", c.ROLE_CONTROLLER).connections.listen(network.addresses["a"])
--- a/tests/fleet/test_controller_process.py
+++ b/tests/fleet/test_controller_process.py
@@ -10,7 +10,7 @@
 import pytest
 from fleet_processes import QUICK, Controllers, Program, asynchronous, until
 
-from badgerroad.config import BadConfig
+from badgerroad.config import ConfigError
 from badgerroad.fleet import table
 from badgerroad.fleet.settings import FleetSettings
 from badgerroad.operator.schema import Fleet, load
@@ -69,7 +69,7 @@
 
 
 def test_without_members_the_field_is_named():
-    with pytest.raises(BadConfig, match="o.toml: fleet.controllers"):
+    with pytest.raises(ConfigError, match="o.toml: fleet.controllers"):
         table.settings_of(Fleet(name="c0"), "o.toml")
 
 
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -126,7 +126,7 @@
             await until(lambda: controller.asked)
             assert w.figures().waiting == 1
             writer.close()
-            await until(lambda: not w.dispatcher.requests)
+            await until(lambda: not w.dispatcher.open_requests)
             assert w.figures().waiting == 0
             assert not w.got
 
--- a/tests/frontend/test_client_requests.py
+++ b/tests/frontend/test_client_requests.py
@@ -21,9 +21,9 @@
         writer.write(job())
         await until(lambda: w.hosts[0].got)
         writer.close()
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         assert await w.call_back("r1", "done", result="x") == 200
-        assert not w.dispatcher.requests
+        assert not w.dispatcher.open_requests
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
     async with World(silent) as w:
         w.begin(w.ask(job("r1", timeout=3_000_000)))
         await until(lambda: w.hosts[0].got)
-        (request,) = w.dispatcher.requests.values()
+        (request,) = w.dispatcher.open_requests.values()
         assert request.forwarded.deadline - request.received_at == SETTINGS["requestClasses"][0]["deadlineUs"]
 
 
@@ -71,7 +71,7 @@
         w.begin(w.ask(job("r1")))
         await until(lambda: w.hosts[0].got)
         assert (await w.ask(job("r1")))[0] == 400
-        assert len(w.dispatcher.requests) == 1
+        assert len(w.dispatcher.open_requests) == 1
 
 
 @async_test
@@ -114,7 +114,7 @@
             if more:
                 w.begin(trickle(writer))
             assert (await read_message(reader))[0].startswith(b"HTTP/1.1 408 ")
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         assert await silence.read() == b""
         assert (await w.ask(job("r2"), served))[0] == 200  # between requests a client may rest
 
@@ -137,7 +137,7 @@
         assert (await read_message(reader))[0].startswith(b"HTTP/1.1 %d " % status)
         assert await reader.read() == b""
         writer.close()
-        await until(lambda: not w.dispatcher.owed)
+        await until(lambda: not w.dispatcher.has_pending_responses)
         assert not w.hosts[0].got
 
 
@@ -150,4 +150,4 @@
         assert head.startswith(b"HTTP/1.1 400 ")
         assert b"Connection: close" in head
         assert await reader.read() == b""
-        await until(lambda: not w.dispatcher.requests and not w.dispatcher.decisions.jobs)
+        await until(lambda: not w.dispatcher.open_requests and not w.dispatcher.decisions.jobs)
--- a/tests/frontend/test_partial_messages.py
+++ b/tests/frontend/test_partial_messages.py
@@ -42,7 +42,7 @@
             await in_pieces(writer, text, size)
             assert (await read_message(reader))[1] == b"made"
         assert [body for _, body in w.hosts[0].got] == [b"hello", b"x"]
-        assert w.dispatcher.worker_list.seq == 2
+        assert w.dispatcher.endpoint_watch.version == 2
         reader, writer = await asyncio.open_connection("127.0.0.1", w.ops_port)
         await in_pieces(writer, b"GET /metrics HTTP/1.1\r\nA: b\r\n\r\n", size)
         assert b'"sends":2' in (await read_message(reader))[1]
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -27,7 +27,7 @@
     new, ops = assemble(w.dispatcher.config._replace(**over), Wheel(Clock(), IOLoop.current()))
     second = Handover(new, new.wheel, str(folder))
     w.begin(second.begin())
-    await until(lambda: new.taking)
+    await until(lambda: new.accepts_clients)
     try:
         yield first, second
     finally:
@@ -57,20 +57,20 @@
             writer.write(texts[n][: 2 * n])
         ahead = await w.connect()
         ahead[1].write(job("first") + job("second"))  # the one is open at a host, the other was read behind it
-        await until(lambda: b"first" in w.dispatcher.by_id and len(w.dispatcher.frontend.connections) == 61)
-        attempt = w.dispatcher.by_id[b"first"].attempts[0]
+        await until(lambda: b"first" in w.dispatcher.requests_by_id and len(w.dispatcher.frontend.connections) == 61)
+        attempt = w.dispatcher.requests_by_id[b"first"].attempts[0]
         await until(lambda: attempt.accepted)
         attempt.accepted = False  # as if the 202 had not come yet: that job has to wait
         async with with_second_process(w, tmp_path) as (first, second):
             await until(lambda: len(second.dispatcher.frontend.connections) >= 60)
-            assert first.dispatcher.requests
-            assert not first.dispatcher.taking
+            assert first.dispatcher.open_requests
+            assert not first.dispatcher.accepts_clients
             status, _, why = await w.ask(job("first"))
             assert status == 400
             assert b"open request" in why
             attempt.accepted = True
             first.term()
-            await until(lambda: not first.dispatcher.owed and not first.dispatcher.frontend.left)
+            await until(lambda: not first.dispatcher.has_pending_responses and not first.dispatcher.frontend.left)
             for n, (_, writer) in enumerate(crowd):
                 writer.write(texts[n][2 * n :])
             gate.set()
@@ -91,18 +91,18 @@
                 d, ops = assemble(w.dispatcher.config, Wheel(Clock(), IOLoop.current()))
                 third = Handover(d, d.wheel, str(tmp_path))
                 w.begin(third.begin())
-                await until(lambda: d.taking and first.predecessor.state == "passed")
+                await until(lambda: d.accepts_clients and first.predecessor.state == "passed")
                 first._arrived(rejected_socket := socket.socket())  # one at a time: it is sent away
                 assert rejected_socket.fileno() == -1
                 if back:
                     third.term()  # the second takes the new jobs again, and says so
-                    await until(lambda: second.dispatcher.taking and first.predecessor.state == "yielded")
+                    await until(lambda: second.dispatcher.accepts_clients and first.predecessor.state == "yielded")
                     third.close()
                     d.close()
                     await until(lambda: second.newer is None)
             second.close()
             await until(lambda: first.newer is None)
-            assert not w.dispatcher.taking
+            assert not w.dispatcher.accepts_clients
             assert not w.dispatcher.frontend._accepting
             second.dispatcher.frontend.close()
             assert (await w.ask(job()))[0] == 200
@@ -113,8 +113,8 @@
 async def stuck(w, name="r1", *headers):
     """An open job, accepted by a host, that stays with its process as if the 202 had not come yet."""
     answer = w.begin(w.ask(job(name, "preview", 5000, b"x", *headers)))
-    await until(lambda: any(attempt.accepted for r in w.dispatcher.by_id.values() for attempt in r.attempts))
-    (attempt,) = w.dispatcher.by_id[name.encode()].attempts
+    await until(lambda: any(attempt.accepted for r in w.dispatcher.requests_by_id.values() for attempt in r.attempts))
+    (attempt,) = w.dispatcher.requests_by_id[name.encode()].attempts
     attempt.accepted = False
     return answer, attempt
 
@@ -128,8 +128,8 @@
         async with with_second_process(w, tmp_path) as (first, second):
             attempt.accepted = True
             first.dispatcher.frontend.pass_on()
-            assert not first.dispatcher.requests
-            assert not second.dispatcher.requests
+            assert not first.dispatcher.open_requests
+            assert not second.dispatcher.open_requests
             for n in range(99):
                 second.dispatcher.called_back(b"other", "h0", "done", {"result": str(n)})
             second.dispatcher.called_back(b"r1", "h0", "done", {"result": "made"})
@@ -170,7 +170,11 @@
         silent = await w.connect()
         await w.call_back("r1", "started", attempt.worker)
         old.decisions.workers[attempt.worker].strikes = 3
-        told = {"zones": ["far", "a"], "kinds": ["big", "m2"], "known": {"seq": 0, "whole": True, "hosts": []}}
+        told = {
+            "zones": ["far", "a"],
+            "machine_types": ["big", "m2"],
+            "cached_endpoints": {"seq": 0, "whole": True, "hosts": []},
+        }
         async with with_second_process(w, tmp_path, **told) as (first, second):
             new = second.dispatcher
             # The list, though discovery is dead and the file knows no host; in the old one's numbers, the settings too.
@@ -191,16 +195,18 @@
             assert await silent[0].read() == b""  # its time went on over there
             # A repeat of the old one is told, with its start, and its end; the new one's own job likewise.
             await w.call_back("r1", "failed", attempt.worker)
-            await until(lambda: len(old.by_id[b"r1"].attempts) == 2 and old.by_id[b"r1"].attempts[1].written)
-            again_ = old.by_id[b"r1"].attempts[1]
+            await until(
+                lambda: len(old.requests_by_id[b"r1"].attempts) == 2 and old.requests_by_id[b"r1"].attempts[1].written
+            )
+            again_ = old.requests_by_id[b"r1"].attempts[1]
             await until(lambda: tallies(new)[again_.worker][0] == 1 and tallies(new)[attempt.worker] == (0, 0))
             await w.call_back("r1", "started", again_.worker)
             await until(lambda: tallies(new)[again_.worker] == (1, 1))
             w.begin(w.ask(job("n1")))
             await until(
-                lambda: b"n1" in new.by_id
-                and new.by_id[b"n1"].attempts
-                and tallies(old)[new.by_id[b"n1"].attempts[0].worker][0] == 1
+                lambda: b"n1" in new.requests_by_id
+                and new.requests_by_id[b"n1"].attempts
+                and tallies(old)[new.requests_by_id[b"n1"].attempts[0].worker][0] == 1
             )
             first.term()
             assert (
@@ -261,7 +267,7 @@
             say(new, step)
         if at == 0 and told != "close":  # no offer for one that is not of this dispatcher
             assert await asyncio.get_running_loop().sock_recv(new, 1) == b""
-        await until(lambda: first.newer is None and w.dispatcher.taking)
+        await until(lambda: first.newer is None and w.dispatcher.accepts_clients)
         assert first.predecessor.state == "over"
         assert (await w.ask(job()))[0] == 200
         assert w.dispatcher.descriptors.limit == w.dispatcher.descriptors.whole
@@ -295,12 +301,12 @@
         w.begin(second.begin())
         await until(lambda: arrived)
         if at:
-            say(arrived[0], dict(OFFER, known=config.known), w.dispatcher.frontend.listener.fileno())
+            say(arrived[0], dict(OFFER, known=config.cached_endpoints), w.dispatcher.frontend.listener.fileno())
             await until(lambda: second.successor.state == "claiming")
             assert d.descriptors.limit <= d.descriptors.whole - 100
-            assert not d.taking
+            assert not d.accepts_clients
         say(arrived[0], told, w.dispatcher.frontend.listener.fileno())
-        await until(lambda: d.taking)
+        await until(lambda: d.accepts_clients)
         assert (second._listener is None) == (at == 0 and told != dict(kind="offer", version=2))
         w.dispatcher.close()
         assert (await w.ask(job()))[0] == 200
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgerroad.config import BadConfig, read
+from badgerroad.config import ConfigError, read
 from badgerroad.multiprocess import rules
 from badgerroad.multiprocess.figures import Sums
 from badgerroad.multiprocess.server_process import Joined, Part, ServerProcess
@@ -127,12 +127,12 @@
 def test_server_processes_share_out_fleet_and_descriptors():
     config = read({**DATA, "ops": "127.0.0.1:3"}, {})
     parts = [Part(n, 4).of(config) for n in range(4)]
-    assert [(p.settings.dispatcher_count, p.settings.dispatcher_index, p.ops) for p in parts] == [
+    assert [(p.settings.dispatcher_count, p.settings.dispatcher_index, p.admin) for p in parts] == [
         (12, 4 + n, None) for n in range(4)
     ]
-    assert sum(p.sockets for p in parts) <= config.sockets - 36
+    assert sum(p.max_sockets for p in parts) <= config.max_sockets - 36
     assert len({p.seed for p in parts}) == 4
-    with pytest.raises(BadConfig, match="limits.sockets"):
+    with pytest.raises(ConfigError, match="limits.sockets"):
         Part(0, 8).of(config)
 
 
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from badgerroad.config import BadConfig
+from badgerroad.config import ConfigError
 from badgerroad.net import logs
 from badgerroad.operator.schema import load
 from tests.support.loopback import SETTINGS, World, async_test, job, serve
@@ -37,7 +37,7 @@
     path = tmp_path / "o.toml"
     if text is not None:
         path.write_text(text)
-    with pytest.raises(BadConfig) as e:
+    with pytest.raises(ConfigError) as e:
         load(str(path))
     assert str(path) in str(e.value)
     assert field in str(e.value)
--- a/tests/project/test_errors.py
+++ b/tests/project/test_errors.py
@@ -9,7 +9,7 @@
 import pytest
 
 import badgerroad
-from badgerroad.errors import CannotListen, Error
+from badgerroad.errors import BadgerroadError, ListenError
 
 ROOT = Path(__file__).parents[2]
 for module in pkgutil.walk_packages(badgerroad.__path__, "badgerroad."):
@@ -17,12 +17,13 @@
         importlib.import_module(module.name)
 
 
-def types(of=Error):
+def types(of=BadgerroadError):
     return {of} | {t for sub in of.__subclasses__() for t in types(sub)}
 
 
 TYPES = sorted(
-    (t for t in types() if t is not Error and t.__module__.startswith("badgerroad.")), key=lambda t: t.__name__
+    (t for t in types() if t is not BadgerroadError and t.__module__.startswith("badgerroad.")),
+    key=lambda t: t.__name__,
 )
 
 
@@ -52,6 +53,6 @@
 
 
 def test_a_line_says_code_what_happened_and_what_to_do():
-    e = CannotListen("ops", ("127.0.0.1", 7), OSError(98, "Address already\nin use"))
+    e = ListenError("ops", ("127.0.0.1", 7), OSError(98, "Address already\nin use"))
     assert e.line == f"listen: ops: 127.0.0.1:7: Address already in use; {e.remedy}"
     assert e.fields == {"code": "listen", "why": "ops: 127.0.0.1:7: Address already in use", "do": e.remedy}
