--- /dev/null
+++ b/badgerroad/dispatcher/core.py
@@ -0,0 +1,257 @@
+"""The dispatcher: puts its collaborators together and is the interface to start-up, extensions and other processes."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from badgerroad.class_table import ClassTable
+from badgerroad.config import Config
+from badgerroad.discovery.endpoint_watch import EndpointWatch
+from badgerroad.discovery.reader import EndpointListReader
+from badgerroad.dispatcher.active_settings import ActiveSettings
+from badgerroad.dispatcher.attempts import Attempts
+from badgerroad.dispatcher.decision_host import ActionHandlers, DecisionHost
+from badgerroad.dispatcher.extensions import Extensions
+from badgerroad.dispatcher.intake import RequestIntake
+from badgerroad.dispatcher.open_requests import OpenRequests
+from badgerroad.dispatcher.shutdown import ShutdownDeadline
+from badgerroad.extension import DispatcherExtension
+from badgerroad.frontend.http import Frontend
+from badgerroad.load_balancing import interface
+from badgerroad.load_balancing.policy import DispatchPolicy
+from badgerroad.load_balancing.state import avoided
+from badgerroad.net import logs
+from badgerroad.net.connection import Address, Descriptors
+from badgerroad.net.timer_wheel import Wheel
+from badgerroad.requests import OpenRequest
+
+if TYPE_CHECKING:
+    from badgerroad.admin.counts import Counts
+
+log = logs.get("badgerroad")
+
+
+class Dispatcher:
+    """One dispatcher process's part that serves clients; `start` opens its listener."""
+
+    def __init__(
+        self, config: Config, wheel: Wheel, counts: Counts | None = None, reserved_descriptors: int = 0
+    ) -> None:
+        """`counts` is None where no second listener shows them; `reserved_descriptors` are left for other uses."""
+        self.config = config
+        self.wheel = wheel
+        self.clock = wheel.clock
+        self.counts = counts
+        self.descriptors = Descriptors(config.max_sockets, reserved_descriptors)
+        self.decisions = DispatchPolicy(config.settings, config.seed)
+        self._active = ActiveSettings(config.settings)
+        self._extensions = Extensions()
+        self._shutdown = ShutdownDeadline(wheel.clock)
+        self._requests = OpenRequests(wheel, self._extensions, counts)
+        self._host = DecisionHost(self.decisions, wheel.clock, self._extensions, self._requests.fail_internally)
+        self.open_requests = self._requests.by_number
+        self.requests_by_id = self._requests.by_id
+        self.handle_event = self._host.handle_event
+        self.perform_actions = self._host.perform_actions
+        self.endpoint_watch = EndpointWatch(
+            wheel,
+            self.descriptors,
+            EndpointListReader(config.zones, config.machine_types),
+            config.discovery,
+            self._endpoints_updated,
+            config.settings.dispatcher_count,
+            config.settings.dispatcher_index,
+            config.seed,
+        )
+        attempts = Attempts(
+            wheel,
+            self.descriptors,
+            self._active,
+            self._host,
+            self._requests,
+            self._extensions,
+            lambda worker: self.endpoint_watch.zones.get(worker, ""),
+            lambda: self.frontend.make_room(),
+            counts,
+        )
+        self.backend = attempts.backend
+        self.intake = RequestIntake(
+            wheel.clock,
+            self._active,
+            self._host,
+            self._requests,
+            self._extensions,
+            self.backend,
+            self.endpoint_watch,
+            self._shutdown,
+            counts,
+        )
+        self.frontend = Frontend(wheel, self.descriptors, self.intake)
+        self._host.set_action_handlers(self._action_handlers(attempts))
+
+    def _action_handlers(self, attempts: Attempts) -> ActionHandlers:
+        watch, backend = self.endpoint_watch, self.backend
+        return {
+            interface.Send: attempts.send,
+            interface.Reject: attempts.reject,
+            interface.Fail: attempts.fail,
+            interface.Cancel: attempts.cancel,
+            interface.SetTimer: self._set_timer,
+            interface.Subscribe: lambda action: watch.subscribe(action.on),
+            interface.FetchEndpoints: lambda action: watch.fetch(),
+            interface.HealthCheck: lambda action: backend.probe(str(action.worker)),
+            interface.CloseIdle: lambda action: backend.close_idle(str(action.worker)),
+            interface.Log: lambda action: log.info("module", text=action.text),
+        }
+
+    @property
+    def settings(self) -> interface.Settings:
+        """The settings in force."""
+        return self._active.current
+
+    @property
+    def classes(self) -> ClassTable:
+        """The request classes in force, by name and index."""
+        return self._active.classes
+
+    @property
+    def extensions(self) -> tuple[DispatcherExtension, ...]:
+        """The extensions, in the order in which they were set."""
+        return self._extensions.active
+
+    def set_extension(self, name: str, extension: DispatcherExtension | None) -> None:
+        """Replace the extension of that name and pass it the settings; None removes it."""
+        self._extensions.set(name, extension)
+        if extension is not None:
+            extension.settings_changed(self.settings)
+
+    def extension(self, name: str) -> DispatcherExtension | None:
+        """The extension of that name, or None."""
+        return self._extensions.get(name)
+
+    def start(self, shared: bool = False) -> Address:
+        """Listen and start discovery. `shared`: other processes may listen at the same address. Raises OSError."""
+        address = self.frontend.listen(self.config.listen, shared=shared or self.config.admin is not None)
+        self.start_discovery(self.config.cached_endpoints)
+        return address
+
+    def start_discovery(self, cached_endpoints: Any) -> None:
+        """Use a cached endpoint list, in discovery's form, and ask discovery for what has changed since."""
+        self.endpoint_watch.load_cached(cached_endpoints)
+        self._configure_watch()
+
+    def reload(self, config: Config) -> None:
+        """Put a checked configuration in force. Open requests go on, the endpoint watch moves to the new discovery
+        address; what the sockets are built on takes effect at the next start."""
+        self._warn_of_fields_for_next_start(config)
+        log.info(
+            "reload",
+            discovery=f"{config.discovery[0]}:{config.discovery[1]}",
+            classes=",".join(request_class.name for request_class in config.settings.classes),
+            attempts=config.settings.max_attempts,
+        )
+        self.config = self.config._replace(
+            discovery=config.discovery,
+            settings=config.settings,
+            zones=config.zones,
+            machine_types=config.machine_types,
+            settings_keys=config.settings_keys,
+        )
+        self._apply_settings(config)
+        self._configure_watch()
+        self.endpoint_watch.change_address(config.discovery)
+
+    def adopt_name_indices(self, zones: list[str], machine_types: list[str]) -> None:
+        """Use the indices that another process of this dispatcher gave to zones and machine types."""
+        reader = self.endpoint_watch.reader
+        if (reader.zones, reader.machine_types) != (zones, machine_types):
+            reader.zones = list(zones)
+            reader.machine_types = list(machine_types)
+            self._apply_settings(self.config)
+
+    @property
+    def ready(self) -> bool:
+        """Whether discovery has answered, or is known to be unavailable."""
+        return self.endpoint_watch.has_answered
+
+    @property
+    def accepts_clients(self) -> bool:
+        """Whether this process accepts new clients."""
+        return self.ready and self.frontend.serving and not self.frontend.draining
+
+    @property
+    def has_pending_responses(self) -> bool:
+        """Whether a client still waits for an answer, or for the rest of one."""
+        return self.frontend.owed or self._requests.has_unanswered
+
+    def metrics(self) -> dict[str, Any]:
+        """What the second listener shows. Raises RuntimeError where this dispatcher does not count."""
+        if self.counts is None:
+            raise RuntimeError("this dispatcher was made without counts")
+        return self.counts.figures(len(self.endpoint_watch.states), avoided(self.decisions, self.clock.now()))
+
+    def next_request_number(self) -> int:
+        """A number that no other request of this process has."""
+        return self._requests.next_number()
+
+    def register_request(self, request: OpenRequest) -> None:
+        """Accept a request that another process has read: it will be answered here."""
+        self._requests.register(request, self.settings.tick)
+
+    def release_if_finished(self, request: OpenRequest) -> None:
+        """Forget a request that is answered and has no attempt in flight."""
+        self._requests.release_if_finished(request)
+
+    def drain(self) -> None:
+        """Begin a graceful shutdown: what still arrives is answered while there is time."""
+        self._shutdown.begin(self.settings.classes)
+        if not self.settings.clients_mark_retries:
+            # During the shutdown, how long a client has waited no longer tells a retry from a first request.
+            self.handle_event(interface.SettingsChanged(self.settings._replace(clients_mark_retries=True)))
+        self.frontend.drain()
+
+    def end_client_connections(self) -> bool:
+        """Once no response is pending: close client connections; True when all are closed."""
+        return self.frontend.end()
+
+    def close(self) -> None:
+        """Close the listener, the endpoint watch and idle connections to workers."""
+        self.frontend.close()
+        self.endpoint_watch.close()
+        self.backend.shed()
+
+    def _configure_watch(self) -> None:
+        self.endpoint_watch.set_agent_mode(not self.settings.must_subscribe, self.settings.drain_grace)
+
+    def _warn_of_fields_for_next_start(self, config: Config) -> None:
+        for field, before, after in (
+            ("name", self.config.name, config.name),
+            ("listen", self.config.listen, config.listen),
+            ("ops", self.config.admin, config.admin),
+            ("sockets", self.config.max_sockets, config.max_sockets),
+        ):
+            if before != after:
+                log.warning("reload: takes effect at the next start", field=field)
+
+    def _apply_settings(self, config: Config) -> None:
+        reader = self.endpoint_watch.reader
+        settings = reader.renumbered(config.settings, config.zones, config.machine_types)
+        self._active.replace(settings, {request.request_class for request in self.open_requests.values()})
+        self.backend.settings = self.settings
+        self.backend.learn_words()
+        if self.counts:
+            self.counts.know(request_class.name for request_class in settings.classes)
+        self.handle_event(interface.SettingsChanged(self.settings))
+        for extension in self.extensions:
+            extension.settings_changed(self.settings)
+
+    def _set_timer(self, action: interface.SetTimer) -> None:
+        # Patient: timers of missing heartbeats must not fire for time in which this process did not run.
+        self.wheel.after(action.delay, lambda: self.handle_event(interface.Timer(action.token)), patient=True)
+
+    def _endpoints_updated(self, update: interface.EndpointList, addresses: dict[str, Address]) -> None:
+        for worker, address in addresses.items():
+            self.backend.place(worker, address)
+        self.handle_event(update)
+        if update.scope != interface.ListScope.FAILED:
+            self.backend.forget_gone(self.endpoint_watch.states.__contains__)
--- /dev/null
+++ b/badgerroad/dispatcher/open_requests.py
@@ -0,0 +1,93 @@
+"""The open requests: each gets exactly one answer and is forgotten once no attempt of it is in flight."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from badgerroad import request_log
+from badgerroad.dispatcher.extensions import Extensions
+from badgerroad.net import http1
+from badgerroad.net.timer_wheel import Wheel
+from badgerroad.requests import OpenRequest
+
+if TYPE_CHECKING:
+    from badgerroad.admin.counts import Counts
+
+
+class OpenRequests:
+    """Owns the requests from their registration to their release, and counts them."""
+
+    def __init__(self, wheel: Wheel, extensions: Extensions, counts: Counts | None) -> None:
+        """`counts` is None where no second listener shows them."""
+        self.by_number: dict[int, OpenRequest] = {}
+        self.by_id: dict[bytes, OpenRequest] = {}
+        self._wheel = wheel
+        self._extensions = extensions
+        self._counts = counts
+        self._last_number = 0
+
+    def next_number(self) -> int:
+        """A number that no other request of this process has."""
+        self._last_number += 1
+        return self._last_number
+
+    @property
+    def upcoming_number(self) -> int:
+        """The number that `next_number` will give; nothing is taken yet."""
+        return self._last_number + 1
+
+    @property
+    def has_unanswered(self) -> bool:
+        """Whether a registered request still waits for its answer."""
+        return any(not request.exchange.answered for request in self.by_number.values())
+
+    def has_id(self, request_id: bytes) -> bool:
+        """Whether a request of that id is open, here or as far as the extensions know."""
+        return request_id in self.by_id or any(
+            extension.has_open_request(request_id) for extension in self._extensions.active
+        )
+
+    def register(self, request: OpenRequest, tick_us: int) -> None:
+        """Accept a request: it will be answered. A timer answers 504 one tick before its deadline if nothing else has
+        by then."""
+        self.by_number[request.number] = request
+        self.by_id[request.forwarded.id] = request
+        if self._counts:
+            self._counts.taken()
+        time_left_us = request.forwarded.deadline - self._wheel.clock.now() - tick_us
+        request.deadline_timer = self._wheel.after(
+            max(time_left_us, 0), lambda: self.answer(request, 504, b"out of time\n")
+        )
+
+    def answer(self, request: OpenRequest, status: int, body: bytes, headers: http1.Headers | None = None) -> None:
+        """Answer a request unless it has its answer. No other place answers a registered request."""
+        if not request.exchange.answered:
+            request_log.log_answer(request, status, self._wheel.clock.now())
+            if self._counts:
+                self._counts.ended(request.request_class.name, status)
+            request.exchange.answer(status, body, headers or [])
+        self.release_if_finished(request)
+
+    def fail_internally(self, number: int) -> None:
+        """Answer 500 after an unexpected exception; ignores a number that is not open."""
+        request = self.by_number.get(number)
+        if request:
+            self.answer(request, 500, b"internal error\n")
+
+    def client_disconnected(self, request: OpenRequest) -> None:
+        """Count a request whose client has left before its answer."""
+        if self._counts:
+            self._counts.ended(request.request_class.name, 0)
+
+    def release_if_finished(self, request: OpenRequest) -> None:
+        """Forget a request that is answered and has no attempt in flight."""
+        if not request.exchange.answered:
+            return
+        if request.deadline_timer:
+            request.deadline_timer.cancel()
+        if request.open_attempts:
+            return
+        self.by_number.pop(request.number, None)
+        if self.by_id.pop(request.forwarded.id, None):
+            for extension in self._extensions.active:
+                extension.request_forgotten(request.forwarded.id)
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from badgerroad import dispatcher
+from badgerroad.dispatcher import attempts as dispatcher_attempts
 from badgerroad.load_balancing import interface
 from tests.support.loopback import SETTINGS, World, async_test, id_of, job, reply, serve, until
 
@@ -111,7 +111,7 @@
 
 @async_test
 async def test_a_host_that_does_not_take_a_job_is_given_up_and_another_serves_it(monkeypatch):
-    monkeypatch.setattr(dispatcher, "ACCEPT_TIME", 100_000)
+    monkeypatch.setattr(dispatcher_attempts, "ACCEPT_TIME", 100_000)
 
     async def deaf_at_first(world, head, body):
         if sum(len(h.got) for h in world.hosts) == 1:
@@ -126,7 +126,7 @@
 
 @async_test
 async def test_a_host_that_calls_back_before_it_answers_is_not_given_up(monkeypatch):
-    monkeypatch.setattr(dispatcher, "ACCEPT_TIME", 100_000)
+    monkeypatch.setattr(dispatcher_attempts, "ACCEPT_TIME", 100_000)
 
     async def slow_to_answer(world, head, body):
         assert await world.call_back(id_of(head), "started", world.name_of(head)) == 200
@@ -148,7 +148,7 @@
         await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
         first = w.dispatcher.open_requests[1].attempts[0].worker
         w.dispatcher.decisions.may_begin = lambda *_: True  # the scenario decides in the module's place
-        w.dispatcher._send(interface.Send(1, "h1" if first == "h0" else "h0"))
+        w.dispatcher.perform_actions([interface.Send(1, "h1" if first == "h0" else "h0")])
         await until(lambda: w.dispatcher.open_requests[1].attempts[1].ended)
         assert await w.call_back("r1", "done", first, result="made") == 200
         assert (await answer)[2] == b"made"
@@ -195,7 +195,7 @@
         await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
         w.dispatcher.backend.cancel(w.dispatcher.open_requests[1].attempts[0])
         w.dispatcher.decisions.may_begin = lambda *_: True  # the scenario decides in the module's place
-        w.dispatcher._send(interface.Send(1, "h0"))  # waits until the host has answered the cancel
+        w.dispatcher.perform_actions([interface.Send(1, "h0")])  # waits until the host has answered the cancel
         assert await w.call_back("r1", "done", result="of the first") == 200
         gate.set()
         await until(lambda: w.dispatcher.open_requests[1].attempts[1].accepted)
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from badgerroad import dispatcher
 from badgerroad.discovery import endpoint_watch
+from badgerroad.dispatcher import shutdown
 from badgerroad.frontend import client as frontend_client
 from badgerroad.load_balancing import interface
 from badgerroad.net.connection import Descriptors
@@ -143,7 +143,7 @@
 @async_test
 async def test_what_comes_after_sigterm_is_answered_before_sigkill_at_once_if_it_cannot_be_done(hint, monkeypatch):
     """On a connection that stays open clients go on sending, up to SIGKILL; their own patience is longer than that."""
-    monkeypatch.setattr(dispatcher, "LONGEST_DRAIN", 0)
+    monkeypatch.setattr(shutdown, "LONGEST_DRAIN_US", 0)
     async with World(silent, silent) as w:
         await until(lambda: w.dispatcher.ready)
         fresh, late = await w.connect(), await w.connect()
@@ -159,9 +159,9 @@
         assert b"Connection: close" in head
         assert len(w.hosts[0].got + w.hosts[1].got) == (1 if hint else 2)
         assert not hint or took < 300_000
-        assert took < dispatcher.KILL
+        assert took < shutdown.KILL_DELAY_US
         assert not before.done()
-        await asyncio.sleep(max(dispatcher.KILL - dispatcher.MARGIN - took, 0) / 1e6)
+        await asyncio.sleep(max(shutdown.KILL_DELAY_US - shutdown.CLIENT_DELIVERY_MARGIN_US - took, 0) / 1e6)
         assert (await w.ask(job("r2"), late))[0] == 503  # in the last moment
 
 
--- a/tests/frontend/test_partial_messages.py
+++ b/tests/frontend/test_partial_messages.py
@@ -74,7 +74,7 @@
     async with World(serve) as w:
         await until(lambda: w.dispatcher.ready)
         looks = []
-        w.dispatcher.shed = lambda: looks.append(1)
+        w.dispatcher.intake.shed = lambda: looks.append(1)
         w.dispatcher.descriptors.used += int(0.92 * w.dispatcher.descriptors.limit)
         crowd = [socket.create_connection(("127.0.0.1", w.port)) for _ in range(40)]  # the loop stands meanwhile
         await until(lambda: len(w.dispatcher.frontend.connections) == 40)
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -131,8 +131,8 @@
             assert not first.dispatcher.open_requests
             assert not second.dispatcher.open_requests
             for n in range(99):
-                second.dispatcher.called_back(b"other", "h0", "done", {"result": str(n)})
-            second.dispatcher.called_back(b"r1", "h0", "done", {"result": "made"})
+                second.dispatcher.intake.called_back(b"other", "h0", "done", {"result": str(n)})
+            second.dispatcher.intake.called_back(b"r1", "h0", "done", {"result": "made"})
             if ends:
                 first.newer.link.close()
             assert (await answer)[0] == 200
