--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -12,8 +12,15 @@
 from badgerroad.discovery.watch_schedule import WatchSchedule
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
-from badgerroad.net.connection import Address, Broken, CallConnection, Descriptors, NoDescriptor, spawn
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.connection import (
+    Address,
+    CallConnection,
+    ConnectionBrokenError,
+    DescriptorBudget,
+    NoDescriptorError,
+    spawn,
+)
+from badgerroad.net.timer_wheel import TimerWheel
 
 log = logs.get("badgerroad")
 
@@ -26,7 +33,7 @@
 MOVE_PAUSE = 250_000
 
 
-class Silent(Broken):
+class SilentWatchError(ConnectionBrokenError):
     """A watch said nothing when its wait was over: it is broken, which no end of the connection shows. Discovery itself
     may be well."""
 
@@ -37,8 +44,8 @@
 class EndpointWatch:
     def __init__(
         self,
-        wheel: Wheel,
-        descriptors: Descriptors,
+        wheel: TimerWheel,
+        descriptors: DescriptorBudget,
         reader: EndpointListReader,
         address: Address,
         news: Callable[[interface.EndpointList, dict[str, Address]], None],
@@ -172,11 +179,11 @@
                 and news.version < self.version
             ):
                 raise EndpointListError(f"version {news.version} after {self.version}")
-        except (Broken, EndpointListError) as e:
+        except (ConnectionBrokenError, EndpointListError) as e:
             took = self.wheel.clock.now() - begun
             pause = self.schedule.failed(call, took)
-            if isinstance(e, Broken) and call.watches and took >= call.patience:
-                await self._retry_later(Silent(True, "the watch has fallen silent"), moves, pause)
+            if isinstance(e, ConnectionBrokenError) and call.watches and took >= call.patience:
+                await self._retry_later(SilentWatchError(True, "the watch has fallen silent"), moves, pause)
             else:
                 await self._retry_later(e, moves, pause)
             return
@@ -186,7 +193,7 @@
         self.schedule.answered()
         self._publish(news, places)
 
-    async def _retry_later(self, e: Broken | EndpointListError, moves: int, pause: int) -> None:
+    async def _retry_later(self, e: ConnectionBrokenError | EndpointListError, moves: int, pause: int) -> None:
         """After a failure: when the next call is due, and what the module hears. In a move, and until a look has failed
         too, it is not the module's."""
         log.info("discovery failed", code=e.code, why=str(e), again=pause // 1000)
@@ -216,7 +223,7 @@
         try:
             connection = self._open()
             self._publish(*await self._call(b"/api/targets", FETCH_TIME, connection))
-        except (Broken, EndpointListError) as e:
+        except (ConnectionBrokenError, EndpointListError) as e:
             log.info("discovery failed", code=e.code, why=str(e))
             self.on_update(interface.EndpointList(interface.ListScope.FAILED), {})
         finally:
@@ -227,7 +234,7 @@
         try:
             return CallConnection(self.descriptors, LIST_LIMIT)
         except OSError as e:  # the module and the next call must hear of it as of any failure
-            raise NoDescriptor(False, f"no descriptor for discovery: {e}") from e
+            raise NoDescriptorError(False, f"no descriptor for discovery: {e}") from e
 
     async def _call(
         self, target: bytes, patience: int, connection: CallConnection | None = None
@@ -237,7 +244,7 @@
         if connection is None and (mine is None or not mine.reusable):
             mine = self._connection = self._open()
         assert mine is not None
-        timer = self.wheel.after(patience, mine.close, patient=True)
+        timer = self.wheel.after(patience, mine.close, awaits_peer=True)
         try:
             if not mine.reusable:
                 await mine.connect(self.address)
@@ -245,7 +252,7 @@
         finally:
             timer.cancel()
         if answer.status != 200:
-            raise Broken(True, f"status {answer.status}")
+            raise ConnectionBrokenError(True, f"status {answer.status}")
         try:
             return await self.reader.read_in_slices(json.loads(answer.body))
         except (ValueError, RecursionError) as e:
--- a/badgerroad/dispatcher/attempts.py
+++ b/badgerroad/dispatcher/attempts.py
@@ -7,16 +7,16 @@
 
 from badgerroad import request_log
 from badgerroad.backend.attempts import Attempt
-from badgerroad.backend.http import ACCEPT_TIME, Backend
-from badgerroad.backend.reports import Load
+from badgerroad.backend.http import ACCEPT_TIMEOUT_US, Backend
+from badgerroad.backend.reports import LoadReport
 from badgerroad.dispatcher.active_settings import ActiveSettings
 from badgerroad.dispatcher.decision_host import DecisionHost
 from badgerroad.dispatcher.extensions import Extensions
 from badgerroad.dispatcher.open_requests import OpenRequests
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1
-from badgerroad.net.connection import Descriptors
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.connection import DescriptorBudget
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
 if TYPE_CHECKING:
@@ -31,8 +31,8 @@
 
     def __init__(
         self,
-        wheel: Wheel,
-        descriptors: Descriptors,
+        wheel: TimerWheel,
+        descriptors: DescriptorBudget,
         settings: ActiveSettings,
         host: DecisionHost,
         requests: OpenRequests,
@@ -75,7 +75,7 @@
             extension.attempt_sent(request, attempt)
         # Without retries nothing is gained by giving up early on a worker that does not accept.
         idempotent = request.request_class.semantics != interface.RetrySemantics.NON_IDEMPOTENT
-        self.backend.start(attempt, action.timeout, ACCEPT_TIME if idempotent else 0)
+        self.backend.start_attempt(attempt, action.timeout, ACCEPT_TIMEOUT_US if idempotent else 0)
 
     def reject(self, action: interface.Reject) -> None:
         """Answer 503, with Retry-After where the settings allow it."""
@@ -95,7 +95,7 @@
         """Cancel an attempt at its worker."""
         request = self._requests.by_number.get(action.request)
         if request and action.attempt < len(request.attempts):
-            self.backend.cancel(request.attempts[action.attempt])
+            self.backend.cancel_attempt(request.attempts[action.attempt])
 
     def _retry_after_headers(self, retry_after_us: int) -> http1.Headers:
         settings = self._settings.current
@@ -116,13 +116,13 @@
         """The last check before an attempt's first byte is written: the client may have left unnoticed, or the
         decisions may have changed since the action."""
         exchange = self._requests.by_number[attempt.request].exchange
-        if not exchange.answered and exchange.client_left():
+        if not exchange.answered and exchange.client_has_closed():
             exchange.close()
         if exchange.answered:
             return False
         return self._host.decisions.may_begin(self._clock.now(), attempt.request, attempt.number)
 
-    def _ended(self, attempt: Attempt, result: str, load: Load, body: bytes) -> None:
+    def _ended(self, attempt: Attempt, result: str, load: LoadReport, body: bytes) -> None:
         request = self._requests.by_number[attempt.request]
         request.open_attempts -= 1
         for extension in self._extensions.active:
--- a/badgerroad/dispatcher/core.py
+++ b/badgerroad/dispatcher/core.py
@@ -21,8 +21,8 @@
 from badgerroad.load_balancing.policy import DispatchPolicy
 from badgerroad.load_balancing.state import avoided
 from badgerroad.net import logs
-from badgerroad.net.connection import Address, Descriptors
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.connection import Address, DescriptorBudget
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
 if TYPE_CHECKING:
@@ -35,14 +35,14 @@
     """One dispatcher process's part that serves clients; `start` opens its listener."""
 
     def __init__(
-        self, config: Config, wheel: Wheel, counts: Counts | None = None, reserved_descriptors: int = 0
+        self, config: Config, wheel: TimerWheel, counts: Counts | None = None, reserved_descriptors: int = 0
     ) -> None:
         """`counts` is None where no second listener shows them; `reserved_descriptors` are left for other uses."""
         self.config = config
         self.wheel = wheel
         self.clock = wheel.clock
         self.counts = counts
-        self.descriptors = Descriptors(config.max_sockets, reserved_descriptors)
+        self.descriptors = DescriptorBudget(config.max_sockets, reserved_descriptors)
         self.decisions = DispatchPolicy(config.settings, config.seed)
         self._active = ActiveSettings(config.settings)
         self._extensions = Extensions()
@@ -71,7 +71,7 @@
             self._requests,
             self._extensions,
             lambda worker: self.endpoint_watch.zones.get(worker, ""),
-            lambda: self.frontend.make_room(),
+            lambda: self.frontend.free_descriptors(),
             counts,
         )
         self.backend = attempts.backend
@@ -99,7 +99,7 @@
             interface.SetTimer: self._set_timer,
             interface.Subscribe: lambda action: watch.subscribe(action.on),
             interface.FetchEndpoints: lambda action: watch.fetch(),
-            interface.HealthCheck: lambda action: backend.probe(str(action.worker)),
+            interface.HealthCheck: lambda action: backend.check_health(str(action.worker)),
             interface.CloseIdle: lambda action: backend.close_idle(str(action.worker)),
             interface.Log: lambda action: log.info("module", text=action.text),
         }
@@ -182,7 +182,7 @@
     @property
     def has_pending_responses(self) -> bool:
         """Whether a client still waits for an answer, or for the rest of one."""
-        return self.frontend.owed or self._requests.has_unanswered
+        return self.frontend.has_pending_responses or self._requests.has_unanswered
 
     def metrics(self) -> dict[str, Any]:
         """What the second listener shows. Raises RuntimeError where this dispatcher does not count."""
@@ -212,13 +212,13 @@
 
     def end_client_connections(self) -> bool:
         """Once no response is pending: close client connections; True when all are closed."""
-        return self.frontend.end()
+        return self.frontend.end_connections()
 
     def close(self) -> None:
         """Close the listener, the endpoint watch and idle connections to workers."""
         self.frontend.close()
         self.endpoint_watch.close()
-        self.backend.shed()
+        self.backend.shed_idle_connections()
 
     def _configure_watch(self) -> None:
         self.endpoint_watch.set_agent_mode(not self.settings.must_subscribe, self.settings.drain_grace)
@@ -238,7 +238,7 @@
         settings = reader.renumbered(config.settings, config.zones, config.machine_types)
         self._active.replace(settings, {request.request_class for request in self.open_requests.values()})
         self.backend.settings = self.settings
-        self.backend.learn_words()
+        self.backend.reload_report_fields()
         if self.counts:
             self.counts.know(request_class.name for request_class in settings.classes)
         self.handle_event(interface.SettingsChanged(self.settings))
@@ -247,11 +247,11 @@
 
     def _set_timer(self, action: interface.SetTimer) -> None:
         # Patient: timers of missing heartbeats must not fire for time in which this process did not run.
-        self.wheel.after(action.delay, lambda: self.handle_event(interface.Timer(action.token)), patient=True)
+        self.wheel.after(action.delay, lambda: self.handle_event(interface.Timer(action.token)), awaits_peer=True)
 
     def _endpoints_updated(self, update: interface.EndpointList, addresses: dict[str, Address]) -> None:
         for worker, address in addresses.items():
-            self.backend.place(worker, address)
+            self.backend.set_address(worker, address)
         self.handle_event(update)
         if update.scope != interface.ListScope.FAILED:
-            self.backend.forget_gone(self.endpoint_watch.states.__contains__)
+            self.backend.forget_unlisted(self.endpoint_watch.states.__contains__)
--- a/badgerroad/dispatcher/intake.py
+++ b/badgerroad/dispatcher/intake.py
@@ -56,22 +56,22 @@
         """Whether discovery has answered, or is known to be unavailable."""
         return self._endpoint_watch.has_answered
 
-    def knows_path(self, path: bytes) -> bool:
+    def serves_path(self, path: bytes) -> bool:
         """Whether the path names a request class."""
         return self._settings.knows_class(path)
 
-    def shed(self) -> None:
+    def shed_idle_connections(self) -> None:
         """Close idle connections to workers, for their descriptors."""
-        self._backend.shed()
+        self._backend.shed_idle_connections()
 
-    def turned_away(self, path: bytes) -> None:
+    def record_rejection(self, path: bytes) -> None:
         """Count a request that was rejected before it was registered."""
         if self._counts:
             self._counts.turned_away(path.split(b"/")[1].decode())
 
-    def called_back(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
+    def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
         """A worker reports on an attempt; one that is not known here is offered to the extensions."""
-        if not self._backend.called_back(request_id, host, state, item):
+        if not self._backend.handle_job_event(request_id, host, state, item):
             for extension in self._extensions.active:
                 extension.unknown_job_event(request_id, host, state, item)
 
@@ -93,7 +93,7 @@
             extension.request_received(request, event)
         admit_request(request, event, active, self._host.handle_event)
 
-    def client_gone(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         """The client has left before its answer."""
         request = self._requests.by_number.get(exchange.number)
         if request:
--- a/badgerroad/dispatcher/open_requests.py
+++ b/badgerroad/dispatcher/open_requests.py
@@ -7,7 +7,7 @@
 from badgerroad import request_log
 from badgerroad.dispatcher.extensions import Extensions
 from badgerroad.net import http1
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
 if TYPE_CHECKING:
@@ -17,7 +17,7 @@
 class OpenRequests:
     """Owns the requests from their registration to their release, and counts them."""
 
-    def __init__(self, wheel: Wheel, extensions: Extensions, counts: Counts | None) -> None:
+    def __init__(self, wheel: TimerWheel, extensions: Extensions, counts: Counts | None) -> None:
         """`counts` is None where no second listener shows them."""
         self.by_number: dict[int, OpenRequest] = {}
         self.by_id: dict[bytes, OpenRequest] = {}
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -20,7 +20,7 @@
     reader = d.endpoint_watch.reader
     return {
         "version": rules.VERSION,
-        "known": d.endpoint_watch.to_wire(d.backend.places()),
+        "known": d.endpoint_watch.to_wire(d.backend.addresses()),
         "zones": reader.zones,
         "kinds": reader.machine_types,
         "held": d.descriptors.used,
--- a/tests/frontend/test_client_requests.py
+++ b/tests/frontend/test_client_requests.py
@@ -97,7 +97,7 @@
 
 @async_test
 async def test_a_request_that_stops_or_trickles_is_given_up_and_so_is_a_silent_connection(monkeypatch):
-    monkeypatch.setattr(frontend_client, "REQUEST_TIME", 300_000)
+    monkeypatch.setattr(frontend_client, "REQUEST_TIMEOUT_US", 300_000)
     async with World(serve) as w:
 
         async def trickle(writer):
@@ -129,7 +129,7 @@
 )
 @async_test
 async def test_what_cannot_be_used_is_answered_and_closed_on_whatever_is_sent_behind_it(monkeypatch, bad, status):
-    monkeypatch.setattr(frontend_client, "LINGER", 60_000_000)
+    monkeypatch.setattr(frontend_client, "LINGER_TIME_US", 60_000_000)
     async with World(serve) as w:
         reader, writer = await w.connect()
         writer.write(bad + b"z" * 32_000_000)
