--- a/badgerroad/emulator/live/wire.py
+++ b/badgerroad/emulator/live/wire.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.net import http1
 from badgerroad.net.ring_buffer import RingBuffer
 
@@ -87,7 +87,7 @@
             self._server = None
 
 
-class CallFailedError(Error):
+class CallFailedError(BadgerroadError):
     """The call got no answer. `refused`: nobody listens; `silent_reuse`: a kept connection ended without a byte,
     as it does when its end crossed the request."""
 
--- a/badgerroad/net/http1.py
+++ b/badgerroad/net/http1.py
@@ -9,7 +9,7 @@
 import re
 from collections.abc import Iterable
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.net.ring_buffer import RingBuffer
 
 HEADER_LIMIT = 16 * 1024  # bytes
@@ -52,7 +52,7 @@
 _IN_TRAILERS = -2
 
 
-class BadMessageError(Error):
+class BadMessageError(BadgerroadError):
     """What has arrived is not a message; `status` is the response where one is due."""
 
     code = "message"
--- a/tests/frontend/test_client_requests.py
+++ b/tests/frontend/test_client_requests.py
@@ -23,7 +23,7 @@
         writer.close()
         await until(lambda: not w.dispatcher.has_pending_responses)
         assert await w.call_back("r1", "done", result="x") == 200
-        assert not w.dispatcher.requests
+        assert not w.dispatcher.open_requests
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
     async with World(silent) as w:
         w.begin(w.ask(job("r1", timeout=3_000_000)))
         await until(lambda: w.hosts[0].got)
-        (request,) = w.dispatcher.requests.values()
+        (request,) = w.dispatcher.open_requests.values()
         assert request.forwarded.deadline - request.received_at == SETTINGS["requestClasses"][0]["deadlineUs"]
 
 
@@ -71,7 +71,7 @@
         w.begin(w.ask(job("r1")))
         await until(lambda: w.hosts[0].got)
         assert (await w.ask(job("r1")))[0] == 400
-        assert len(w.dispatcher.requests) == 1
+        assert len(w.dispatcher.open_requests) == 1
 
 
 @async_test
@@ -150,4 +150,4 @@
         assert head.startswith(b"HTTP/1.1 400 ")
         assert b"Connection: close" in head
         assert await reader.read() == b""
-        await until(lambda: not w.dispatcher.requests and not w.dispatcher.decisions.jobs)
+        await until(lambda: not w.dispatcher.open_requests and not w.dispatcher.decisions.jobs)
