--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -17,7 +17,7 @@
 
 from badgerroad.errors import CannotListen
 from badgerroad.fleet.dialer import Dialer
-from badgerroad.fleet.errors import PeerRejected
+from badgerroad.fleet.errors import PeerRejectedError
 from badgerroad.fleet.framing import frame
 from badgerroad.fleet.messages import Hello, Message, encode
 from badgerroad.fleet.peer_connection import PeerConnection, Traffic
@@ -159,7 +159,7 @@
         previous = self._open.get(hello.name)
         if previous is not None and previous.peer is not None:
             if previous.peer.incarnation > hello.incarnation:
-                raise PeerRejected(f"a newer {hello.name} is connected")
+                raise PeerRejectedError(f"a newer {hello.name} is connected")
             self._replace(previous, hello)
         self._open[hello.name] = connection
         log.info("fleet: connected", peer=hello.name, role=hello.role)
@@ -167,15 +167,15 @@
             dialer.opened()
 
     def _check(self, hello: Hello, dialer: Dialer | None) -> None:
-        """Raises PeerRejected."""
+        """Raises PeerRejectedError."""
         if dialer is not None and (hello.name, hello.role) != (dialer.name, ROLE_CONTROLLER):
-            raise PeerRejected(f"{hello.role} {hello.name} answers where {dialer.name} should be")
+            raise PeerRejectedError(f"{hello.role} {hello.name} answers where {dialer.name} should be")
         if hello.name == self.hello.name:
-            raise PeerRejected(f"it has this process's own name, {hello.name}")
+            raise PeerRejectedError(f"it has this process's own name, {hello.name}")
         if hello.role == ROLE_CONTROLLER and hello.name not in self.controllers:
-            raise PeerRejected(f"{hello.name} is none of this fleet's controllers")
+            raise PeerRejectedError(f"{hello.name} is none of this fleet's controllers")
         if hello.role != ROLE_CONTROLLER and hello.name in self.controllers:
-            raise PeerRejected(f"{hello.role} {hello.name} has a controller's name")
+            raise PeerRejectedError(f"{hello.role} {hello.name} has a controller's name")
 
     def _replace(self, previous: PeerConnection, hello: Hello) -> None:
         """The same peer has connected anew; its earlier connection may not have noticed its end yet."""
--- a/badgerroad/fleet/errors.py
+++ b/badgerroad/fleet/errors.py
@@ -6,21 +6,21 @@
 from badgerroad.errors import Error
 
 
-class FleetRefused(BadConfig):
+class FleetNotPermittedError(BadConfig):
     """The deployment's settings do not permit what `[fleet]` asks for."""
 
     code = "fleet"
     remedy = "take [fleet] out of the operator's file, or have permissions.peers set by who owns the settings"
 
 
-class BadFrame(Error):
+class FrameError(Error):
     """A peer's bytes do not follow the framing; its connection is closed."""
 
     code = "frame"
     remedy = "look at who connects to this address, and at the versions on both sides"
 
 
-class PeerRejected(Error):
+class PeerRejectedError(Error):
     """A connection's first message does not fit; the connection is closed."""
 
     code = "peer"
--- a/badgerroad/fleet/extension.py
+++ b/badgerroad/fleet/extension.py
@@ -27,7 +27,7 @@
 LONGEST_NAME = 32  # characters of the dispatcher's own name in its name as a peer
 
 
-class HeldRequest(NamedTuple):
+class PendingRequest(NamedTuple):
     """A request that waits for its decision. `since`: when it was held, by the dispatcher's clock."""
 
     request: OpenRequest
@@ -57,7 +57,7 @@
         self.connections = Connections(hello, addresses, self, random)
         self._zone = zone
         self._teams: dict[int, str] = {}  # those with a quota, by their place among the module's tenants
-        self._held: dict[int, HeldRequest] = {}
+        self._held: dict[int, PendingRequest] = {}
         self._numbers: dict[bytes, int] = {}  # of what is held, by request id
         self._wakeup: Timer | None = None
         self._over = False
@@ -80,7 +80,7 @@
             proceed(event)
             return
         now = self._clock.now()
-        self._held[request.number] = HeldRequest(request, event, team, now, proceed)
+        self._held[request.number] = PendingRequest(request, event, team, now, proceed)
         self._numbers[request.forwarded.id] = request.number
         self._enter(lambda: self.leases.request(now, request.number, team))
         if request.number in self._held:
@@ -91,12 +91,12 @@
         """Its client has left, or its time is over."""
         number = self._numbers.pop(request_id, None)
         if number is not None and self._held.pop(number, None) is not None:
-            self.leases.forget(self._clock.now(), number)
+            self.leases.cancel(self._clock.now(), number)
 
     def _too_late(self, number: int) -> None:
         if number in self._held:
             log.error("fleet: a request was not decided in time; it goes on as over its quota", number=number)
-            self.leases.forget(self._clock.now(), number)
+            self.leases.cancel(self._clock.now(), number)
             self._decided(number, True)
 
     def settings_changed(self, settings: interface.Settings) -> None:
--- a/badgerroad/fleet/framing.py
+++ b/badgerroad/fleet/framing.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from badgerroad.fleet.errors import BadFrame
+from badgerroad.fleet.errors import FrameError
 from badgerroad.fleet.messages import MAXIMAL_MESSAGE
 
 LENGTH_BYTES = 4
 
 
 def frame(payload: bytes) -> bytes:
-    """The payload with its length before it. Raises BadFrame where it is longer than MAXIMAL_MESSAGE."""
+    """The payload with its length before it. Raises FrameError where it is longer than MAXIMAL_MESSAGE."""
     if len(payload) > MAXIMAL_MESSAGE:
-        raise BadFrame(f"a frame of {len(payload)} bytes; at most {MAXIMAL_MESSAGE} are allowed")
+        raise FrameError(f"a frame of {len(payload)} bytes; at most {MAXIMAL_MESSAGE} are allowed")
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
@@ -27,7 +27,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The payloads that are whole now, in order. Raises BadFrame at a length above MAXIMAL_MESSAGE."""
+        """The payloads that are whole now, in order. Raises FrameError at a length above MAXIMAL_MESSAGE."""
         self._buffer += data
         payloads: list[bytes] = []
         start = 0
@@ -35,7 +35,7 @@
             body = start + LENGTH_BYTES
             length = int.from_bytes(self._buffer[start:body], "big")
             if length > MAXIMAL_MESSAGE:
-                raise BadFrame(f"a frame of {length} bytes; at most {MAXIMAL_MESSAGE} are allowed")
+                raise FrameError(f"a frame of {length} bytes; at most {MAXIMAL_MESSAGE} are allowed")
             if len(self._buffer) < body + length:
                 break
             payloads.append(bytes(self._buffer[body : body + length]))
--- a/badgerroad/fleet/joining.py
+++ b/badgerroad/fleet/joining.py
@@ -5,7 +5,7 @@
 from badgerroad.config import BadConfig, Config
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.fleet import table
-from badgerroad.fleet.errors import FleetRefused
+from badgerroad.fleet.errors import FleetNotPermittedError
 from badgerroad.fleet.extension import QuotaExtension
 from badgerroad.fleet.settings import FleetSettings
 from badgerroad.operator.schema import Fleet
@@ -14,9 +14,12 @@
 
 
 def check(config: Config, fleet: Fleet, file: str) -> FleetSettings:
-    """`file`: that the table is from. Raises FleetRefused where the settings do not permit peers, and BadConfig."""
+    """Check the fleet table of the operator's file and return the fleet's settings.
+
+    Raises FleetNotPermittedError where the deployment's settings do not permit peers, and BadConfig.
+    """
     if not config.settings.peers_allowed:
-        raise FleetRefused(f"{file}: fleet: the settings do not permit it (permissions.peers)")
+        raise FleetNotPermittedError(f"{file}: fleet: the settings do not permit it (permissions.peers)")
     settings = table.settings_of(fleet, file)
     zone = zone_of(config, fleet)
     if zone not in settings.zones:
@@ -31,7 +34,10 @@
 
 
 def join(dispatcher: Dispatcher, fleet: Fleet, file: str) -> QuotaExtension:
-    """From now on its requests are asked for. Raises FleetRefused and BadConfig, before anything is changed."""
+    """Attach the quota extension to the dispatcher and start it.
+
+    Raises FleetNotPermittedError and BadConfig, before anything is changed.
+    """
     settings = check(dispatcher.config, fleet, file)
     zone = zone_of(dispatcher.config, fleet)
     extension = QuotaExtension(dispatcher.wheel, settings, dispatcher.config.name, zone)
--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -232,7 +232,7 @@
     tag: int
 
 
-class MalformedMessage(Error, ValueError):
+class MalformedMessageError(Error, ValueError):
     """Bytes that are no message of this protocol."""
 
     code = "fleet-message"
@@ -249,9 +249,9 @@
 
 
 def decode(data: bytes) -> Message | Unknown:
-    """The message in `data` (without framing). Raises MalformedMessage."""
+    """The message in `data` (without framing). Raises MalformedMessageError."""
     if len(data) > MAXIMAL_MESSAGE:
-        raise MalformedMessage(f"{len(data)} bytes in one message, at most {MAXIMAL_MESSAGE}")
+        raise MalformedMessageError(f"{len(data)} bytes in one message, at most {MAXIMAL_MESSAGE}")
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -259,11 +259,11 @@
 
 
 def _unknown(data: bytes, cause: Exception) -> Unknown:
-    """Raises MalformedMessage unless only the kind is unknown."""
+    """Raises MalformedMessageError unless only the kind is unknown."""
     try:
         fields: Any = msgspec.msgpack.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        raise MalformedMessage(str(cause)) from cause
+        raise MalformedMessageError(str(cause)) from cause
     if isinstance(fields, list) and fields and type(fields[0]) is int and fields[0] not in TAGS:
         return Unknown(fields[0])
-    raise MalformedMessage(str(cause)) from cause
+    raise MalformedMessageError(str(cause)) from cause
--- a/badgerroad/fleet/peer_connection.py
+++ b/badgerroad/fleet/peer_connection.py
@@ -9,9 +9,9 @@
 import msgspec
 from tornado.iostream import IOStream, StreamBufferFullError, StreamClosedError
 
-from badgerroad.fleet.errors import BadFrame, PeerRejected
+from badgerroad.fleet.errors import FrameError, PeerRejectedError
 from badgerroad.fleet.framing import FrameReader, frame
-from badgerroad.fleet.messages import Hello, MalformedMessage, Message, Unknown, decode, encode
+from badgerroad.fleet.messages import Hello, MalformedMessageError, Message, Unknown, decode, encode
 from badgerroad.net import logs
 
 log = logs.get("badgerroad")
@@ -54,7 +54,7 @@
         received: Callable[[PeerConnection, Message], None],
         closed: Callable[[PeerConnection], None],
     ) -> None:
-        """`hello`: what this side says of itself. `opened` may raise PeerRejected at what the other side says."""
+        """`hello`: what this side says of itself. `opened` may raise PeerRejectedError at what the other side says."""
         self.stream, self._hello = stream, hello
         self.peer: Hello | None = None  # until it has said who it is
         self.traffic = Traffic()
@@ -75,10 +75,10 @@
                 self._read(data)
         except StreamClosedError:
             self.traffic.broken += self._frames.unfinished
-        except BadFrame as e:
+        except FrameError as e:
             self.traffic.broken += 1
             log.warning("fleet: connection closed", peer=self.name, **e.fields)
-        except PeerRejected as e:
+        except PeerRejectedError as e:
             self.traffic.rejected += 1
             log.warning("fleet: connection closed", peer=self.name, **e.fields)
         finally:
@@ -151,13 +151,13 @@
             self._received(self, message)
 
     def _greet(self, message: Message | None) -> None:
-        """Raises PeerRejected."""
+        """Raises PeerRejectedError."""
         if not isinstance(message, Hello):
-            raise PeerRejected("its first message is no Hello")
+            raise PeerRejectedError("its first message is no Hello")
         self.peer = message
         try:
             self._opened(self, message)
-        except PeerRejected:
+        except PeerRejectedError:
             self.peer = None
             raise
 
@@ -166,7 +166,7 @@
     """None: of an unknown kind, or malformed."""
     try:
         message = decode(payload)
-    except MalformedMessage:
+    except MalformedMessageError:
         return None
     return None if isinstance(message, Unknown) else message
 
--- a/badgerroad/fleet/rules/actions.py
+++ b/badgerroad/fleet/rules/actions.py
@@ -29,11 +29,11 @@
     message: Message
 
 
-class Decided(NamedTuple):
+class QuotaDecision(NamedTuple):
     """A dispatcher's request may go on. `over_quota`: it is beyond its team's quota, or nobody could tell in time."""
 
     request: int
     over_quota: bool
 
 
-Action = Union[SendMessage, Decided]
+Action = Union[SendMessage, QuotaDecision]
--- a/badgerroad/fleet/rules/controller.py
+++ b/badgerroad/fleet/rules/controller.py
@@ -21,7 +21,7 @@
 SESSION_BITS = 48  # of the random number that a term's session numbers count up from
 
 
-class ControllerFigures(msgspec.Struct, frozen=True):
+class ControllerFigures(msgspec.Struct, frozen=True, rename={"requests_rejected": "requests_refused"}):
     """For log lines. `requests_*`, `reserve_used`, `elections_*` and `ownerships_lost` are totals since the start."""
 
     owned_shards: int = 0
@@ -30,7 +30,7 @@
     dispatchers: int = 0
     teams: int = 0
     requests_granted: int = 0
-    requests_refused: int = 0
+    requests_rejected: int = 0
     reserve_used: int = 0
     elections_won: int = 0
     elections_lost: int = 0
@@ -65,7 +65,7 @@
             actions += owner.tick(now)
             closing = self.candidate.owned(now)[shard].closing
             if closing is not None and closing - now <= HAND_OUT_BEFORE:
-                actions += owner.hand_out(now, self._me if self.candidate.leaving else None)
+                actions += owner.distribute_remaining(now, self._me if self.candidate.leaving else None)
         actions += self.zone.tick(now)
         if self._may_end():
             actions += self.zone.end(now)
@@ -103,7 +103,7 @@
             dispatchers=self.zone.dispatcher_count,
             teams=sum(len(part) for part in self._quotas),
             requests_granted=self.zone.granted,
-            requests_refused=self.zone.refused,
+            requests_rejected=self.zone.rejected,
             reserve_used=self.zone.from_reserve,
             elections_won=self.candidate.won,
             elections_lost=self.candidate.lost,
@@ -115,7 +115,7 @@
         return self.candidate.owned(now)
 
     def _may_end(self) -> bool:
-        return self.candidate.leaving and not self.candidate.holds_any
+        return self.candidate.leaving and not self.candidate.owns_any
 
     def _expire(self, now: int) -> None:
         """What has run out is dropped before anything else is done, also when this process was stopped for long."""
@@ -150,7 +150,7 @@
         if isinstance(message, messages.LeaseRequest):
             return self.zone.lease(now, sender, message)
         if isinstance(message, messages.LeaseReturn):
-            self.zone.take_back(now, sender, message)
+            self.zone.receive_return(now, sender, message)
             return []
         if sender.name not in self._settings.by_name:
             return []
@@ -168,14 +168,14 @@
                 if self.voter is not None:
                     self.voter.release(sender, message)
             case messages.OwnerAnnouncement():
-                self._view.hear_announcement(now, sender, message)
+                self._view.receive_announcement(now, sender, message)
             case messages.QuotaRequest():
                 return self._answer_quota_request(now, sender, message)
             case messages.QuotaGrant():
                 self.zone.receive_grant(now, sender, message)
             case messages.QuotaReturn():
                 if message.shard in self.owners:
-                    self.owners[message.shard].take_back(now, sender, message)
+                    self.owners[message.shard].receive_return(now, sender, message)
             case messages.NotOwner():
                 self._view.forget(Owner(sender, message.term), message.shard)
         return []
--- a/badgerroad/fleet/rules/controller_choice.py
+++ b/badgerroad/fleet/rules/controller_choice.py
@@ -30,11 +30,11 @@
     def own(self) -> str:
         return self._order[0]
 
-    def asked(self, now: int, sequence: int) -> None:
+    def request_sent(self, now: int, sequence: int) -> None:
         """The current one was asked."""
         self._open[sequence] = now
 
-    def answered(self, name: str) -> bool:
+    def reply_received(self, name: str) -> bool:
         """Returns whether that brings a change: the own one is back."""
         if name == self.current:
             self._open.clear()
@@ -44,7 +44,7 @@
         self._turn_to(0)
         return True
 
-    def lost(self, now: int, name: str) -> bool:
+    def connection_lost(self, now: int, name: str) -> bool:
         """The connection to `name` closed. Returns whether that brings a change."""
         if name != self.current:
             return False
@@ -63,7 +63,7 @@
         self._next(now)
         return True
 
-    def should_try_own(self, now: int) -> bool:
+    def should_poll_own(self, now: int) -> bool:
         """Time to ask the zone's own controller whether it is back?"""
         if self._index == 0 or now < self._next_try:
             return False
--- a/badgerroad/fleet/rules/credits.py
+++ b/badgerroad/fleet/rules/credits.py
@@ -24,7 +24,7 @@
     returned: int
 
 
-class GrantedCredit:
+class GrantorCredit:
     """The granting end. What is granted is outstanding until it is reported used or returned, or written off."""
 
     __slots__ = ("granted", "used", "returned", "written_off")
@@ -68,7 +68,7 @@
         return outstanding
 
 
-class HeldCredit:
+class HolderCredit:
     """The holding end."""
 
     __slots__ = ("granted", "used", "returned")
@@ -77,7 +77,7 @@
         self.granted = self.used = self.returned = 0
 
     @property
-    def held(self) -> int:
+    def unused(self) -> int:
         return self.granted - self.used - self.returned
 
     def take(self, granted: int) -> int:
--- a/badgerroad/fleet/rules/dispatcher.py
+++ b/badgerroad/fleet/rules/dispatcher.py
@@ -19,9 +19,9 @@
     Message,
     Usage,
 )
-from badgerroad.fleet.rules.actions import Action, Decided, Peer, Randomness, SendMessage
+from badgerroad.fleet.rules.actions import Action, Peer, QuotaDecision, Randomness, SendMessage
 from badgerroad.fleet.rules.controller_choice import ControllerChoice
-from badgerroad.fleet.rules.team_leases import INHERITED, HeldLease, TeamLeases
+from badgerroad.fleet.rules.team_leases import INHERITED, DispatcherLease, TeamLeases
 from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
 
 REFUSED_FOR = 50_000  # microseconds for which a refusal is remembered
@@ -32,7 +32,7 @@
 MAXIMAL_TEAMS = 4096  # further ones are over quota without asking
 
 
-class DispatcherFigures(msgspec.Struct, frozen=True):
+class DispatcherFigures(msgspec.Struct, frozen=True, rename={"lease_requests": "asks", "unused": "held"}):
     """For log lines. Counts are totals since the start, but `held` and `waiting`. `over_unanswered`: those of `over`
     that nobody answered in time."""
 
@@ -40,8 +40,8 @@
     within: int = 0
     over: int = 0
     over_unanswered: int = 0
-    asks: int = 0
-    held: int = 0
+    lease_requests: int = 0
+    unused: int = 0
     waiting: int = 0
 
 
@@ -59,19 +59,19 @@
     leases: tuple[ExportedLease, ...] = ()
 
 
-class Wanted(NamedTuple):
+class RequestedCredit(NamedTuple):
     """How many requests were asked for, and the total that would have to be granted for that."""
 
     requests: int
     total: int
 
 
-class Ask(NamedTuple):
+class OpenLeaseRequest(NamedTuple):
     """A LeaseRequest that is open."""
 
     sent: int
     controller: str
-    wanted: dict[str, Wanted]
+    wanted: dict[str, RequestedCredit]
 
 
 class DispatcherLeases:
@@ -88,7 +88,7 @@
         self._active: dict[str, None] = {}  # in order: teams that may hold something, or have something to report
         self._waiting: dict[int, str] = {}
         self._deadlines: deque[tuple[int, int]] = deque()
-        self._asks: dict[int, Ask] = {}
+        self._asks: dict[int, OpenLeaseRequest] = {}
         self._sequence = 0
         self._lease = settings.dispatcher_lease_ms * MICROSECONDS
         self._next_review = now + self._lease // REVIEWS
@@ -104,13 +104,13 @@
         if leases.take(now):
             self._active[team] = None
             return [self._decide(request, False), *self._prefetch(now, team, leases)]
-        if now < leases.refused_until:
+        if now < leases.rejected_until:
             return [self._decide(request, True)]
         deadline = now + self._settings.ask_timeout_ms * MICROSECONDS
         leases.waiting[request] = deadline
         self._waiting[request] = team
         self._deadlines.append((deadline, request))
-        return self._ask(now, [team]) if leases.asked is None else []
+        return self._ask(now, [team]) if leases.open_request is None else []
 
     def receive(self, now: int, sender: Peer, message: Message) -> list[Action]:
         known = self._incarnations.get(sender.name, 0)
@@ -123,7 +123,7 @@
         if ask is None or ask.controller != sender.name:
             return []
         actions: list[Action] = []
-        returned = self._choice.answered(sender.name)
+        returned = self._choice.reply_received(sender.name)
         again = [team for credit in message.credits for team in self._take(now, sender, ask, credit, actions)]
         for team in ask.wanted:
             self._close_ask(team, message.sequence)
@@ -136,7 +136,7 @@
         actions = self._time_out(now)
         if self._choice.tick(now):
             actions += self._ask(now, self._waiting_teams())
-        if self._choice.should_try_own(now):
+        if self._choice.should_poll_own(now):
             actions.append(self._send_ask(now, self._choice.own, {}))
         if now >= self._next_review:
             self._next_review = now + self._lease // REVIEWS
@@ -155,11 +155,11 @@
 
     def peer_lost(self, now: int, name: str) -> list[Action]:
         self._incarnations.pop(name, None)
-        if not self._choice.lost(now, name):
+        if not self._choice.connection_lost(now, name):
             return []
         return self._ask(now, self._waiting_teams())
 
-    def forget(self, now: int, request: int) -> None:
+    def cancel(self, now: int, request: int) -> None:
         """The client of a waiting request left."""
         team = self._waiting.pop(request, None)
         if team is not None:
@@ -170,7 +170,7 @@
         self._released = True
         for team in self._active:
             for account in self._teams[team].accounts.values():
-                account.give_back(account.held)
+                account.give_back(account.unused)
         return self._report()
 
     def export(self, now: int) -> LeaseExport:
@@ -179,8 +179,8 @@
         for team in self._active:
             for account in self._teams[team].accounts.values():
                 account.drop_ended(now)
-                if account.held:
-                    exported.append(ExportedLease(team, account.pass_on(), account.end))
+                if account.unused:
+                    exported.append(ExportedLease(team, account.transfer(), account.end))
         return LeaseExport(tuple(exported))
 
     @classmethod
@@ -205,7 +205,7 @@
             account = self._teams.setdefault(lease.team, TeamLeases(now)).account(INHERITED)
             account.drop_ended(now)
             account.take(account.granted + lease.count)
-            account.end = min(account.end, lease.end) if account.held > lease.count else lease.end
+            account.end = min(account.end, lease.end) if account.unused > lease.count else lease.end
             self._active[lease.team] = None
 
     def figures(self, now: int) -> DispatcherFigures:
@@ -214,8 +214,8 @@
             within=self._within,
             over=self._over,
             over_unanswered=self._unanswered,
-            asks=self._sequence,
-            held=sum(self._teams[team].held(now) for team in self._active),
+            lease_requests=self._sequence,
+            unused=sum(self._teams[team].unused(now) for team in self._active),
             waiting=len(self._waiting),
         )
 
@@ -234,14 +234,14 @@
         leases = self._teams[team] = TeamLeases(now)
         return leases
 
-    def _decide(self, request: int, over_quota: bool) -> Decided:
+    def _decide(self, request: int, over_quota: bool) -> QuotaDecision:
         if over_quota:
             self._over += 1
         else:
             self._within += 1
-        return Decided(request, over_quota)
+        return QuotaDecision(request, over_quota)
 
-    def _decide_waiting(self, leases: TeamLeases, request: int, over_quota: bool) -> Decided:
+    def _decide_waiting(self, leases: TeamLeases, request: int, over_quota: bool) -> QuotaDecision:
         del leases.waiting[request]
         del self._waiting[request]
         return self._decide(request, over_quota)
@@ -260,8 +260,8 @@
             within = leases.take(now)
             if not within:
                 self._unanswered += 1
-                leases.refused_until = now + REFUSED_FOR
-                leases.asked = None
+                leases.rejected_until = now + REFUSED_FOR
+                leases.open_request = None
             actions.append(self._decide_waiting(leases, request, not within))
         return actions
 
@@ -270,9 +270,9 @@
     def _prefetch(self, now: int, team: str, leases: TeamLeases) -> list[Action]:
         """Asks before the last is used, if there is demand."""
         wanted = leases.prefetch(now)
-        if self._released or leases.asked is not None or now < leases.no_prefetch_until:
+        if self._released or leases.open_request is not None or now < leases.no_prefetch_until:
             return []
-        if leases.held(now) * 2 >= wanted:
+        if leases.unused(now) * 2 >= wanted:
             return []
         return self._ask(now, [team])
 
@@ -289,23 +289,25 @@
     def _send_ask(self, now: int, controller: str, wanted: dict[str, int]) -> SendMessage:
         """At most MAXIMAL_LIST teams; there are no more."""
         self._sequence += 1
-        ask = self._asks[self._sequence] = Ask(now, controller, {})
+        ask = self._asks[self._sequence] = OpenLeaseRequest(now, controller, {})
         if controller == self._choice.current:
-            self._choice.asked(now, self._sequence)
+            self._choice.request_sent(now, self._sequence)
         peer = Peer(controller, self._incarnations.get(controller, 0))
         needs: list[LeaseNeed] = []
         for team, count in wanted.items():
             leases = self._teams[team]
-            leases.asked = self._sequence
+            leases.open_request = self._sequence
             leases.drop_ended(now)
-            account = leases.account(peer) if peer.incarnation else HeldLease()
-            account.told = account.used + account.returned
-            outstanding = count + account.passed_on
-            ask.wanted[team] = Wanted(count, account.told + outstanding)
+            account = leases.account(peer) if peer.incarnation else DispatcherLease()
+            account.reported_total = account.used + account.returned
+            outstanding = count + account.transferred
+            ask.wanted[team] = RequestedCredit(count, account.reported_total + outstanding)
             needs.append(LeaseNeed(team, account.used, account.returned, outstanding))
         return SendMessage(controller, LeaseRequest(self._sequence, tuple(needs[:MAXIMAL_LIST]), peer.incarnation))
 
-    def _take(self, now: int, sender: Peer, ask: Ask, credit: LeaseCredit, actions: list[Action]) -> list[str]:
+    def _take(
+        self, now: int, sender: Peer, ask: OpenLeaseRequest, credit: LeaseCredit, actions: list[Action]
+    ) -> list[str]:
         """Serves what waits. Returns the team if it has to be asked for again."""
         leases = self._teams.get(credit.team)
         if leases is None or credit.team not in ask.wanted:
@@ -317,7 +319,7 @@
         wanted = ask.wanted[credit.team]
         account.drop_ended(now)
         account.take(credit.granted)
-        account.give_back(max(0, account.held - wanted.requests))  # more than was asked for is an error or came late
+        account.give_back(max(0, account.unused - wanted.requests))  # more than was asked for is an error or came late
         if credit.valid_ms:
             account.end = max(account.end, ask.sent + min(credit.valid_ms * MICROSECONDS, self._lease))
         self._active[credit.team] = None
@@ -330,14 +332,14 @@
             return [credit.team] if leases.waiting else []
         leases.no_prefetch_until = now + REFUSED_FOR
         if leases.waiting:
-            leases.refused_until = now + REFUSED_FOR
+            leases.rejected_until = now + REFUSED_FOR
         actions += [self._decide_waiting(leases, request, True) for request in list(leases.waiting)]
         return []
 
     def _forget_team(self, now: int, team: str, leases: TeamLeases) -> list[Action]:
         """The team has no quota."""
         actions: list[Action] = [self._decide_waiting(leases, request, True) for request in list(leases.waiting)]
-        leases.refused_until = now + UNKNOWN_FOR
+        leases.rejected_until = now + UNKNOWN_FOR
         if not leases.accounts:
             del self._teams[team]
             self._active.pop(team, None)
@@ -348,8 +350,8 @@
 
     def _close_ask(self, team: str, sequence: int) -> None:
         leases = self._teams.get(team)
-        if leases is not None and leases.asked == sequence:
-            leases.asked = None
+        if leases is not None and leases.open_request == sequence:
+            leases.open_request = None
 
     def _forget_asks(self, now: int) -> None:
         """Answers to asks older than any lease are worth nothing."""
@@ -365,19 +367,19 @@
         for team in list(self._active):
             leases = self._teams[team]
             leases.drop_ended(now)
-            held = [account for account in leases.accounts.values() if account.held]
-            if not held and not any(account.untold or account.passed_on for account in leases.accounts.values()):
+            held = [account for account in leases.accounts.values() if account.unused]
+            if not held and not any(account.unreported or account.transferred for account in leases.accounts.values()):
                 self._active.pop(team, None)
             elif any(account.end - now < self._lease // 2 for account in held):
                 wanted = 0 if self._released else leases.prefetch(now)
-                self._give_back(held, leases.held(now) - wanted)
+                self._give_back(held, leases.unused(now) - wanted)
                 if wanted:
                     renewed.append(team)
-        return self._ask(now, [team for team in renewed if self._teams[team].asked is None])
+        return self._ask(now, [team for team in renewed if self._teams[team].open_request is None])
 
-    def _give_back(self, accounts: Iterable[HeldLease], surplus: int) -> None:
+    def _give_back(self, accounts: Iterable[DispatcherLease], surplus: int) -> None:
         for account in accounts:
-            count = min(max(0, surplus), account.held)
+            count = min(max(0, surplus), account.unused)
             account.give_back(count)
             surplus -= count
 
@@ -386,9 +388,9 @@
         usages: dict[Peer, list[Usage]] = {}
         for team in self._active:
             for peer, account in self._teams[team].accounts.items():
-                if not account.untold:
+                if not account.unreported:
                     continue
-                account.told = account.used + account.returned
+                account.reported_total = account.used + account.returned
                 if peer != INHERITED and self._incarnations.get(peer.name) == peer.incarnation:
                     usages.setdefault(peer, []).append(Usage(team, account.used, account.returned))
         return [
--- a/badgerroad/fleet/rules/owner.py
+++ b/badgerroad/fleet/rules/owner.py
@@ -10,7 +10,7 @@
 from badgerroad.fleet.messages import NotOwner, QuotaCredit, QuotaGrant, QuotaNeed, QuotaRequest, QuotaReturn
 from badgerroad.fleet.rules.actions import Peer, SendMessage
 from badgerroad.fleet.rules.bucket import MICRO, Bucket
-from badgerroad.fleet.rules.credits import GrantedCredit, is_newest
+from badgerroad.fleet.rules.credits import GrantorCredit, is_newest
 from badgerroad.fleet.rules.reserve import Lending
 from badgerroad.fleet.rules.sharing import FairShares
 from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
@@ -26,13 +26,13 @@
     __slots__ = ("credit", "wanted", "changed", "carried")
 
     def __init__(self) -> None:
-        self.credit = GrantedCredit()
+        self.credit = GrantorCredit()
         self.wanted = 0
         self.changed = 0
         self.carried = False
 
     @property
-    def short(self) -> int:
+    def shortfall(self) -> int:
         return max(0, self.wanted - self.credit.outstanding)
 
 
@@ -124,7 +124,7 @@
         session.end = max(session.end, now + self._settings.longer(valid_ms * MICROSECONDS))
         return self._grant(now, session, valid_ms)
 
-    def take_back(self, now: int, sender: Peer, message: QuotaReturn) -> None:
+    def receive_return(self, now: int, sender: Peer, message: QuotaReturn) -> None:
         session = self.sessions.get(sender)
         if session is None or message.term != self.term or message.session != session.number:
             return
@@ -153,7 +153,7 @@
             changed |= self._distribute(now, name)
         return [self._grant(now, session, 0) for session in changed.values()]
 
-    def hand_out(self, now: int, leaving: Peer | None) -> list[SendMessage]:
+    def distribute_remaining(self, now: int, leaving: Peer | None) -> list[SendMessage]:
         """Shortly before a graceful end: what is left to grant goes to the zones in equal parts, beyond what they want.
         They carry it over to the next owner, and return it there. `leaving`: a zone controller that gets none."""
         self.lending.advance(now)
@@ -256,7 +256,7 @@
         if newest:
             account.wanted = need.wanted
         self._note_waiting(session, need.team, account)
-        if account.short:
+        if account.shortfall:
             self._grant_at_once(now, session, need.team, account)
 
     def _may_carry(self, account: Account) -> bool:
@@ -278,7 +278,7 @@
 
     def _note_waiting(self, session: Session, name: str, account: Account) -> None:
         team = self.teams[name]
-        if account.short and team.known and not session.suspended:
+        if account.shortfall and team.known and not session.suspended:
             team.waiting[session.peer] = session
             self._scarce[name] = None
         else:
@@ -287,16 +287,16 @@
     def _grant_at_once(self, now: int, session: Session, name: str, account: Account) -> None:
         """If there is enough for all that wait; or else the next tick shares it out."""
         team = self._refresh(name)
-        needed = sum(waiting.accounts[name].short for waiting in team.waiting.values())
+        needed = sum(waiting.accounts[name].shortfall for waiting in team.waiting.values())
         if session.peer in team.waiting and needed * MICRO <= team.bucket.level:
-            self._give(session, name, account, account.short)
+            self._give(session, name, account, account.shortfall)
             self._note_waiting(session, name, account)
 
     def _distribute(self, now: int, name: str) -> dict[Peer, Session]:
         """Returns the sessions that got something."""
         team = self._refresh(name)
         needs = {
-            peer: session.accounts[name].short
+            peer: session.accounts[name].shortfall
             for peer, session in team.waiting.items()
             if now < session.end and not session.suspended
         }
--- a/badgerroad/fleet/rules/ownership.py
+++ b/badgerroad/fleet/rules/ownership.py
@@ -37,7 +37,7 @@
         return self.end if self.closing is None else min(self.end, self.closing)
 
 
-class Round:
+class VoteRound:
     """One VoteRequest to all voters, and who has granted what."""
 
     __slots__ = ("sent", "terms", "granted", "replied")
@@ -49,7 +49,7 @@
         self.replied: set[str] = set()
 
 
-class Standing(NamedTuple):
+class Candidacy(NamedTuple):
     """A claim that isn't decided yet."""
 
     term: int
@@ -68,8 +68,8 @@
         self._lease = settings.ownership_lease_ms * MICROSECONDS
         self._orders = [shard_order(settings, shard) for shard in range(settings.shards)]
         self._owned: dict[int, Ownership] = {}
-        self._standing: dict[int, Standing] = {}
-        self._rounds: dict[int, Round] = {}
+        self._standing: dict[int, Candidacy] = {}
+        self._rounds: dict[int, VoteRound] = {}
         self._sequence = 0
         self._vacant_since: dict[int, int] = {}
         self._not_before: dict[int, int] = {}
@@ -92,7 +92,7 @@
         return {shard: ownership for shard, ownership in self._owned.items() if self.owns(now, shard)}
 
     @property
-    def holds_any(self) -> bool:
+    def owns_any(self) -> bool:
         """Owns a shard, or one that isn't given up yet."""
         return bool(self._owned)
 
@@ -121,7 +121,7 @@
         self.expire(now)
         if sender.name not in self._settings.voters:
             return []
-        self._view.hear_table(now, sender.name, reply.table)
+        self._view.receive_table(now, sender.name, reply.table)
         round_ = self._rounds.get(reply.sequence)
         if round_ is None or now >= round_.sent + self._lease:
             return []
@@ -146,7 +146,7 @@
         for shard in list(self._owned):
             self.close(now, shard)
 
-    def _count(self, now: int, sequence: int, round_: Round) -> list[SendMessage]:
+    def _count(self, now: int, sequence: int, round_: VoteRound) -> list[SendMessage]:
         actions: list[SendMessage] = []
         end = round_.sent + self._lease
         for shard, voters in round_.granted.items():
@@ -155,7 +155,7 @@
             if ownership is not None and ownership.term == round_.terms[shard]:
                 if len(voters) >= self._settings.majority:
                     ownership.end = max(ownership.end, end)
-                    self._view.see_own(now, self._me, Claim(shard, ownership.term), ownership.end)
+                    self._view.record_own(now, self._me, Claim(shard, ownership.term), ownership.end)
             elif standing is not None and standing.sequence == sequence:
                 if len(voters) >= self._settings.majority:
                     actions += self._win(now, shard, standing.term, end)
@@ -168,7 +168,7 @@
         del self._standing[shard]
         self._vacant_since.pop(shard, None)
         self._owned[shard] = Ownership(term, now, end)
-        self._view.see_own(now, self._me, Claim(shard, term), end)
+        self._view.record_own(now, self._me, Claim(shard, term), end)
         return self._announce(now)
 
     def _lose(self, now: int, shard: int) -> list[SendMessage]:
@@ -224,8 +224,8 @@
         terms = {shard: self._next_term(shard) for shard in due}
         actions = self._ask(now, terms)
         for shard, term in terms.items():
-            self._view.see_term(shard, term)
-            self._standing[shard] = Standing(term, self._sequence, now)
+            self._view.record_term(shard, term)
+            self._standing[shard] = Candidacy(term, self._sequence, now)
         return actions
 
     def _should_stand(self, now: int, shard: int) -> bool:
@@ -252,7 +252,7 @@
 
     def _ask(self, now: int, terms: dict[int, int]) -> list[SendMessage]:
         self._sequence += 1
-        self._rounds[self._sequence] = Round(now, terms)
+        self._rounds[self._sequence] = VoteRound(now, terms)
         for sequence in [sequence for sequence in self._rounds if sequence <= self._sequence - ROUNDS_KEPT]:
             del self._rounds[sequence]
         claims = tuple(Claim(shard, term) for shard, term in terms.items())
--- a/badgerroad/fleet/rules/team_leases.py
+++ b/badgerroad/fleet/rules/team_leases.py
@@ -3,33 +3,33 @@
 from __future__ import annotations
 
 from badgerroad.fleet.rules.actions import Peer
-from badgerroad.fleet.rules.credits import HeldCredit
+from badgerroad.fleet.rules.credits import HolderCredit
 from badgerroad.fleet.rules.demand import Demand
 
 PREFETCH_S = 0.5  # so many seconds of recent demand are held in advance
 INHERITED = Peer("", 0)  # the account of what was taken over from another process
 
 
-class HeldLease(HeldCredit):
+class DispatcherLease(HolderCredit):
     """The account with one life of one controller. `end`: by this process's clock. `told`: how many used and returned
     requests the controller has been told of. `passed_on`: held by another process on this machine until `end`."""
 
-    __slots__ = ("end", "told", "passed_on")
+    __slots__ = ("end", "reported_total", "transferred")
 
     def __init__(self) -> None:
         super().__init__()
         self.end = 0
-        self.told = 0
-        self.passed_on = 0
+        self.reported_total = 0
+        self.transferred = 0
 
     @property
-    def held(self) -> int:
-        return super().held - self.passed_on
+    def unused(self) -> int:
+        return super().unused - self.transferred
 
-    def pass_on(self) -> int:
+    def transfer(self) -> int:
         """Returns how many; the other process may use them as long as the lease runs."""
-        count = self.held
-        self.passed_on += count
+        count = self.unused
+        self.transferred += count
         return count
 
     def runs(self, now: int) -> bool:
@@ -40,13 +40,13 @@
         """What is left of an ended lease was not used, and can't be."""
         if self.runs(now):
             return
-        self.use(self.passed_on)
-        self.passed_on = 0
-        self.give_back(self.held)
+        self.use(self.transferred)
+        self.transferred = 0
+        self.give_back(self.unused)
 
     @property
-    def untold(self) -> bool:
-        return self.used + self.returned > self.told
+    def unreported(self) -> bool:
+        return self.used + self.returned > self.reported_total
 
 
 class TeamLeases:
@@ -54,27 +54,27 @@
     asking before; `no_prefetch_until`: no use asking for more than what waits. `asked`: sequence of the open ask, or
     None."""
 
-    __slots__ = ("accounts", "demand", "waiting", "refused_until", "no_prefetch_until", "asked")
+    __slots__ = ("accounts", "demand", "waiting", "rejected_until", "no_prefetch_until", "open_request")
 
     def __init__(self, now: int) -> None:
-        self.accounts: dict[Peer, HeldLease] = {}
+        self.accounts: dict[Peer, DispatcherLease] = {}
         self.demand = Demand(now)
         self.waiting: dict[int, int] = {}
-        self.refused_until = self.no_prefetch_until = now
-        self.asked: int | None = None
+        self.rejected_until = self.no_prefetch_until = now
+        self.open_request: int | None = None
 
-    def account(self, peer: Peer) -> HeldLease:
+    def account(self, peer: Peer) -> DispatcherLease:
         account = self.accounts.get(peer)
         if account is None:
-            account = self.accounts[peer] = HeldLease()
+            account = self.accounts[peer] = DispatcherLease()
         return account
 
-    def held(self, now: int) -> int:
-        return sum(account.held for account in self.accounts.values() if account.runs(now))
+    def unused(self, now: int) -> int:
+        return sum(account.unused for account in self.accounts.values() if account.runs(now))
 
     def take(self, now: int) -> bool:
         """Uses one request, of the lease that ends first. Returns whether there was one."""
-        usable = [account for account in self.accounts.values() if account.held and account.runs(now)]
+        usable = [account for account in self.accounts.values() if account.unused and account.runs(now)]
         if not usable:
             return False
         min(usable, key=lambda account: account.end).use(1)
--- a/badgerroad/fleet/rules/view.py
+++ b/badgerroad/fleet/rules/view.py
@@ -67,7 +67,7 @@
         fresh = [time for time in self._table_times.values() if now - time <= self._alive_for]
         return len(fresh) >= self._settings.majority
 
-    def hear_announcement(self, now: int, sender: Peer, announcement: OwnerAnnouncement) -> None:
+    def receive_announcement(self, now: int, sender: Peer, announcement: OwnerAnnouncement) -> None:
         if announcement.leaving:
             self._presences.pop(sender.name, None)
         else:
@@ -80,24 +80,24 @@
         for shard, term in claims.items():
             self._announce(shard, Sighting(Owner(sender, term), until), now)
 
-    def hear_table(self, now: int, voter: str, table: tuple[Holding, ...]) -> None:
+    def receive_table(self, now: int, voter: str, table: tuple[Holding, ...]) -> None:
         self._table_times[voter] = now
         sightings: dict[int, Sighting] = {}
         for holding in table:
-            self.see_term(holding.shard, holding.term)
+            self.record_term(holding.shard, holding.term)
             if holding.holder and holding.left_ms and holding.term <= LAST_TERM:
                 owner = Owner(Peer(holding.holder, holding.incarnation), holding.term)
                 left_ms = min(holding.left_ms, self._settings.longer(self._settings.ownership_lease_ms))
                 sightings[holding.shard] = Sighting(owner, now + left_ms * MICROSECONDS)
         self._tables[voter] = sightings
 
-    def see_term(self, shard: int, term: int) -> None:
+    def record_term(self, shard: int, term: int) -> None:
         if shard < self._settings.shards and term <= LAST_TERM:
             self.highest_terms[shard] = max(self.highest_terms.get(shard, 0), term)
 
-    def see_own(self, now: int, me: Peer, claim: Claim, end: int) -> None:
+    def record_own(self, now: int, me: Peer, claim: Claim, end: int) -> None:
         self._announced[claim.shard] = Sighting(Owner(me, claim.term), end)
-        self.see_term(claim.shard, claim.term)
+        self.record_term(claim.shard, claim.term)
 
     def forget(self, owner: Owner, shard: int) -> None:
         """`owner` doesn't own the shard in this term any more."""
@@ -117,7 +117,7 @@
     def _announce(self, shard: int, sighting: Sighting, now: int) -> None:
         if sighting.owner.term > LAST_TERM:
             return
-        self.see_term(shard, sighting.owner.term)
+        self.record_term(shard, sighting.owner.term)
         known = self._announced.get(shard)
         if known is None or known.until <= now or known.owner.term <= sighting.owner.term:
             self._announced[shard] = sighting
--- a/badgerroad/fleet/rules/zone.py
+++ b/badgerroad/fleet/rules/zone.py
@@ -7,7 +7,7 @@
 
 from badgerroad.fleet.messages import LeaseCredit, LeaseGrant, LeaseNeed, LeaseRequest, LeaseReturn, QuotaGrant
 from badgerroad.fleet.rules.actions import Peer, SendMessage
-from badgerroad.fleet.rules.credits import GrantedCredit, is_newest
+from badgerroad.fleet.rules.credits import GrantorCredit, is_newest
 from badgerroad.fleet.rules.view import View
 from badgerroad.fleet.rules.zone_session import Stock, ZoneShard
 from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
@@ -17,7 +17,7 @@
 READY_AFTER = 10_000_000  # microseconds after its start a controller says that it serves, also without any owner
 
 
-class Lease(GrantedCredit):
+class Lease(GrantorCredit):
     """One team at one dispatcher. `end`: by the zone controller's clock, later than by the dispatcher's."""
 
     __slots__ = ("end", "scheduled")
@@ -31,11 +31,11 @@
 class Dispatcher:
     """`sequence`: of its newest request."""
 
-    __slots__ = ("sequence", "heard", "leases")
+    __slots__ = ("sequence", "last_message_at", "leases")
 
     def __init__(self, now: int) -> None:
         self.sequence = 0
-        self.heard = now
+        self.last_message_at = now
         self.leases: dict[str, Lease] = {}
 
 
@@ -53,7 +53,7 @@
         self._next_review = now + IDLE
         self._ready_at = now + READY_AFTER
         self.ended = False
-        self.granted = self.refused = self.from_reserve = 0
+        self.granted = self.rejected = self.from_reserve = 0
 
     @property
     def dispatcher_count(self) -> int:
@@ -101,7 +101,7 @@
         credits = tuple(self._answer(now, sender, dispatcher, need, newest, mine) for need in request.needs)
         return [SendMessage(sender.name, LeaseGrant(request.sequence, credits)), *self._replenish(now, request)]
 
-    def take_back(self, now: int, sender: Peer, message: LeaseReturn) -> None:
+    def receive_return(self, now: int, sender: Peer, message: LeaseReturn) -> None:
         if message.controller != self._incarnation:
             return
         dispatcher = self._dispatcher(now, sender)
@@ -141,7 +141,7 @@
             lease.grant(given)
             self.granted += given
             self.from_reserve += 0 if shard.open else given
-        self.refused += short - given
+        self.rejected += short - given
         shard.note_need(now, stock)
         valid_ms = self._extend(now, shard, sender, need.team, lease)
         return LeaseCredit(need.team, lease.granted, valid_ms)
@@ -189,13 +189,13 @@
             self._schedule(peer, team, lease)
             return
         shard = self.shards[self._settings.shard_of(team)]
-        shard.spent(team, shard.stocks[team], lease.write_off(), 0)
+        shard.settle(team, shard.stocks[team], lease.write_off(), 0)
 
     def _report(self, shard: ZoneShard, team: str, stock: Stock, lease: Lease, used: int, returned: int) -> None:
         lease.begin_anew(used, returned)
         progress = lease.report(used, returned)
         if progress.used or progress.returned:
-            shard.spent(team, stock, progress.used, progress.returned)
+            shard.settle(team, stock, progress.used, progress.returned)
 
     def _lease(self, shard: ZoneShard, sender: Peer, dispatcher: Dispatcher, team: str) -> Lease:
         lease = dispatcher.leases.get(team)
@@ -208,13 +208,13 @@
         dispatcher = self._dispatchers.get(peer)
         if dispatcher is None:
             dispatcher = self._dispatchers[peer] = Dispatcher(now)
-        dispatcher.heard = now
+        dispatcher.last_message_at = now
         return dispatcher
 
     def _forget_idle(self, now: int) -> None:
         if now < self._next_review:
             return
         self._next_review = now + IDLE
-        for peer in [peer for peer, known in self._dispatchers.items() if now - known.heard >= IDLE]:
+        for peer in [peer for peer, known in self._dispatchers.items() if now - known.last_message_at >= IDLE]:
             for team in self._dispatchers.pop(peer).leases:
                 self.shards[self._settings.shard_of(team)].leases.pop((peer, team), None)
--- a/badgerroad/fleet/rules/zone_session.py
+++ b/badgerroad/fleet/rules/zone_session.py
@@ -6,7 +6,7 @@
 
 from badgerroad.fleet.messages import UNKNOWN_SESSION, QuotaGrant, QuotaNeed, QuotaRequest, QuotaReturn, Usage
 from badgerroad.fleet.rules.actions import Peer, SendMessage
-from badgerroad.fleet.rules.credits import WINDOW, GrantedCredit, HeldCredit, is_newest
+from badgerroad.fleet.rules.credits import WINDOW, GrantorCredit, HolderCredit, is_newest
 from badgerroad.fleet.rules.demand import Demand, target_stock
 from badgerroad.fleet.rules.reserve import Reserve, ReserveStock, zone_share
 from badgerroad.fleet.rules.view import Owner
@@ -26,22 +26,33 @@
     `changed`: the first request that can tell its present state; `told`: the wanted stock in the last one; `waiting`:
     the owner had less than that; `carried`: what the session of an earlier term left."""
 
-    __slots__ = ("quota", "configured", "known", "credit", "handed", "demand", "changed", "told", "waiting", "carried")
+    __slots__ = (
+        "quota",
+        "configured",
+        "known",
+        "credit",
+        "leased_out",
+        "demand",
+        "changed",
+        "requested_stock",
+        "below_requested",
+        "carried",
+    )
 
     def __init__(self, quota: float, now: int) -> None:
         self.quota = self.configured = quota
         self.known = True
-        self.credit = HeldCredit()
-        self.handed = 0
+        self.credit = HolderCredit()
+        self.leased_out = 0
         self.demand = Demand(now)
         self.changed = 0
-        self.told = 0
-        self.waiting = False
+        self.requested_stock = 0
+        self.below_requested = False
         self.carried = 0
 
     @property
     def available(self) -> int:
-        return self.credit.held - self.handed
+        return self.credit.unused - self.leased_out
 
     @property
     def served(self) -> bool:
@@ -67,7 +78,7 @@
         self.open = False
         self.end = now
         self.stocks: dict[str, Stock] = {}
-        self.leases: dict[tuple[Peer, str], GrantedCredit] = {}
+        self.leases: dict[tuple[Peer, str], GrantorCredit] = {}
         self.reserve = Reserve(settings, now)
         self._reserve_stocks: dict[str, ReserveStock] = {}
         self._left_owners: list[Owner] = []
@@ -126,7 +137,7 @@
     def lend(self, now: int, name: str, stock: Stock, count: int) -> None:
         """A dispatcher gets so many of what is available."""
         if self.open:
-            stock.handed += count
+            stock.leased_out += count
         else:
             self._reserve_stock(name).take(count)
 
@@ -137,10 +148,10 @@
         left_ms = (self.end - now) // MICROSECONDS
         return min(self._settings.dispatcher_lease_ms, self._settings.shorter(left_ms))
 
-    def spent(self, name: str, stock: Stock, used: int, returned: int) -> None:
+    def settle(self, name: str, stock: Stock, used: int, returned: int) -> None:
         """So much of what a dispatcher held was used, so much came back."""
         if self.open:
-            stock.handed -= used + returned
+            stock.leased_out -= used + returned
             stock.credit.use(used)
             self.note_change(name, stock)
         elif returned:
@@ -154,7 +165,7 @@
         """Asks the owner soon if the stock is low."""
         if not self.open or stock.available >= stock.target(now, self._settings):
             return
-        if stock.waiting:
+        if stock.below_requested:
             self._urgent_later = True
         else:
             self._urgent = True
@@ -177,7 +188,7 @@
         for (_, name), lease in self.leases.items():
             self.stocks[name].credit.use(lease.write_off())
         for name, stock in self.stocks.items():
-            stock.handed = 0
+            stock.leased_out = 0
             self.note_change(name, stock)
 
     def _begin_session(self) -> None:
@@ -212,8 +223,8 @@
         self.number = number
         self._acknowledged = self._stamp = 0
         for stock in self.stocks.values():
-            stock.credit = HeldCredit()
-            stock.handed = 0
+            stock.credit = HolderCredit()
+            stock.leased_out = 0
 
     def _tell_all(self) -> None:
         for name, stock in self.stocks.items():
@@ -263,14 +274,14 @@
             if trims and stock.available > target:
                 stock.credit.give_back(stock.available - target)
                 self.note_change(name, stock)
-            if stock.handed + target != stock.told:
+            if stock.leased_out + target != stock.requested_stock:
                 self.note_change(name, stock)
 
     def _need(self, now: int, name: str) -> QuotaNeed:
         stock = self.stocks[name]
-        stock.told = stock.handed + stock.target(now, self._settings)
+        stock.requested_stock = stock.leased_out + stock.target(now, self._settings)
         carried = stock.carried if self.number == UNKNOWN_SESSION and now < self._carry_until else 0
-        return QuotaNeed(name, stock.credit.used, stock.credit.returned, stock.told, carried)
+        return QuotaNeed(name, stock.credit.used, stock.credit.returned, stock.requested_stock, carried)
 
     def receive(self, now: int, sender: Peer, grant: QuotaGrant) -> None:
         if self.owner is None or sender != self.owner.peer or grant.term != self.owner.term:
@@ -287,7 +298,7 @@
         if sent is not None and grant.valid_ms:
             self._extend(now, sent + min(grant.valid_ms, self._settings.quota_lease_ms) * MICROSECONDS)
         for stock in self.stocks.values():
-            stock.waiting = stock.credit.held < stock.told
+            stock.below_requested = stock.credit.unused < stock.requested_stock
 
     def _adopt(self, number: int) -> bool:
         """A new session, unless the message belongs to an older one, or the number can't be."""
--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -22,7 +22,7 @@
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 
 
-class BadFleet(Error, ValueError):
+class FleetSettingsError(Error, ValueError):
     """The fleet's settings cannot be. `field` names the one."""
 
     code = "fleet-settings"
@@ -63,7 +63,7 @@
     tick_ms: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 50
 
     def check(self) -> None:
-        """Raises BadFleet, which names the field."""
+        """Raises FleetSettingsError, which names the field."""
         self._check_controllers()
         self._check_voters()
         self._check_durations()
@@ -118,12 +118,14 @@
 
     def _check_controllers(self) -> None:
         if not 1 <= len(self.controllers) <= MAXIMAL_CONTROLLERS:
-            raise BadFleet("controllers", f"must be 1 to {MAXIMAL_CONTROLLERS}, got {len(self.controllers)}")
+            raise FleetSettingsError("controllers", f"must be 1 to {MAXIMAL_CONTROLLERS}, got {len(self.controllers)}")
         for field in ("name", "zone", "region"):
             values = [getattr(controller, field) for controller in self.controllers]
             for value in values:
                 if not 1 <= len(value.encode()) <= MAXIMAL_NAME:
-                    raise BadFleet(f"controllers.{field}", f"must be 1 to {MAXIMAL_NAME} bytes, got {value!r}")
+                    raise FleetSettingsError(
+                        f"controllers.{field}", f"must be 1 to {MAXIMAL_NAME} bytes, got {value!r}"
+                    )
             if field != "region":
                 _check_unique(f"controllers.{field}", values)
 
@@ -131,7 +133,9 @@
         voters = Counter(controller.region for controller in self.controllers if controller.voter)
         for region in {controller.region for controller in self.controllers}:
             if voters[region] != 1:
-                raise BadFleet("controllers.voter", f"one a region, but region {region!r} has {voters[region]}")
+                raise FleetSettingsError(
+                    "controllers.voter", f"one a region, but region {region!r} has {voters[region]}"
+                )
 
     def _check_durations(self) -> None:
         self._check_longer("ownership_lease_ms", "quota_lease_ms")
@@ -140,14 +144,18 @@
         self._check_longer("dispatcher_lease_ms", "ask_timeout_ms")
         self._check_longer("renew_ms", "tick_ms")
         if self.lending_ms < 2 * self.renew_ms:
-            raise BadFleet("lending_ms", f"must be at least twice renew_ms ({self.renew_ms}), got {self.lending_ms}")
+            raise FleetSettingsError(
+                "lending_ms", f"must be at least twice renew_ms ({self.renew_ms}), got {self.lending_ms}"
+            )
 
     def _check_longer(self, field: str, other: str) -> None:
         if getattr(self, field) <= getattr(self, other):
-            raise BadFleet(field, f"must be longer than {other} ({getattr(self, other)}), got {getattr(self, field)}")
+            raise FleetSettingsError(
+                field, f"must be longer than {other} ({getattr(self, other)}), got {getattr(self, field)}"
+            )
 
 
 def _check_unique(field: str, values: Iterable[str]) -> None:
     for value, count in Counter(values).items():
         if count > 1:
-            raise BadFleet(field, f"{value!r} occurs {count} times")
+            raise FleetSettingsError(field, f"{value!r} occurs {count} times")
--- a/badgerroad/fleet/table.py
+++ b/badgerroad/fleet/table.py
@@ -9,7 +9,7 @@
 
 from badgerroad import toml_files
 from badgerroad.config import BadConfig
-from badgerroad.fleet.settings import BadFleet, Controller, FleetSettings
+from badgerroad.fleet.settings import Controller, FleetSettings, FleetSettingsError
 from badgerroad.operator.schema import Fleet, FleetController
 
 TeamName = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -34,7 +34,7 @@
     except msgspec.ValidationError as e:
         reason, _, where = str(e).partition(" - at `")
         raise BadConfig(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from e
-    except BadFleet as e:
+    except FleetSettingsError as e:
         raise BadConfig(f"{file}: {e}") from e
     return settings
 
@@ -79,8 +79,7 @@
         raise BadConfig(f"{file}: {team}: {e}") from e
 
 
-def fields_of(figures: Any) -> dict[str, Any]:
-    """Typed counters, as the fields of a log line."""
-    if isinstance(figures, msgspec.Struct):
-        return msgspec.structs.asdict(figures)
-    return dict(figures._asdict())
+def fields_of(figures: msgspec.Struct) -> dict[str, Any]:
+    """The counters as the fields of a log line, under the names that the operators' page gives."""
+    fields: dict[str, Any] = msgspec.to_builtins(figures)
+    return fields
--- a/benchmarks/fleet/hollow.py
+++ b/benchmarks/fleet/hollow.py
@@ -23,7 +23,7 @@
 from badgerroad.fleet.connections import ROLE_DISPATCHER, Connections
 from badgerroad.fleet.messages import VERSION, Hello, Message
 from badgerroad.fleet.peer_connection import Traffic
-from badgerroad.fleet.rules.actions import Decided, Peer, SendMessage
+from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.fleet.settings import FleetSettings
 from badgerroad.net import logs
@@ -190,10 +190,10 @@
         for action in actions:
             if isinstance(action, SendMessage):
                 self.connections.send(action.to, action.message)
-            elif isinstance(action, Decided):
+            elif isinstance(action, QuotaDecision):
                 self.decided(action)
 
-    def decided(self, action: Decided) -> None:
+    def decided(self, action: QuotaDecision) -> None:
         team, asked = self.waiting.pop(action.request)
         now = now_us()
         self.process.record(now / 1_000_000, team, self.member.index, action.over_quota, now - asked)
@@ -279,7 +279,7 @@
         now = now_us()
         for dispatcher in self.dispatchers.values():
             for leases in dispatcher.leases.by_controller.values():
-                for field, value in msgspec.structs.asdict(leases.figures(now)).items():
+                for field, value in msgspec.to_builtins(leases.figures(now)).items():
                     if isinstance(value, int | float):
                         sums[field] = sums.get(field, 0) + value
         return sums
--- a/benchmarks/fleet/in_memory.py
+++ b/benchmarks/fleet/in_memory.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from badgerroad.fleet.rules.actions import Decided, Peer, SendMessage
+from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.controller import ControllerRules
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.fleet.settings import Controller, FleetSettings
@@ -39,7 +39,7 @@
         self.place: dict[str, layout.Place] = {}
         self.dead: set[str] = set()
         self.messages: dict[str, int] = {}
-        self.decided: Callable[[str, Decided], None] = lambda name, decided: None
+        self.decided: Callable[[str, QuotaDecision], None] = lambda name, decided: None
 
     def at(self, when: int, action: Callable[[], None]) -> None:
         heapq.heappush(self.events, (when, next(self.order), action))
@@ -57,7 +57,7 @@
 
     def carry_out(self, name: str, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, Decided):
+            if isinstance(action, QuotaDecision):
                 self.decided(name, action)
             elif isinstance(action, SendMessage):
                 self.send(name, action)
@@ -107,7 +107,7 @@
             for index, place in enumerate(self.places)
         ]
 
-    def note(self, name: str, decided: Decided) -> None:
+    def note(self, name: str, decided: QuotaDecision) -> None:
         team = self.requests.pop((name, decided.request))
         self.waits.append(self.network.now - self.asked.pop((name, decided.request)))
         self.decisions.append(oracle.Decision(self.network.now / SECOND, team, decided.over_quota))
--- a/examples/fleet/two_regions.py
+++ b/examples/fleet/two_regions.py
@@ -27,7 +27,7 @@
 from badgerroad.fleet import table  # noqa: E402
 from badgerroad.fleet.connections import ROLE_DISPATCHER, Connections, new_incarnation  # noqa: E402
 from badgerroad.fleet.messages import VERSION, Hello  # noqa: E402
-from badgerroad.fleet.rules.actions import Decided  # noqa: E402
+from badgerroad.fleet.rules.actions import QuotaDecision  # noqa: E402
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases  # noqa: E402
 from badgerroad.net import logs  # noqa: E402
 from badgerroad.operator.schema import load  # noqa: E402
@@ -86,7 +86,7 @@
 
     def _perform(self, actions):
         for action in actions:
-            if isinstance(action, Decided):
+            if isinstance(action, QuotaDecision):
                 self.within += not action.over_quota
                 self.over += action.over_quota
             else:
--- a/tests/fleet/dispatcher_setup.py
+++ b/tests/fleet/dispatcher_setup.py
@@ -45,6 +45,6 @@
     actions = leases.receive(START, OWN, answer(request, 1))
     if count:
         for number in range(-count, 0):
-            leases.forget(START, number)
+            leases.cancel(START, number)
         leases.receive(answered, OWN, answer(asked(actions), count + 1))
     return leases
--- a/tests/fleet/fleet_processes.py
+++ b/tests/fleet/fleet_processes.py
@@ -15,7 +15,7 @@
 from badgerroad.fleet import table
 from badgerroad.fleet.controller import monotonic_us
 from badgerroad.fleet.messages import VERSION, Hello, LeaseCredit, LeaseGrant, LeaseRequest
-from badgerroad.fleet.rules.actions import Decided
+from badgerroad.fleet.rules.actions import QuotaDecision
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.operator.schema import load
 
@@ -204,7 +204,7 @@
 
     def _perform(self, actions):
         for action in actions:
-            if isinstance(action, Decided):
+            if isinstance(action, QuotaDecision):
                 assert action.request not in self.over_quota  # once
                 self.over_quota[action.request] = action.over_quota
             else:
--- a/tests/fleet/rules_setup.py
+++ b/tests/fleet/rules_setup.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from badgerroad.fleet.messages import QuotaNeed, QuotaRequest
-from badgerroad.fleet.rules.actions import Decided, Peer, SendMessage
+from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.controller import ControllerRules
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.fleet.settings import Controller, FleetSettings
@@ -41,7 +41,7 @@
 
 
 def decided(actions: list[Any]) -> dict[int, bool]:
-    return {action.request: action.over_quota for action in actions if isinstance(action, Decided)}
+    return {action.request: action.over_quota for action in actions if isinstance(action, QuotaDecision)}
 
 
 def quota_request(term: int, sequence: int, *needs: QuotaNeed, **changes: Any) -> QuotaRequest:
@@ -89,7 +89,7 @@
 
     def deliver(self, sender: str, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, Decided):
+            if isinstance(action, QuotaDecision):
                 assert action.request not in self.decided
                 self.decided[action.request] = action.over_quota
                 continue
--- a/tests/fleet/simulation/broken_rules.py
+++ b/tests/fleet/simulation/broken_rules.py
@@ -10,11 +10,11 @@
 
 from badgerroad.fleet.messages import VoteRelease
 from badgerroad.fleet.rules.actions import Peer
-from badgerroad.fleet.rules.credits import GrantedCredit, HeldCredit, Progress
+from badgerroad.fleet.rules.credits import GrantorCredit, HolderCredit, Progress
 from badgerroad.fleet.rules.owner import ShardOwner
 from badgerroad.fleet.rules.ownership import Candidate
 from badgerroad.fleet.rules.reserve import Lending, Reserve
-from badgerroad.fleet.rules.team_leases import HeldLease
+from badgerroad.fleet.rules.team_leases import DispatcherLease
 from badgerroad.fleet.rules.view import View
 from badgerroad.fleet.rules.voter import Voter
 from tests.fleet.simulation.directed import DIRECTED
@@ -123,12 +123,12 @@
     return ownership is not None and ownership.closing is None
 
 
-def _add_granted(self: HeldCredit, granted: int) -> int:
+def _add_granted(self: HolderCredit, granted: int) -> int:
     self.granted += granted
     return granted
 
 
-def _add_reported(self: GrantedCredit, used: int, returned: int) -> Progress:
+def _add_reported(self: GrantorCredit, used: int, returned: int) -> Progress:
     outstanding = self.outstanding
     self.used += used
     self.returned += returned
@@ -141,7 +141,7 @@
 BROKEN_RULES = (
     BrokenRule(
         "a voter doesn't compare the terms of votes, nor candidates those that they hear",
-        (Patch(Voter, "_term_allowed", _always), Patch(View, "see_term", _ignore)),
+        (Patch(Voter, "_term_allowed", _always), Patch(View, "record_term", _ignore)),
         OWNERSHIP | {Kind.TERM_BACK},
     ),
     BrokenRule(
@@ -158,7 +158,7 @@
     ),
     BrokenRule(
         "a dispatcher uses a lease after its end",
-        (Patch(HeldLease, "runs", _always),),
+        (Patch(DispatcherLease, "runs", _always),),
         frozenset({Kind.ENDED_LEASE, Kind.OVER_QUOTA}),
     ),
     BrokenRule("the reserve isn't set aside", (Patch(Lending, "_own_share", lambda self: 1.0),), QUOTA),
@@ -176,12 +176,12 @@
     BrokenRule("carry-over is taken twice", (Patch(ShardOwner, "_may_carry", _always),), QUOTA, "carried twice"),
     BrokenRule(
         "the holder adds cumulative counters",
-        (Patch(HeldCredit, "take", _add_granted),),
+        (Patch(HolderCredit, "take", _add_granted),),
         QUOTA | {Kind.MORE_THAN_GRANTED},
     ),
     BrokenRule(
         "the granting end adds cumulative counters",
-        (Patch(GrantedCredit, "report", _add_reported),),
+        (Patch(GrantorCredit, "report", _add_reported),),
         QUOTA | {Kind.MORE_THAN_GRANTED, Kind.BUCKET, Kind.CRASH},
     ),
 )
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from badgerroad.fleet.rules.actions import Decided, Peer, SendMessage
+from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.controller import ControllerRules
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases, LeaseExport
 from tests.fleet.simulation.clock import MILLISECOND, draw_clock
@@ -157,7 +157,7 @@
             if isinstance(action, SendMessage):
                 self._send(node, action)
             else:
-                assert isinstance(action, Decided), action
+                assert isinstance(action, QuotaDecision), action
                 for watcher in self.watchers:
                     watcher.decided(node, action.request, action.over_quota)
         if not node.is_controller:
@@ -269,7 +269,7 @@
         def leave(host: Node) -> list[Any]:
             for watcher in self.watchers:
                 watcher.forgotten(host, request)
-            return list(host.dispatcher.forget(host.clock.read(self.now), request) or [])
+            return list(host.dispatcher.cancel(host.clock.read(self.now), request) or [])
 
         self.act(node, leave)
 
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -15,7 +15,7 @@
 from badgerroad.errors import CannotListen
 from badgerroad.fleet import connections as c
 from badgerroad.fleet import peer_connection
-from badgerroad.fleet.errors import BadFrame
+from badgerroad.fleet.errors import FrameError
 from badgerroad.fleet.framing import LENGTH_BYTES, FrameReader, frame
 from badgerroad.fleet.messages import MAXIMAL_MESSAGE, VERSION, Claim, Hello, NotOwner, OwnerAnnouncement, encode
 
@@ -32,9 +32,9 @@
 
 
 def test_a_frame_over_the_limit_is_refused_by_both_sides():
-    with pytest.raises(BadFrame):
+    with pytest.raises(FrameError):
         frame(bytes(MAXIMAL_MESSAGE + 1))
-    with pytest.raises(BadFrame):
+    with pytest.raises(FrameError):
         FrameReader().feed((MAXIMAL_MESSAGE + 1).to_bytes(LENGTH_BYTES, "big"))
     assert len(frame(bytes(MAXIMAL_MESSAGE))) == MAXIMAL_MESSAGE + LENGTH_BYTES
 
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -12,7 +12,7 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad.fleet import joining, table
-from badgerroad.fleet.errors import FleetRefused
+from badgerroad.fleet.errors import FleetNotPermittedError
 from badgerroad.fleet.extension import QuotaExtension
 from badgerroad.load_balancing import interface
 from badgerroad.net.timer_wheel import Clock, Wheel
@@ -89,7 +89,7 @@
         async with Dispatching(fleet) as w:
             assert (await w.ask(order(1, "free")))[0] == 200
             assert w.got[0].over_quota is None
-            assert w.figures().asks == 0
+            assert w.figures().lease_requests == 0
 
 
 @asynchronous
@@ -315,7 +315,7 @@
     done = run(command, *files(**{**PERMITTED, "permissions": permissions}))
     assert done.returncode == 2
     assert done.stderr.count("\n") == 1
-    assert done.stderr.startswith(f"badgerroad: {FleetRefused.code}: ")
+    assert done.stderr.startswith(f"badgerroad: {FleetNotPermittedError.code}: ")
     assert "permissions.peers" in done.stderr
 
 
--- a/tests/fleet/test_rules_credits.py
+++ b/tests/fleet/test_rules_credits.py
@@ -5,19 +5,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgerroad.fleet.rules.credits import WINDOW, GrantedCredit, HeldCredit, Progress, is_newest
+from badgerroad.fleet.rules.credits import WINDOW, GrantorCredit, HolderCredit, Progress, is_newest
 from badgerroad.fleet.rules.sharing import FairShares
 
 
 def test_what_is_granted_is_outstanding_until_it_is_reported() -> None:
-    credit = GrantedCredit()
+    credit = GrantorCredit()
     credit.grant(5)
     assert credit.report(2, 1) == Progress(2, 1)
     assert credit.outstanding == 2
 
 
 def test_a_report_repeated_or_late_adds_nothing() -> None:
-    credit = GrantedCredit()
+    credit = GrantorCredit()
     credit.grant(5)
     credit.report(3, 1)
     assert credit.report(3, 1) == credit.report(1, 0) == Progress(0, 0)
@@ -25,7 +25,7 @@
 
 
 def test_what_was_written_off_adds_nothing_when_it_is_reported_after_all() -> None:
-    credit = GrantedCredit()
+    credit = GrantorCredit()
     credit.grant(5)
     credit.report(1, 0)
     assert credit.write_off() == 4
@@ -36,7 +36,7 @@
 
 
 def test_totals_beyond_what_was_granted_are_ignored() -> None:
-    credit = GrantedCredit()
+    credit = GrantorCredit()
     credit.grant(5)
     assert credit.report(1 << 62, 0) == credit.report(3, 3) == Progress(0, 0)
     assert credit.outstanding == 5
@@ -44,7 +44,7 @@
 
 
 def test_an_account_that_was_forgotten_begins_anew_with_the_others_totals() -> None:
-    credit = GrantedCredit()
+    credit = GrantorCredit()
     credit.begin_anew(40, 2)
     assert (credit.granted, credit.outstanding) == (42, 0)
     credit.grant(3)
@@ -52,7 +52,7 @@
 
 
 def test_an_account_begins_not_anew_while_credit_is_out_nor_out_of_all_proportion() -> None:
-    credit = GrantedCredit()
+    credit = GrantorCredit()
     credit.begin_anew(1 << 62, 0)
     assert credit.granted == 0
     credit.grant(3)
@@ -66,9 +66,9 @@
 
 
 def test_a_total_of_grants_repeated_or_late_adds_nothing() -> None:
-    held = HeldCredit()
+    held = HolderCredit()
     assert [held.take(total) for total in (3, 3, 1, 5)] == [3, 0, 0, 2]
-    assert held.held == 5
+    assert held.unused == 5
 
 
 @given(
@@ -81,7 +81,7 @@
 def test_the_holder_never_holds_more_than_the_granter_counts_as_outstanding(steps, random) -> None:  # type: ignore[no-untyped-def]
     """Messages both ways arrive late, in any order, several times or never. After a write-off the holder's lease has
     ended, so it counts what it held as returned."""
-    granted, held = GrantedCredit(), HeldCredit()
+    granted, held = GrantorCredit(), HolderCredit()
     grants: list[int] = [0]
     reports: list[tuple[int, int]] = [(0, 0)]
     for step, count in steps:
@@ -89,14 +89,14 @@
             granted.grant(count)
             grants.append(granted.granted)
         elif step == "use":
-            held.use(min(count, held.held))
+            held.use(min(count, held.unused))
         elif step == "return":
-            held.give_back(min(count, held.held))
+            held.give_back(min(count, held.unused))
         elif step == "tell":
             held.take(random.choice(grants))
         elif step == "write off":
             held.take(granted.granted)
-            held.give_back(held.held)
+            held.give_back(held.unused)
             granted.write_off()
         else:
             reports.append((held.used, held.returned))
@@ -104,7 +104,7 @@
             progress = granted.report(*random.choice(reports))
             assert min(progress) >= 0
             assert before - granted.outstanding == sum(progress)
-        assert 0 <= held.held <= granted.outstanding
+        assert 0 <= held.unused <= granted.outstanding
 
 
 @given(st.dictionaries(st.integers(0, 5), st.integers(1, 20), min_size=1), st.lists(st.integers(0, 30), max_size=30))
--- a/tests/fleet/test_rules_dispatcher.py
+++ b/tests/fleet/test_rules_dispatcher.py
@@ -8,7 +8,7 @@
 from rules_setup import MS, START, S, decided, messages
 
 from badgerroad.fleet.messages import LeaseGrant, LeaseRequest, LeaseReturn, QuotaGrant, Usage
-from badgerroad.fleet.rules.actions import Decided, Peer, SendMessage
+from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 
 
@@ -19,7 +19,7 @@
     assert action.to == "c1"
     assert asked([action]).needs[0].wanted == 1
     assert asked([action]).controller == 0
-    assert leases.receive(START + MS, OWN, answer(asked([action]), 1)) == [Decided(1, False)]
+    assert leases.receive(START + MS, OWN, answer(asked([action]), 1)) == [QuotaDecision(1, False)]
     assert leases.figures(START).within == 1
 
 
@@ -60,15 +60,15 @@
     request = asked(leases.request(START, 1, "team"))
     leases.request(START, 2, "team")
     assert decided(leases.receive(START, OWN, answer(request, 0, 0))) == {1: True, 2: True}
-    assert leases.request(START + 49 * MS, 3, "team") == [Decided(3, True)]
+    assert leases.request(START + 49 * MS, 3, "team") == [QuotaDecision(3, True)]
     assert messages(leases.request(START + 50 * MS, 4, "team"), LeaseRequest)
 
 
 def test_a_team_without_a_quota_is_over_at_once_and_asked_for_again_later() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "stranger"))
-    assert leases.receive(START, OWN, answer(request, 0, 0, known=False)) == [Decided(1, True)]
-    assert leases.request(START + 999 * MS, 2, "stranger") == [Decided(2, True)]
+    assert leases.receive(START, OWN, answer(request, 0, 0, known=False)) == [QuotaDecision(1, True)]
+    assert leases.request(START + 999 * MS, 2, "stranger") == [QuotaDecision(2, True)]
     assert messages(leases.request(START + S, 3, "stranger"), LeaseRequest)
 
 
@@ -89,8 +89,8 @@
 
 def test_a_lease_counts_from_the_sending_of_its_request() -> None:
     leases = holding(3, answered=START + S)
-    assert leases.figures(START + 2 * S - 1).held == 3
-    assert leases.figures(START + 2 * S).held == 0
+    assert leases.figures(START + 2 * S - 1).unused == 3
+    assert leases.figures(START + 2 * S).unused == 0
 
 
 def test_a_dispatcher_that_was_stopped_uses_nothing_of_an_ended_lease() -> None:
@@ -110,24 +110,24 @@
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
     assert decided(leases.receive(START + 2 * S, OWN, answer(request, 3))) == {}
-    assert leases.figures(START + 2 * S).held == 0
+    assert leases.figures(START + 2 * S).unused == 0
 
 
 def test_a_repeated_or_late_answer_adds_nothing() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
-    leases.forget(START, 1)
+    leases.cancel(START, 1)
     leases.receive(START, OWN, answer(request, 1))
     leases.receive(START, OWN, answer(request, 5))
     leases.receive(START, OWN, answer(LeaseRequest(99, request.needs), 5))
-    assert leases.figures(START).held == 1
+    assert leases.figures(START).unused == 1
 
 
 def test_an_answer_from_another_than_was_asked_is_ignored() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
     assert leases.receive(START, Peer("c2", 1), answer(request, 3)) == []
-    assert leases.figures(START).held == 0
+    assert leases.figures(START).unused == 0
 
 
 def test_messages_for_others_and_of_an_earlier_life_are_ignored() -> None:
@@ -153,7 +153,7 @@
     leases = holding(2)
     leases.receive(START, Peer("c1", 2), LeaseGrant(77, ()))
     assert decided(leases.request(START + S, 2, "team")) == {2: False}
-    assert leases.figures(START + 2 * S).held == 0
+    assert leases.figures(START + 2 * S).unused == 0
 
 
 def test_demand_is_met_in_advance() -> None:
@@ -169,7 +169,7 @@
             leases.receive(now + MS, OWN, answer(request, granted))
     assert leases.figures(now).over == 0
     assert waited <= 20
-    assert leases.figures(now).asks <= 100
+    assert leases.figures(now).lease_requests <= 100
 
 
 def test_leases_without_demand_go_back_before_their_end_and_are_told() -> None:
@@ -178,7 +178,7 @@
     for tick in range(1, 31):
         returns += messages(leases.tick(START + tick * 50 * MS), LeaseReturn)
     assert returns[-1] == LeaseReturn((Usage("team", 1, 3),), 1)
-    assert leases.figures(START + 1500 * MS).held == 0
+    assert leases.figures(START + 1500 * MS).unused == 0
 
 
 def test_what_was_used_is_told_within_half_a_second_and_once() -> None:
@@ -191,7 +191,7 @@
 def test_release_gives_all_back_and_later_requests_are_asked_for_one_by_one() -> None:
     leases = holding(3)
     assert leases.release(START + MS) == [SendMessage("c1", LeaseReturn((Usage("team", 1, 3),), 1))]
-    assert leases.figures(START + MS).held == 0
+    assert leases.figures(START + MS).unused == 0
     request = asked(leases.request(START + 2 * MS, 2, "team"))
     assert request.needs[0].wanted == 1
 
@@ -199,10 +199,10 @@
 def test_what_is_passed_on_is_held_by_the_next_process_alone() -> None:
     old = holding(3)
     exported = old.export(START + S)
-    assert old.figures(START + S).held == 0
+    assert old.figures(START + S).unused == 0
     new = DispatcherLeases.restore(SETTINGS, "d", "z1", 2, START + S, Random(2), exported)
-    assert new.figures(START + S).held == 3
-    assert new.figures(START + 2 * S).held == 0
+    assert new.figures(START + S).unused == 3
+    assert new.figures(START + 2 * S).unused == 0
     assert decided(new.request(START + S, 1, "team")) == {1: False}
     (need,) = asked(new.request(START + 2 * S, 2, "team")).needs
     assert (need.used, need.returned) == (0, 0)
@@ -227,7 +227,7 @@
     request = asked(old.request(START + 2 * MS, 2, "team"))
     assert (request.needs[0].used, request.needs[0].wanted) == (1, 4)
     assert decided(old.receive(START + 2 * MS, OWN, answer(request, 5))) == {2: False}
-    assert old.figures(START + 2 * MS).held == 0
+    assert old.figures(START + 2 * MS).unused == 0
 
 
 def test_nothing_that_has_ended_is_passed_on() -> None:
@@ -237,8 +237,8 @@
 def test_a_client_that_left_is_not_decided_and_takes_nothing() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
-    leases.forget(START, 1)
-    leases.forget(START, 1)
+    leases.cancel(START, 1)
+    leases.cancel(START, 1)
     assert leases.receive(START, OWN, answer(request, 1)) == []
     assert leases.next_wakeup() is None
-    assert leases.figures(START).held == 1
+    assert leases.figures(START).unused == 1
--- a/tests/fleet/test_rules_dispatcher_failover.py
+++ b/tests/fleet/test_rules_dispatcher_failover.py
@@ -10,7 +10,7 @@
 from rules_setup import MS, START, S, decided, messages, one_region
 
 from badgerroad.fleet.messages import LeaseCredit, LeaseGrant, LeaseRequest
-from badgerroad.fleet.rules.actions import Decided, Peer, SendMessage
+from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.fleet.rules.order import controller_order, shard_order
 
@@ -45,7 +45,7 @@
     leases.request(START, 1, "team")
     (action,) = leases.peer_lost(START + MS, "c1")
     assert action.to == NEXT
-    assert leases.receive(START + 2 * MS, Peer(NEXT, 1), answer(action.message, 1)) == [Decided(1, False)]
+    assert leases.receive(START + 2 * MS, Peer(NEXT, 1), answer(action.message, 1)) == [QuotaDecision(1, False)]
     assert leases.peer_lost(START + 3 * MS, "c1") == []
 
 
@@ -140,7 +140,7 @@
             first = next(iter(waiting))
             del waiting[first]
             forgotten.add(first)
-            leases.forget(now, first)
+            leases.cancel(now, first)
         else:
             take(leases.tick(now))
     now += 20 * MS
@@ -153,16 +153,16 @@
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
     leases.receive(START, OWN, answer(request, 1_000_000, valid_ms=600_000))
-    assert leases.figures(START).held == 0
+    assert leases.figures(START).unused == 0
     request = asked(leases.request(START + MS, 2, "team"))
     assert (request.needs[0].used, request.needs[0].returned) == (1, 999_999)
     leases = holding(0)
-    leases.forget(START, 1)
+    leases.cancel(START, 1)
     request = asked(leases.request(START, 2, "team"))
-    leases.forget(START, 2)
+    leases.cancel(START, 2)
     leases.receive(START, OWN, answer(request, 2, valid_ms=600_000))
-    assert leases.figures(START + 2 * S - 1).held == 1
-    assert leases.figures(START + 2 * S).held == 0
+    assert leases.figures(START + 2 * S - 1).unused == 1
+    assert leases.figures(START + 2 * S).unused == 0
 
 
 def test_a_total_out_of_all_proportion_is_ignored_and_the_next_true_one_counts() -> None:
@@ -170,7 +170,7 @@
     request = asked(leases.request(START, 1, "team"))
     (again,) = messages(leases.receive(START, OWN, answer(request, 1 << 62)), LeaseRequest)
     assert (again.needs[0].used, again.needs[0].returned) == (0, 0)
-    assert leases.receive(START + MS, OWN, answer(again, 1)) == [Decided(1, False)]
+    assert leases.receive(START + MS, OWN, answer(again, 1)) == [QuotaDecision(1, False)]
 
 
 def test_a_controllers_life_is_learnt_anew_with_its_connection() -> None:
--- a/tests/fleet/test_rules_messages.py
+++ b/tests/fleet/test_rules_messages.py
@@ -12,7 +12,7 @@
     Hello,
     LeaseNeed,
     LeaseRequest,
-    MalformedMessage,
+    MalformedMessageError,
     NotOwner,
     Unknown,
     decode,
@@ -75,17 +75,17 @@
     ],
 )
 def test_fields_that_are_missing_or_out_of_bounds_are_malformed(fields: object) -> None:
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         decode(msgspec.msgpack.encode(fields))
 
 
 def test_an_array_nested_too_deep_is_malformed() -> None:
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         decode(b"\x91" * 100_000)
 
 
 def test_a_message_over_the_limit_is_malformed() -> None:
-    with pytest.raises(MalformedMessage, match="at most"):
+    with pytest.raises(MalformedMessageError, match="at most"):
         decode(b"\x00" * (messages.MAXIMAL_MESSAGE + 1))
 
 
@@ -93,7 +93,7 @@
 def test_any_bytes_are_a_message_or_unknown_or_malformed(data: bytes) -> None:
     try:
         message = decode(data)
-    except MalformedMessage as error:
+    except MalformedMessageError as error:
         assert error.code == "fleet-message"
     else:
         assert isinstance(message, Unknown) or decode(encode(message)) == message
@@ -107,5 +107,5 @@
     changed[data.draw(st.integers(0, len(changed) - 1))] = data.draw(st.integers(0, 255))
     try:
         decode(bytes(changed))
-    except MalformedMessage:
+    except MalformedMessageError:
         pass
--- a/tests/fleet/test_rules_owner.py
+++ b/tests/fleet/test_rules_owner.py
@@ -231,9 +231,9 @@
     ask(shard, START, Z0, 1, need(5))
     ask(shard, START + S, Z0, 2, need(5), session=100)
     level = shard.teams["team"].bucket.level
-    shard.take_back(START + S, Z0, QuotaReturn(0, 5, 100, (Usage("team", 2, 3),)))
-    shard.take_back(START + S, Z0, QuotaReturn(0, 5, 100, (Usage("team", 2, 3),)))
-    shard.take_back(START + S, Z0, QuotaReturn(0, 5, 99, (Usage("team", 0, 5),)))
+    shard.receive_return(START + S, Z0, QuotaReturn(0, 5, 100, (Usage("team", 2, 3),)))
+    shard.receive_return(START + S, Z0, QuotaReturn(0, 5, 100, (Usage("team", 2, 3),)))
+    shard.receive_return(START + S, Z0, QuotaReturn(0, 5, 99, (Usage("team", 0, 5),)))
     bucket = shard.teams["team"].bucket
     assert (bucket.level, bucket.outstanding) == (level + 3 * MICRO, 0)
 
@@ -244,7 +244,7 @@
     ask(shard, START + S, Z0, 2, need(5), session=100)
     for now in (START + 5 * S, START + 30 * S):
         shard.tick(now)
-        shard.take_back(now, Z0, QuotaReturn(0, 5, 100, (Usage("team", 2, 3),)))
+        shard.receive_return(now, Z0, QuotaReturn(0, 5, 100, (Usage("team", 2, 3),)))
         bucket = shard.teams["team"].bucket
         assert min(bucket.level, bucket.outstanding, bucket.suspended) >= 0
         assert bucket.total <= bucket.depth
@@ -303,10 +303,10 @@
     for peer in (Z0, Z1, Z2):
         ask(shard, START, peer, 1, need(1))
     shard.tick(START + S)
-    got = [granted(message) for message in messages(shard.hand_out(START + S, None), QuotaGrant)]
+    got = [granted(message) for message in messages(shard.distribute_remaining(START + S, None), QuotaGrant)]
     assert got == [4, 3, 3]
     assert shard.teams["team"].bucket.outstanding == 10 * MICRO
-    assert shard.hand_out(START + S, None) == []
+    assert shard.distribute_remaining(START + S, None) == []
 
 
 def test_a_zone_controller_that_leaves_gets_nothing_of_what_is_left() -> None:
@@ -314,5 +314,5 @@
     for peer in (Z0, Z1, Z2):
         ask(shard, START, peer, 1, need(0))
     shard.tick(START + S)
-    got = {action.to: granted(action.message) for action in shard.hand_out(START + S, Z1)}  # type: ignore[arg-type]
+    got = {action.to: granted(action.message) for action in shard.distribute_remaining(START + S, Z1)}  # type: ignore[arg-type]
     assert got == {"c0": 5, "c2": 5}
--- a/tests/fleet/test_rules_settings.py
+++ b/tests/fleet/test_rules_settings.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from rules_setup import fleet, one_region
 
-from badgerroad.fleet.settings import BadFleet, Controller, FleetSettings
+from badgerroad.fleet.settings import Controller, FleetSettings, FleetSettingsError
 
 
 def controllers(*rows: tuple[str, str, str, bool]) -> tuple[Controller, ...]:
@@ -29,7 +29,7 @@
     ],
 )
 def test_members_that_cannot_be_are_refused_by_field(field: str, members: tuple[Controller, ...]) -> None:
-    with pytest.raises(BadFleet) as raised:
+    with pytest.raises(FleetSettingsError) as raised:
         FleetSettings(controllers=members).check()
     assert raised.value.field == field
     assert raised.value.code == "fleet-settings"
@@ -47,7 +47,7 @@
     ],
 )
 def test_durations_that_contradict_each_other_are_refused_by_field(field: str, changes: dict[str, Any]) -> None:
-    with pytest.raises(BadFleet) as raised:
+    with pytest.raises(FleetSettingsError) as raised:
         fleet(**changes)
     assert raised.value.field == field
 
--- a/tests/fleet/test_rules_voter.py
+++ b/tests/fleet/test_rules_voter.py
@@ -147,26 +147,26 @@
 
 def test_one_voters_word_makes_no_owner_and_a_majoritys_does() -> None:
     view = View(SETTINGS)
-    view.hear_table(START, "c0", holding(3, A))
+    view.receive_table(START, "c0", holding(3, A))
     assert view.owner_of(START, 0) is None
-    view.hear_table(START, "c1", holding(3, A))
+    view.receive_table(START, "c1", holding(3, A))
     assert view.owner_of(START, 0) == Owner(A, 3)
     assert view.owner_of(START + 4 * S, 0) is None
 
 
 def test_an_announcement_of_an_older_term_changes_nothing() -> None:
     view = View(SETTINGS)
-    view.hear_announcement(START, A, OwnerAnnouncement((Claim(0, 5),)))
-    view.hear_announcement(START + MS, B, OwnerAnnouncement((Claim(0, 4),)))
+    view.receive_announcement(START, A, OwnerAnnouncement((Claim(0, 5),)))
+    view.receive_announcement(START + MS, B, OwnerAnnouncement((Claim(0, 4),)))
     assert view.owner_of(START + MS, 0) == Owner(A, 5)
 
 
 def test_one_that_announces_no_more_of_a_shard_owns_it_no_more() -> None:
     view = View(SETTINGS)
-    view.hear_announcement(START, A, OwnerAnnouncement((Claim(0, 5),)))
+    view.receive_announcement(START, A, OwnerAnnouncement((Claim(0, 5),)))
     for voter in ("c0", "c1"):
-        view.hear_table(START, voter, holding(5, A))
-    view.hear_announcement(START + MS, A, OwnerAnnouncement(()))
+        view.receive_table(START, voter, holding(5, A))
+    view.receive_announcement(START + MS, A, OwnerAnnouncement(()))
     assert view.owner_of(START + MS, 0) is None
     assert view.highest_terms[0] == 5
 
@@ -174,20 +174,20 @@
 def test_a_controller_is_alive_while_it_announces_and_not_when_it_leaves() -> None:
     view = View(SETTINGS)
     for second in range(5):
-        view.hear_announcement(START + second * S, A, OwnerAnnouncement(()))
+        view.receive_announcement(START + second * S, A, OwnerAnnouncement(()))
     now = START + 4 * S
     assert view.alive(now, "c0", 4 * S)
     assert not view.alive(now, "c0", 4 * S + 1)
     assert not view.alive(now + 3 * S + 1, "c0")
-    view.hear_announcement(now, A, OwnerAnnouncement((), True))
+    view.receive_announcement(now, A, OwnerAnnouncement((), True))
     assert not view.alive(now, "c0")
 
 
 def test_a_new_life_has_been_alive_since_its_own_first_word() -> None:
     view = View(SETTINGS)
-    view.hear_announcement(START, A, OwnerAnnouncement(()))
-    view.hear_announcement(START + S, Peer("c0", 2), OwnerAnnouncement(()))
-    view.hear_announcement(START + 2 * S, A, OwnerAnnouncement(()))
+    view.receive_announcement(START, A, OwnerAnnouncement(()))
+    view.receive_announcement(START + S, Peer("c0", 2), OwnerAnnouncement(()))
+    view.receive_announcement(START + 2 * S, A, OwnerAnnouncement(()))
     assert view.alive(START + 2 * S, "c0", S)
     assert not view.alive(START + 2 * S, "c0", 2 * S)
 
@@ -196,9 +196,9 @@
     voter, view = Voter(SETTINGS, START), View(SETTINGS)
     assert not grants(voter, AWAKE, A, 1 << 62)
     assert grants(voter, AWAKE, A, 1)
-    view.hear_announcement(START, A, OwnerAnnouncement((Claim(0, 1 << 62),)))
-    view.hear_table(START, "c0", holding(1 << 62, A))
-    view.hear_table(START, "c1", holding(1 << 62, A))
+    view.receive_announcement(START, A, OwnerAnnouncement((Claim(0, 1 << 62),)))
+    view.receive_table(START, "c0", holding(1 << 62, A))
+    view.receive_table(START, "c1", holding(1 << 62, A))
     assert view.owner_of(START, 0) is None
     assert view.highest_terms == {}
 
@@ -206,6 +206,6 @@
 def test_a_grant_longer_than_agreed_on_is_not_believed() -> None:
     view = View(SETTINGS)
     for name in ("c0", "c1"):
-        view.hear_table(START, name, (Holding(0, 3, "c0", 1, 600_000),))
+        view.receive_table(START, name, (Holding(0, 3, "c0", 1, 600_000),))
     assert view.owner_of(START + 5 * S, 0) == Owner(A, 3)
     assert view.owner_of(START + 6 * S, 0) is None
--- a/tests/fleet/test_rules_zone.py
+++ b/tests/fleet/test_rules_zone.py
@@ -74,7 +74,7 @@
     request = zone.open()
     zone.grant(START + S, request, 9, valid_ms=0, number=2)
     assert zone.rules.shards[0].end == START + 3 * S
-    assert zone.stock.credit.held == 9
+    assert zone.stock.credit.unused == 9
 
 
 def test_a_repeated_or_older_grant_adds_nothing() -> None:
@@ -82,7 +82,7 @@
     request = zone.open()
     zone.grant(START, request, 8)
     zone.grant(START, request, 3, number=0)
-    assert zone.stock.credit.held == 8
+    assert zone.stock.credit.unused == 8
 
 
 def test_grants_of_another_owner_or_term_are_ignored() -> None:
@@ -91,7 +91,7 @@
     zone.grant(START, request, 50, owner=NEXT_OWNER, number=2)
     zone.grant(START, QuotaRequest(0, 4, 100, 1, 0, 0, False, ()), 50, number=3)
     zone.grant(START, request, 50, owner=Peer("c1", 2), number=4)
-    assert zone.stock.credit.held == 8
+    assert zone.stock.credit.unused == 8
 
 
 def test_only_what_dispatchers_report_or_leave_unreported_at_the_end_of_their_lease_counts_as_used() -> None:
@@ -99,13 +99,13 @@
     zone.open()
     zone.lease(START, D0, 3)
     zone.lease(START, D1, 1)
-    assert (zone.stock.credit.used, zone.stock.handed) == (0, 4)
+    assert (zone.stock.credit.used, zone.stock.leased_out) == (0, 4)
     zone.lease(START + 100 * MS, D0, 2, used=1)
-    assert (zone.stock.credit.used, zone.stock.handed) == (1, 3)
+    assert (zone.stock.credit.used, zone.stock.leased_out) == (1, 3)
     zone.rules.expire(START + SETTINGS.longer(2 * S))
-    assert (zone.stock.credit.used, zone.stock.handed) == (2, 2)  # that of d0 was renewed
+    assert (zone.stock.credit.used, zone.stock.leased_out) == (2, 2)  # that of d0 was renewed
     zone.rules.expire(START + 100 * MS + SETTINGS.longer(2 * S))
-    assert (zone.stock.credit.used, zone.stock.handed) == (4, 0)
+    assert (zone.stock.credit.used, zone.stock.leased_out) == (4, 0)
 
 
 def test_what_a_dispatcher_returns_serves_others_and_once_only() -> None:
@@ -113,7 +113,7 @@
     zone.open()
     zone.lease(START, D0, 4)
     for _ in range(2):
-        zone.rules.take_back(START, D0, LeaseReturn((Usage("team", 1, 3),), ME))
+        zone.rules.receive_return(START, D0, LeaseReturn((Usage("team", 1, 3),), ME))
     assert (zone.stock.available, zone.stock.credit.used) == (7, 1)
 
 
@@ -129,17 +129,17 @@
     zone.open()
     zone.lease(START, D0, 2)
     assert zone.lease(START, Peer("d0", 2), 1, controller=0).granted == 1
-    assert zone.stock.handed == 3
+    assert zone.stock.leased_out == 3
 
 
 def test_totals_that_belong_to_an_earlier_life_of_the_controller_are_ignored() -> None:
     zone = Zone()
     zone.open()
     assert zone.lease(START, D0, 2, used=70, controller=8).granted == 2
-    zone.rules.take_back(START, D0, LeaseReturn((Usage("team", 80, 0),), 8))
-    assert zone.stock.handed == 2
+    zone.rules.receive_return(START, D0, LeaseReturn((Usage("team", 80, 0),), 8))
+    assert zone.stock.leased_out == 2
     assert zone.lease(START, D0, 0, used=2).granted == 2
-    assert (zone.stock.handed, zone.stock.credit.used) == (0, 2)
+    assert (zone.stock.leased_out, zone.stock.credit.used) == (0, 2)
 
 
 def test_an_account_forgotten_for_idleness_goes_on_from_the_dispatchers_totals() -> None:
--- a/tests/fleet/test_rules_zone_limits.py
+++ b/tests/fleet/test_rules_zone_limits.py
@@ -100,7 +100,7 @@
     zone = Zone()
     request = zone.open()
     zone.grant(START, request, 1 << 62, number=2)
-    assert zone.stock.credit.held == 8
+    assert zone.stock.credit.unused == 8
 
 
 def test_the_lower_of_an_owners_and_the_own_quota_counts() -> None:
--- a/tests/fleet/test_rules_zone_sessions.py
+++ b/tests/fleet/test_rules_zone_sessions.py
@@ -20,7 +20,7 @@
     assert (request.term, request.session, request.stamp, request.lending) == (6, 0, 0, False)
     assert request.needs[0].carried == 5
     zone.grant(now, request, 5, owner=NEXT_OWNER, session=7)
-    assert zone.stock.credit.held == 5
+    assert zone.stock.credit.unused == 5
     assert zone.stock.carried == 0
 
 
@@ -58,10 +58,10 @@
     request = zone.asked(START + 10 * S)
     assert request.session == 100
     zone.grant(START + 10 * S, request, 0, session=101, number=1)
-    assert zone.stock.credit.held == 0
+    assert zone.stock.credit.unused == 0
     assert zone.rules.shards[0].number == 101
     zone.grant(START + 10 * S, request, 8, session=100, number=9)
-    assert zone.stock.credit.held == 0
+    assert zone.stock.credit.unused == 0
     assert zone.rules.shards[0].number == 101
 
 
--- a/tests/fleet/zone_setup.py
+++ b/tests/fleet/zone_setup.py
@@ -45,7 +45,7 @@
         self.sequence = 0
 
     def announce(self, now: int, owner: Peer, term: int) -> None:
-        self.view.hear_announcement(now, owner, OwnerAnnouncement((Claim(0, term),)))
+        self.view.receive_announcement(now, owner, OwnerAnnouncement((Claim(0, term),)))
 
     def tick(self, now: int) -> list[SendMessage]:
         self.rules.expire(now)
--- a/tests/mutation/mutations.py
+++ b/tests/mutation/mutations.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import inspect
 
-from badgerroad.fleet.messages import MalformedMessage, Unknown, decode, encode
+from badgerroad.fleet.messages import MalformedMessageError, Unknown, decode, encode
 from tests.fleet.simulation.clock import MILLISECOND
 from tests.fleet.simulation.network import Parcel
 
@@ -64,7 +64,7 @@
         data = encode(parcel.message)
         try:
             message = decode(data[: min(len(data) - 1, int(len(data) * share))])
-        except MalformedMessage:
+        except MalformedMessageError:
             return []
         return [] if isinstance(message, Unknown) else [(delay, replace(parcel, message=message))]
 
