--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -27,7 +27,7 @@
 
 log = logs.get("badgerroad")
 
-MOST_ACCEPTED = 2048  # connections that others have made to this process
+MAX_ACCEPTED_CONNECTIONS = 2048  # connections that others have made to this process
 ROLE_DISPATCHER: Final = "dispatcher"  # of Hello.role
 ROLE_CONTROLLER: Final = "controller"
 
@@ -137,7 +137,7 @@
     # What happens to connections.
 
     def _accept(self, stream: IOStream) -> None:
-        if len(self._accepted) >= MOST_ACCEPTED:
+        if len(self._accepted) >= MAX_ACCEPTED_CONNECTIONS:
             self._ended.rejected += 1
             stream.close()
             return
--- a/badgerroad/fleet/controller.py
+++ b/badgerroad/fleet/controller.py
@@ -28,8 +28,8 @@
 OK, CANNOT_LISTEN, BAD_CONFIG = 0, 1, 2  # exit codes
 DRAIN_LIMIT_S = 5.0  # from SIGTERM until the process ends even if something is still held
 FLUSH_LIMIT_S = 0.5  # and for the last messages to go
-LOOK_S = 0.02  # how often it is looked whether that is done
-FIGURES_S = 10.0  # between two lines of figures
+DRAIN_POLL_INTERVAL_S = 0.02  # how often it is looked whether that is done
+FIGURES_INTERVAL_S = 10.0  # between two lines of figures
 
 
 def monotonic_us() -> int:
@@ -114,7 +114,7 @@
 
     async def _log_figures(self) -> None:
         while True:
-            await asyncio.sleep(FIGURES_S)
+            await asyncio.sleep(FIGURES_INTERVAL_S)
             self.log_figures()
 
     def log_figures(self) -> None:
@@ -135,7 +135,7 @@
     while not condition():
         if time.monotonic() >= end:
             return False
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
     return True
 
 
--- a/badgerroad/fleet/dialer.py
+++ b/badgerroad/fleet/dialer.py
@@ -16,10 +16,10 @@
 log = logs.get("badgerroad")
 
 CONNECT_TIMEOUT_S = 3.0
-PENDING_BYTES = 64 * 1024  # that wait for a connection being made
-FIRST_PAUSE_S = 0.1  # before the second attempt to connect; doubled each time,
-LONGEST_PAUSE_S = 2.0  # up to this
-STEADY_S = 2.0  # a connection that lasted so long was a good one: the pauses start anew
+MAX_PENDING_BYTES = 64 * 1024  # that wait for a connection being made
+INITIAL_BACKOFF_S = 0.1  # before the second attempt to connect; doubled each time,
+MAX_BACKOFF_S = 2.0  # up to this
+STABLE_CONNECTION_S = 2.0  # a connection that lasted so long was a good one: the pauses start anew
 
 
 class Dialer:
@@ -47,7 +47,7 @@
         if self._connection is not None and self._connection.peer is not None:
             self._connection.send(framed)
             return True
-        if not self._connecting or self._pending_bytes + len(framed) > PENDING_BYTES:
+        if not self._connecting or self._pending_bytes + len(framed) > MAX_PENDING_BYTES:
             return False
         self._pending.append(framed)
         self._pending_bytes += len(framed)
@@ -72,7 +72,7 @@
                 await self._one_connection()
             except Exception:
                 log.exception("fleet: unexpected exception on a connection", peer=self.name)
-            failures = 0 if loop.time() - began >= STEADY_S else failures + 1
+            failures = 0 if loop.time() - began >= STABLE_CONNECTION_S else failures + 1
             await asyncio.sleep(self._pause(failures))
 
     async def _one_connection(self) -> None:
@@ -100,5 +100,5 @@
         self._pending, self._pending_bytes = [], 0
 
     def _pause(self, failures: int) -> float:
-        longest = min(FIRST_PAUSE_S * 2 ** min(failures, 16), LONGEST_PAUSE_S)
+        longest = min(INITIAL_BACKOFF_S * 2 ** min(failures, 16), MAX_BACKOFF_S)
         return float(longest * self._random.uniform(0.5, 1.0))
--- a/badgerroad/fleet/extension.py
+++ b/badgerroad/fleet/extension.py
@@ -13,7 +13,7 @@
 from badgerroad.fleet.messages import VERSION, Hello, Message
 from badgerroad.fleet.rules.actions import Action, Peer, SendMessage
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 from badgerroad.fleet.table import fields_of
 from badgerroad.load_balancing import interface
 from badgerroad.net import logs
@@ -22,9 +22,9 @@
 
 log = logs.get("badgerroad")
 
-FIGURES = 10_000_000  # microseconds between two lines of figures
-LATEST = 2  # times the settings' ask_timeout_ms: then a request goes on whatever the rules do
-LONGEST_NAME = 32  # characters of the dispatcher's own name in its name as a peer
+FIGURES_INTERVAL_US = 10_000_000  # microseconds between two lines of figures
+DECISION_LIMIT_FACTOR = 2  # times the settings' ask_timeout_ms: then a request goes on whatever the rules do
+MAX_NAME_PREFIX_CHARS = 32  # characters of the dispatcher's own name in its name as a peer
 
 
 class PendingRequest(NamedTuple):
@@ -50,7 +50,7 @@
         self._wheel, self._clock = wheel, wheel.clock
         random, incarnation = Random(os.urandom(16)), new_incarnation()
         # Two processes of one dispatcher are two peers: neither's leases are the other's.
-        peer_name = f"{name[:LONGEST_NAME] or 'dispatcher'}-{os.getpid()}-{incarnation:x}"
+        peer_name = f"{name[:MAX_NAME_PREFIX_CHARS] or 'dispatcher'}-{os.getpid()}-{incarnation:x}"
         self.leases = DispatcherLeases(settings, peer_name, zone, incarnation, self._clock.now(), random)
         hello = Hello(VERSION, peer_name, zone, ROLE_DISPATCHER, incarnation)
         addresses = {c.name: (c.host, c.port) for c in settings.controllers}
@@ -68,7 +68,7 @@
             if controller.zone == self._zone:
                 self.connections.connect(controller.name)
         self._tick()
-        self._wheel.after(FIGURES, self._log_figures)
+        self._wheel.after(FIGURES_INTERVAL_US, self._log_figures)
 
     # What the dispatcher tells.
 
@@ -84,7 +84,7 @@
         self._numbers[request.forwarded.id] = request.number
         self._enter(lambda: self.leases.request(now, request.number, team))
         if request.number in self._held:
-            latest = LATEST * self.settings.ask_timeout_ms * MICROSECONDS
+            latest = DECISION_LIMIT_FACTOR * self.settings.ask_timeout_ms * US_PER_MS
             self._wheel.after(latest, lambda: self._too_late(request.number))
 
     def request_forgotten(self, request_id: bytes) -> None:
@@ -160,14 +160,14 @@
 
     def _tick(self) -> None:
         if not self._over:
-            self._wheel.after(self.settings.tick_ms * MICROSECONDS, self._tick)
+            self._wheel.after(self.settings.tick_ms * US_PER_MS, self._tick)
             self._enter(lambda: self.leases.tick(self._clock.now()))
 
     # Figures, and the end.
 
     def _log_figures(self) -> None:
         if not self._over:
-            self._wheel.after(FIGURES, self._log_figures)
+            self._wheel.after(FIGURES_INTERVAL_US, self._log_figures)
             figures = self.leases.figures(self._clock.now())
             log.info("fleet figures", **fields_of(figures), **fields_of(self.connections.traffic()))
 
--- a/badgerroad/fleet/framing.py
+++ b/badgerroad/fleet/framing.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from badgerroad.fleet.errors import FrameError
-from badgerroad.fleet.messages import MAXIMAL_MESSAGE
+from badgerroad.fleet.messages import MAX_MESSAGE_BYTES
 
 LENGTH_BYTES = 4
 
 
 def frame(payload: bytes) -> bytes:
-    """The payload with its length before it. Raises FrameError where it is longer than MAXIMAL_MESSAGE."""
-    if len(payload) > MAXIMAL_MESSAGE:
-        raise FrameError(f"a frame of {len(payload)} bytes; at most {MAXIMAL_MESSAGE} are allowed")
+    """The payload with its length before it. Raises FrameError where it is longer than MAX_MESSAGE_BYTES."""
+    if len(payload) > MAX_MESSAGE_BYTES:
+        raise FrameError(f"a frame of {len(payload)} bytes; at most {MAX_MESSAGE_BYTES} are allowed")
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
@@ -27,15 +27,15 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The payloads that are whole now, in order. Raises FrameError at a length above MAXIMAL_MESSAGE."""
+        """The payloads that are whole now, in order. Raises FrameError at a length above MAX_MESSAGE_BYTES."""
         self._buffer += data
         payloads: list[bytes] = []
         start = 0
         while len(self._buffer) - start >= LENGTH_BYTES:
             body = start + LENGTH_BYTES
             length = int.from_bytes(self._buffer[start:body], "big")
-            if length > MAXIMAL_MESSAGE:
-                raise FrameError(f"a frame of {length} bytes; at most {MAXIMAL_MESSAGE} are allowed")
+            if length > MAX_MESSAGE_BYTES:
+                raise FrameError(f"a frame of {length} bytes; at most {MAX_MESSAGE_BYTES} are allowed")
             if len(self._buffer) < body + length:
                 break
             payloads.append(bytes(self._buffer[body : body + length]))
--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -14,15 +14,15 @@
 from badgerroad.errors import Error
 
 VERSION = 1
-MAXIMAL_NAME = 64
-MAXIMAL_LIST = 4096
-MAXIMAL_MESSAGE = 1 << 20  # bytes of one encoded message
+MAX_NAME = 64
+MAX_LIST = 4096
+MAX_MESSAGE_BYTES = 1 << 20  # bytes of one encoded message
 UNKNOWN_SESSION = 0  # in a QuotaRequest: no number of a session of this term has been heard yet
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAXIMAL_NAME)]
-OptionalName = Annotated[str, msgspec.Meta(max_length=MAXIMAL_NAME)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
+OptionalName = Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
-Shard = Annotated[int, msgspec.Meta(ge=0, lt=MAXIMAL_LIST)]
+Shard = Annotated[int, msgspec.Meta(ge=0, lt=MAX_LIST)]
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=600_000)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
@@ -91,14 +91,14 @@
     known: bool = True
 
 
-Claims = Annotated[tuple[Claim, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-Holdings = Annotated[tuple[Holding, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-Shards = Annotated[tuple[Shard, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-QuotaNeeds = Annotated[tuple[QuotaNeed, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-QuotaCredits = Annotated[tuple[QuotaCredit, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-Usages = Annotated[tuple[Usage, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-LeaseNeeds = Annotated[tuple[LeaseNeed, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-LeaseCredits = Annotated[tuple[LeaseCredit, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
+Claims = Annotated[tuple[Claim, ...], msgspec.Meta(max_length=MAX_LIST)]
+Holdings = Annotated[tuple[Holding, ...], msgspec.Meta(max_length=MAX_LIST)]
+Shards = Annotated[tuple[Shard, ...], msgspec.Meta(max_length=MAX_LIST)]
+QuotaNeeds = Annotated[tuple[QuotaNeed, ...], msgspec.Meta(max_length=MAX_LIST)]
+QuotaCredits = Annotated[tuple[QuotaCredit, ...], msgspec.Meta(max_length=MAX_LIST)]
+Usages = Annotated[tuple[Usage, ...], msgspec.Meta(max_length=MAX_LIST)]
+LeaseNeeds = Annotated[tuple[LeaseNeed, ...], msgspec.Meta(max_length=MAX_LIST)]
+LeaseCredits = Annotated[tuple[LeaseCredit, ...], msgspec.Meta(max_length=MAX_LIST)]
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
@@ -250,8 +250,8 @@
 
 def decode(data: bytes) -> Message | Unknown:
     """The message in `data` (without framing). Raises MalformedMessageError."""
-    if len(data) > MAXIMAL_MESSAGE:
-        raise MalformedMessageError(f"{len(data)} bytes in one message, at most {MAXIMAL_MESSAGE}")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise MalformedMessageError(f"{len(data)} bytes in one message, at most {MAX_MESSAGE_BYTES}")
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
--- a/badgerroad/fleet/peer_connection.py
+++ b/badgerroad/fleet/peer_connection.py
@@ -18,7 +18,7 @@
 
 HELLO_TIMEOUT_S = 3.0  # for the first message, and for the rest of a message that has begun
 READ_BYTES = 16 * 1024  # handled in one turn of the loop
-OUTGOING_BYTES = 2 << 20  # that wait for a peer that does not read; more, and it is closed
+MAX_OUTGOING_BYTES = 2 << 20  # that wait for a peer that does not read; more, and it is closed
 # A peer whose machine has vanished is given up after some 5 s, also on an idle connection.
 KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_PROBES = 2, 1, 3
 UNACKNOWLEDGED_MS = 5_000
@@ -62,7 +62,7 @@
         self._frames = FrameReader()
         self._deadline: asyncio.TimerHandle | None = None
         self._over = False
-        stream.max_write_buffer_size = OUTGOING_BYTES
+        stream.max_write_buffer_size = MAX_OUTGOING_BYTES
 
     async def run(self) -> None:
         """From this side's Hello until the connection ends."""
@@ -89,7 +89,7 @@
         return self.peer.name if self.peer is not None else ""
 
     def send(self, framed: bytes) -> None:
-        """Queue it for the socket. A peer that has not read OUTGOING_BYTES is closed."""
+        """Queue it for the socket. A peer that has not read MAX_OUTGOING_BYTES is closed."""
         if self._over:
             return
         try:
--- a/badgerroad/fleet/rules/actions.py
+++ b/badgerroad/fleet/rules/actions.py
@@ -1,39 +1,44 @@
-"""What goes into the rules beside messages, and what comes out of them."""
+"""The types that enter the rules beside messages, and the actions that they return."""
 
 from __future__ import annotations
 
-from typing import NamedTuple, Protocol, Union
+from typing import NamedTuple, Protocol
 
 from badgerroad.fleet.messages import Message
 
 
 class Randomness(Protocol):
-    """What the rules use of random.Random; the caller seeds it."""
+    """The part of random.Random that the rules use; the caller seeds it."""
 
-    def getrandbits(self, k: int, /) -> int: ...
+    def getrandbits(self, k: int, /) -> int:
+        """An integer of `k` random bits."""
 
-    def randint(self, a: int, b: int) -> int: ...
+    def randint(self, a: int, b: int) -> int:
+        """A random integer from `a` to `b`, both included."""
 
 
 class Peer(NamedTuple):
-    """Who sent a message, from the Hello of its connection."""
+    """The sender of a message, from the Hello of its connection."""
 
     name: str
     incarnation: int
 
 
 class SendMessage(NamedTuple):
-    """`to`: a peer's name. Dropped by the caller if there is no connection to it."""
+    """Send a message. `to`: a peer's name. The caller drops it if there is no connection."""
 
     to: str
     message: Message
 
 
 class QuotaDecision(NamedTuple):
-    """A dispatcher's request may go on. `over_quota`: it is beyond its team's quota, or nobody could tell in time."""
+    """A request of a dispatcher may proceed.
+
+    `over_quota`: it exceeds its team's quota, or no controller answered in time.
+    """
 
     request: int
     over_quota: bool
 
 
-Action = Union[SendMessage, QuotaDecision]
+Action = SendMessage | QuotaDecision
--- a/badgerroad/fleet/rules/controller.py
+++ b/badgerroad/fleet/rules/controller.py
@@ -1,4 +1,4 @@
-"""A controller: voter (if it is one), candidate, owner of shards, controller of its zone."""
+"""A controller: voter (if configured as one), candidate, owner of shards, and controller of its zone."""
 
 from __future__ import annotations
 
@@ -17,12 +17,15 @@
 from badgerroad.fleet.rules.zone import ZoneController
 from badgerroad.fleet.settings import FleetSettings
 
-HAND_OUT_BEFORE = 400_000  # microseconds before the end of an ownership that is given up
+DISTRIBUTE_BEFORE_END_US = 400_000  # how long before a graceful end remaining credit goes to the zones
 SESSION_BITS = 48  # of the random number that a term's session numbers count up from
 
 
 class ControllerFigures(msgspec.Struct, frozen=True, rename={"requests_rejected": "requests_refused"}):
-    """For log lines. `requests_*`, `reserve_used`, `elections_*` and `ownerships_lost` are totals since the start."""
+    """Counters for log lines.
+
+    `requests_*`, `reserve_used`, `elections_*` and `ownerships_lost` are totals since the start.
+    """
 
     owned_shards: int = 0
     zone_sessions: int = 0
@@ -38,41 +41,48 @@
 
 
 class ControllerRules:
-    """`voter` (None if it is none), `candidate`, `owners` by shard and `zone` are there to be read by tests."""
+    """All rules of one controller.
+
+    `voter` (None if it is none), `candidate`, `owners` by shard and `zone` are public for tests.
+    """
 
     def __init__(self, settings: FleetSettings, name: str, incarnation: int, now: int, random: Randomness) -> None:
-        """Times are microseconds. `incarnation` must be higher than at any earlier start under this name."""
+        """Start at `now` (microseconds).
+
+        `incarnation` must be higher than at any earlier start under this name.
+        """
         self._settings = settings
         self._random = random
-        self._me = Peer(name, incarnation)
+        self._self_peer = Peer(name, incarnation)
         self._quotas: list[dict[str, float]] = [{} for _ in range(settings.shards)]
         self._view = View(settings)
         self.voter = Voter(settings, now) if name in settings.voters else None
-        self.candidate = Candidate(settings, self._me, self._view, now, random)
+        self.candidate = Candidate(settings, self._self_peer, self._view, now, random)
         self.owners: dict[int, ShardOwner] = {}
         self.zone = ZoneController(settings, incarnation, self._view, now)
 
     def receive(self, now: int, sender: Peer, message: Message) -> list[SendMessage]:
+        """Handle a message from `sender`. Returns the messages to send."""
         self._expire(now)
         return self._deliver(now, self._handle(now, sender, message))
 
     def tick(self, now: int) -> list[SendMessage]:
-        """To be called every settings.tick_ms."""
+        """Do what is due; to be called every settings.tick_ms. Returns the messages to send."""
         self._expire(now)
         actions = self.candidate.tick(now)
         self._follow_ownership(now)
         for shard, owner in self.owners.items():
             actions += owner.tick(now)
             closing = self.candidate.owned(now)[shard].closing
-            if closing is not None and closing - now <= HAND_OUT_BEFORE:
-                actions += owner.distribute_remaining(now, self._me if self.candidate.leaving else None)
+            if closing is not None and closing - now <= DISTRIBUTE_BEFORE_END_US:
+                actions += owner.distribute_remaining(now, self._self_peer if self.candidate.leaving else None)
         actions += self.zone.tick(now)
         if self._may_end():
             actions += self.zone.end(now)
         return self._deliver(now, actions)
 
     def set_quotas(self, now: int, quotas: Mapping[str, float]) -> None:
-        """All teams with their quotas in requests a second; teams that are not in it have none."""
+        """Replace all quotas (requests per second). Teams that are not listed have none."""
         self._expire(now)
         self._quotas = [{} for _ in range(self._settings.shards)]
         for name, quota in quotas.items():
@@ -82,20 +92,21 @@
         self.zone.set_quotas(now, quotas)
 
     def peer_lost(self, now: int, name: str) -> None:
-        """The connection to a peer closed. Leases end by time alone, so nothing follows from it."""
+        """A connection to a peer closed. Only expiry is applied, since leases end by time alone."""
         self._expire(now)
 
     def drain(self, now: int) -> list[SendMessage]:
-        """Starts a graceful end: `tick` goes on until `drained`."""
+        """Start a graceful shutdown; `tick` must be called until `drained`."""
         self._expire(now)
         self.candidate.leave(now)
         return self._deliver(now, self.zone.end(now) if self._may_end() else [])
 
     def drained(self, now: int) -> bool:
-        """The process may end: it owns nothing any more, and what its zone held is back."""
+        """Whether the process may end: it owns no shard, and its zone's credit has been returned."""
         return self.zone.ended and self._may_end()
 
     def figures(self, now: int) -> ControllerFigures:
+        """The present counters, for a log line."""
         return ControllerFigures(
             owned_shards=len(self.candidate.owned(now)),
             zone_sessions=sum(owner.session_count for owner in self.owners.values()),
@@ -111,14 +122,14 @@
         )
 
     def owned(self, now: int) -> dict[int, Ownership]:
-        """Shards with term and end."""
+        """The owned shards with term and end."""
         return self.candidate.owned(now)
 
     def _may_end(self) -> bool:
         return self.candidate.leaving and not self.candidate.owns_any
 
     def _expire(self, now: int) -> None:
-        """What has run out is dropped before anything else is done, also when this process was stopped for long."""
+        """Drop what has run out, before anything else is done; also after a long stop of this process."""
         self.candidate.expire(now)
         self._follow_ownership(now)
         self.zone.expire(now)
@@ -135,13 +146,13 @@
                 self.owners[shard] = ShardOwner(self._settings, shard, ownership.term, quotas, now, first_session)
 
     def _deliver(self, now: int, actions: list[SendMessage]) -> list[SendMessage]:
-        """Messages to this controller itself are handled here."""
+        """Handle the messages to this controller itself; return the others."""
         outgoing: list[SendMessage] = []
         queue = deque(actions)
         while queue:
             action = queue.popleft()
-            if action.to == self._me.name:
-                queue.extend(self._handle(now, self._me, action.message))
+            if action.to == self._self_peer.name:
+                queue.extend(self._handle(now, self._self_peer, action.message))
             else:
                 outgoing.append(action)
         return outgoing
@@ -161,25 +172,35 @@
             case messages.VoteRequest():
                 return self._vote(now, sender, message)
             case messages.VoteReply():
-                actions = self.candidate.receive_reply(now, sender, message)
-                self._follow_ownership(now)
-                return actions
-            case messages.VoteRelease():
-                if self.voter is not None:
-                    self.voter.release(sender, message)
-            case messages.OwnerAnnouncement():
-                self._view.receive_announcement(now, sender, message)
+                return self._receive_vote_reply(now, sender, message)
             case messages.QuotaRequest():
                 return self._answer_quota_request(now, sender, message)
+            case messages.OwnerAnnouncement():
+                self._view.receive_announcement(now, sender, message)
+            case messages.NotOwner():
+                self._view.forget(Owner(sender, message.term), message.shard)
+            case messages.VoteRelease():
+                self._release_votes(sender, message)
             case messages.QuotaGrant():
                 self.zone.receive_grant(now, sender, message)
             case messages.QuotaReturn():
-                if message.shard in self.owners:
-                    self.owners[message.shard].receive_return(now, sender, message)
-            case messages.NotOwner():
-                self._view.forget(Owner(sender, message.term), message.shard)
+                self._receive_quota_return(now, sender, message)
         return []
 
+    def _receive_vote_reply(self, now: int, sender: Peer, reply: messages.VoteReply) -> list[SendMessage]:
+        actions = self.candidate.receive_reply(now, sender, reply)
+        self._follow_ownership(now)
+        return actions
+
+    def _release_votes(self, sender: Peer, release: messages.VoteRelease) -> None:
+        if self.voter is not None:
+            self.voter.release(sender, release)
+
+    def _receive_quota_return(self, now: int, sender: Peer, message: messages.QuotaReturn) -> None:
+        owner = self.owners.get(message.shard)
+        if owner is not None:
+            owner.receive_return(now, sender, message)
+
     def _vote(self, now: int, sender: Peer, request: messages.VoteRequest) -> list[SendMessage]:
         if self.voter is None:
             return []
--- a/badgerroad/fleet/rules/dispatcher.py
+++ b/badgerroad/fleet/rules/dispatcher.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from badgerroad.fleet.messages import (
-    MAXIMAL_LIST,
-    MAXIMAL_NAME,
+    MAX_LIST,
+    MAX_NAME,
     LeaseCredit,
     LeaseGrant,
     LeaseNeed,
@@ -22,14 +22,14 @@
 from badgerroad.fleet.rules.actions import Action, Peer, QuotaDecision, Randomness, SendMessage
 from badgerroad.fleet.rules.controller_choice import ControllerChoice
 from badgerroad.fleet.rules.team_leases import INHERITED, DispatcherLease, TeamLeases
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-REFUSED_FOR = 50_000  # microseconds for which a refusal is remembered
-UNKNOWN_FOR = 1_000_000  # microseconds for which it is remembered that a team has no quota
-REVIEWS = 8  # in a lease's time: looks at leases that end
-REPORTS = 4  # in a lease's time: reports of what was used
-MAXIMAL_WANTED = 1_000_000  # requests in one ask
-MAXIMAL_TEAMS = 4096  # further ones are over quota without asking
+REJECTED_FOR_US = 50_000  # microseconds for which a refusal is remembered
+UNKNOWN_TEAM_FOR_US = 1_000_000  # microseconds for which it is remembered that a team has no quota
+REVIEWS_PER_LEASE = 8  # in a lease's time: looks at leases that end
+REPORTS_PER_LEASE = 4  # in a lease's time: reports of what was used
+MAX_REQUESTED = 1_000_000  # requests in one ask
+MAX_TEAMS = 4096  # further ones are over quota without asking
 
 
 class DispatcherFigures(msgspec.Struct, frozen=True, rename={"lease_requests": "asks", "unused": "held"}):
@@ -90,9 +90,9 @@
         self._deadlines: deque[tuple[int, int]] = deque()
         self._asks: dict[int, OpenLeaseRequest] = {}
         self._sequence = 0
-        self._lease = settings.dispatcher_lease_ms * MICROSECONDS
-        self._next_review = now + self._lease // REVIEWS
-        self._next_report = now + self._lease // REPORTS
+        self._lease = settings.dispatcher_lease_ms * US_PER_MS
+        self._next_review = now + self._lease // REVIEWS_PER_LEASE
+        self._next_report = now + self._lease // REPORTS_PER_LEASE
         self._released = False
         self._within = self._over = self._unanswered = 0
 
@@ -106,7 +106,7 @@
             return [self._decide(request, False), *self._prefetch(now, team, leases)]
         if now < leases.rejected_until:
             return [self._decide(request, True)]
-        deadline = now + self._settings.ask_timeout_ms * MICROSECONDS
+        deadline = now + self._settings.ask_timeout_ms * US_PER_MS
         leases.waiting[request] = deadline
         self._waiting[request] = team
         self._deadlines.append((deadline, request))
@@ -139,11 +139,11 @@
         if self._choice.should_poll_own(now):
             actions.append(self._send_ask(now, self._choice.own, {}))
         if now >= self._next_review:
-            self._next_review = now + self._lease // REVIEWS
+            self._next_review = now + self._lease // REVIEWS_PER_LEASE
             self._forget_asks(now)
             actions += self._review(now)
         if now >= self._next_report:
-            self._next_report = now + self._lease // REPORTS
+            self._next_report = now + self._lease // REPORTS_PER_LEASE
             actions += self._report()
         return actions
 
@@ -229,7 +229,7 @@
         until = self._unknown.get(team)
         if until is not None and now < until:
             return None
-        if len(self._teams) >= MAXIMAL_TEAMS or not 1 <= len(team.encode(errors="replace")) <= MAXIMAL_NAME:
+        if len(self._teams) >= MAX_TEAMS or not 1 <= len(team.encode(errors="replace")) <= MAX_NAME:
             return None
         leases = self._teams[team] = TeamLeases(now)
         return leases
@@ -260,7 +260,7 @@
             within = leases.take(now)
             if not within:
                 self._unanswered += 1
-                leases.rejected_until = now + REFUSED_FOR
+                leases.rejected_until = now + REJECTED_FOR_US
                 leases.open_request = None
             actions.append(self._decide_waiting(leases, request, not within))
         return actions
@@ -284,10 +284,10 @@
 
     def _wanted(self, now: int, leases: TeamLeases) -> int:
         prefetch = 0 if self._released else leases.prefetch(now)
-        return min(len(leases.waiting) + prefetch, MAXIMAL_WANTED)
+        return min(len(leases.waiting) + prefetch, MAX_REQUESTED)
 
     def _send_ask(self, now: int, controller: str, wanted: dict[str, int]) -> SendMessage:
-        """At most MAXIMAL_LIST teams; there are no more."""
+        """At most MAX_LIST teams; there are no more."""
         self._sequence += 1
         ask = self._asks[self._sequence] = OpenLeaseRequest(now, controller, {})
         if controller == self._choice.current:
@@ -303,7 +303,7 @@
             outstanding = count + account.transferred
             ask.wanted[team] = RequestedCredit(count, account.reported_total + outstanding)
             needs.append(LeaseNeed(team, account.used, account.returned, outstanding))
-        return SendMessage(controller, LeaseRequest(self._sequence, tuple(needs[:MAXIMAL_LIST]), peer.incarnation))
+        return SendMessage(controller, LeaseRequest(self._sequence, tuple(needs[:MAX_LIST]), peer.incarnation))
 
     def _take(
         self, now: int, sender: Peer, ask: OpenLeaseRequest, credit: LeaseCredit, actions: list[Action]
@@ -321,7 +321,7 @@
         account.take(credit.granted)
         account.give_back(max(0, account.unused - wanted.requests))  # more than was asked for is an error or came late
         if credit.valid_ms:
-            account.end = max(account.end, ask.sent + min(credit.valid_ms * MICROSECONDS, self._lease))
+            account.end = max(account.end, ask.sent + min(credit.valid_ms * US_PER_MS, self._lease))
         self._active[credit.team] = None
         fulfilled = credit.granted >= wanted.total
         for request in list(leases.waiting):
@@ -330,22 +330,22 @@
             actions.append(self._decide_waiting(leases, request, False))
         if fulfilled:
             return [credit.team] if leases.waiting else []
-        leases.no_prefetch_until = now + REFUSED_FOR
+        leases.no_prefetch_until = now + REJECTED_FOR_US
         if leases.waiting:
-            leases.rejected_until = now + REFUSED_FOR
+            leases.rejected_until = now + REJECTED_FOR_US
         actions += [self._decide_waiting(leases, request, True) for request in list(leases.waiting)]
         return []
 
     def _forget_team(self, now: int, team: str, leases: TeamLeases) -> list[Action]:
         """The team has no quota."""
         actions: list[Action] = [self._decide_waiting(leases, request, True) for request in list(leases.waiting)]
-        leases.rejected_until = now + UNKNOWN_FOR
+        leases.rejected_until = now + UNKNOWN_TEAM_FOR_US
         if not leases.accounts:
             del self._teams[team]
             self._active.pop(team, None)
-            if len(self._unknown) >= MAXIMAL_TEAMS:
+            if len(self._unknown) >= MAX_TEAMS:
                 self._unknown.clear()
-            self._unknown[team] = now + UNKNOWN_FOR
+            self._unknown[team] = now + UNKNOWN_TEAM_FOR_US
         return actions
 
     def _close_ask(self, team: str, sequence: int) -> None:
@@ -394,6 +394,6 @@
                 if peer != INHERITED and self._incarnations.get(peer.name) == peer.incarnation:
                     usages.setdefault(peer, []).append(Usage(team, account.used, account.returned))
         return [
-            SendMessage(peer.name, LeaseReturn(tuple(entries[:MAXIMAL_LIST]), peer.incarnation))
+            SendMessage(peer.name, LeaseReturn(tuple(entries[:MAX_LIST]), peer.incarnation))
             for peer, entries in usages.items()
         ]
--- a/badgerroad/fleet/rules/owner.py
+++ b/badgerroad/fleet/rules/owner.py
@@ -1,6 +1,7 @@
-"""The owner of a shard: one bucket a team, one session a zone controller.
+"""The owner of a shard: one token bucket per team, one session per zone controller.
 
-All of it lasts for one term of ownership and is gone with it. `now` is checked against the term by the caller.
+All state belongs to one term of ownership and is dropped with it. The caller checks that the term still runs at `now`.
+Times are microseconds of the owner's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,19 +14,20 @@
 from badgerroad.fleet.rules.credits import GrantorCredit, is_newest
 from badgerroad.fleet.rules.reserve import Lending
 from badgerroad.fleet.rules.sharing import FairShares
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-SHARING_PERIOD = 100_000  # microseconds, at least, between two sharings of what is scarce
+SHARING_INTERVAL_US = 100_000  # shortest time between two distributions of scarce credit
 
-REFRESH_PERIOD = 10_000_000  # microseconds after which all is told again, whatever was acknowledged
+REFRESH_INTERVAL_US = 10_000_000  # all credit is sent again after this time, whatever was acknowledged
 
 
 class Account:
-    """One team in one session. `changed`: number of the first grant that tells its present state."""
+    """One team in one session. `changed`: number of the first grant that carries its present state."""
 
     __slots__ = ("credit", "wanted", "changed", "carried")
 
     def __init__(self) -> None:
+        """Start without credit and without demand."""
         self.credit = GrantorCredit()
         self.wanted = 0
         self.changed = 0
@@ -33,16 +35,21 @@
 
     @property
     def shortfall(self) -> int:
+        """Requests that the zone wants beyond its outstanding credit."""
         return max(0, self.wanted - self.credit.outstanding)
 
 
 class Session:
-    """One zone controller under this term. `end`: of its lease, by the owner's clock; what it holds is suspended
-    after that, and the session forgotten some time later."""
+    """One zone controller under this term.
+
+    `end`: end of its quota lease by the owner's clock. After it the credit is suspended, and forgotten some time
+    later.
+    """
 
     __slots__ = ("peer", "number", "sequence", "end", "suspended", "grants", "acknowledged", "refresh_at", "accounts")
 
     def __init__(self, peer: Peer, number: int) -> None:
+        """Open a session for `peer` under the session number `number`."""
         self.peer = peer
         self.number = number
         self.sequence = 0
@@ -55,11 +62,12 @@
 
 
 class Team:
-    """One quota. `waiting`: the sessions that hold less than they want."""
+    """One quota. `waiting`: the sessions whose outstanding credit is below what they want."""
 
     __slots__ = ("quota", "known", "bucket", "refilled", "waiting", "shares")
 
     def __init__(self, bucket: Bucket, refilled: float) -> None:
+        """Start with `bucket`, filled up to the lending total `refilled`."""
         self.quota = 0.0
         self.known = True
         self.bucket = bucket
@@ -69,12 +77,16 @@
 
 
 class ShardOwner:
-    """`first_session`: session numbers count up from it; random, so that they don't recur in a term of that number
-    that voters who have all forgotten may give again."""
+    """Grants the quotas of one shard to zone controllers during one term of ownership."""
 
     def __init__(
         self, settings: FleetSettings, shard: int, term: int, quotas: Mapping[str, float], now: int, first_session: int
     ) -> None:
+        """Start the term at `now` with the quotas of this shard in requests per second.
+
+        `first_session`: session numbers count up from it. It is random, so that session numbers do not recur when
+        voters that lost their memory grant the same term number again.
+        """
         self._settings = settings
         self.shard = shard
         self.term = term
@@ -83,26 +95,27 @@
         self.sessions: dict[Peer, Session] = {}
         self._next_session = first_session
         self.teams: dict[str, Team] = {}
-        self._scarce: dict[str, None] = {}  # in order
-        self._carry_until = now + settings.longer(settings.carry_ms * MICROSECONDS)
+        self._scarce_teams: dict[str, None] = {}  # in order
+        self._carry_until = now + settings.longer(settings.carry_ms * US_PER_MS)
         self._carrying = True
         self._next_sharing = now
-        self._handed_out = False
+        self._remaining_distributed = False
         for name, quota in quotas.items():
             self._add_team(name, quota, carrying=True)
 
     @property
     def session_count(self) -> int:
+        """The number of sessions, suspended ones included."""
         return len(self.sessions)
 
     def total_granted(self) -> int:
-        """For log lines: whole requests granted in the sessions that are known."""
+        """Requests granted in all known sessions, for log lines."""
         return sum(
             account.credit.granted for session in self.sessions.values() for account in session.accounts.values()
         )
 
     def set_quotas(self, now: int, quotas: Mapping[str, float]) -> None:
-        """Only teams of this shard."""
+        """Replace the quotas (requests per second). Only teams of this shard may be given."""
         self.lending.advance(now)
         for name in [name for name in self.teams if name not in quotas]:
             self._change_quota(name, 0.0, known=False)
@@ -112,19 +125,20 @@
             elif self.teams[name].quota != quota or not self.teams[name].known:
                 self._change_quota(name, quota, known=True)
 
-    def request(self, now: int, sender: Peer, request: QuotaRequest, left: int) -> SendMessage:
-        """Always answered. `left`: microseconds of the ownership."""
+    def request(self, now: int, sender: Peer, request: QuotaRequest, remaining: int) -> SendMessage:
+        """Answer a quota request. `remaining`: microseconds left of the ownership."""
         if request.term != self.term:
             return SendMessage(sender.name, NotOwner(request.shard, request.term))
         self.lending.advance(now)
         session = self._session(now, sender)
         if request.session in (0, session.number):
             self._apply(now, session, request)
-        valid_ms = self._valid_ms(left)
-        session.end = max(session.end, now + self._settings.longer(valid_ms * MICROSECONDS))
+        valid_ms = self._valid_ms(remaining)
+        session.end = max(session.end, now + self._settings.longer(valid_ms * US_PER_MS))
         return self._grant(now, session, valid_ms)
 
     def receive_return(self, now: int, sender: Peer, message: QuotaReturn) -> None:
+        """Apply the final totals of a zone controller that shuts down."""
         session = self.sessions.get(sender)
         if session is None or message.term != self.term or message.session != session.number:
             return
@@ -138,7 +152,7 @@
                 self._report(session, usage.team, account, usage.used, usage.returned)
 
     def tick(self, now: int) -> list[SendMessage]:
-        """What has come in since goes to those that wait."""
+        """Distribute refilled credit to the sessions that wait for it. Returns the grants to send."""
         self.lending.advance(now)
         self._end_sessions(now)
         if self._carrying and now >= self._carry_until:
@@ -147,26 +161,29 @@
                 team.bucket.forget_unknown()
         if now < self._next_sharing:
             return []
-        self._next_sharing = now + SHARING_PERIOD
+        self._next_sharing = now + SHARING_INTERVAL_US
         changed: dict[Peer, Session] = {}
-        for name in list(self._scarce):
+        for name in list(self._scarce_teams):
             changed |= self._distribute(now, name)
         return [self._grant(now, session, 0) for session in changed.values()]
 
     def distribute_remaining(self, now: int, leaving: Peer | None) -> list[SendMessage]:
-        """Shortly before a graceful end: what is left to grant goes to the zones in equal parts, beyond what they want.
-        They carry it over to the next owner, and return it there. `leaving`: a zone controller that gets none."""
+        """Before a graceful end, grant the remaining credit to the zones in equal parts, beyond what they want.
+
+        The zones carry it over to the next owner and return it there. `leaving`: a zone controller that shuts down and
+        gets none.
+        """
         self.lending.advance(now)
         live = [session for session in self.sessions.values() if now < session.end and not session.suspended]
         live = [session for session in live if session.peer != leaving]
-        if self._handed_out or not live:
+        if self._remaining_distributed or not live:
             return []
-        self._handed_out = True
+        self._remaining_distributed = True
         for name in self.teams:
-            self._hand_out_team(name, [session for session in live if name in session.accounts])
+            self._distribute_team(name, [session for session in live if name in session.accounts])
         return [self._grant(now, session, 0) for session in live]
 
-    def _hand_out_team(self, name: str, sessions: list[Session]) -> None:
+    def _distribute_team(self, name: str, sessions: list[Session]) -> None:
         team = self._refresh(name)
         if not sessions or not team.known:
             return
@@ -174,11 +191,11 @@
         for number, session in enumerate(sessions):
             count = each + (number < rest)
             if count:
-                self._give(session, name, session.accounts[name], count)
+                self._grant_credit(session, name, session.accounts[name], count)
 
-    def _valid_ms(self, left: int) -> int:
-        """No quota lease outlasts the ownership: so a next owner finds none in force."""
-        return min(self._settings.quota_lease_ms, self._settings.shorter(left // MICROSECONDS))
+    def _valid_ms(self, remaining: int) -> int:
+        """Duration of a quota lease. None outlasts the ownership, so the next owner finds none in force."""
+        return min(self._settings.quota_lease_ms, self._settings.shorter(remaining // US_PER_MS))
 
     # Sessions
 
@@ -204,8 +221,8 @@
                 self._forget(session)
 
     def _forgotten(self, now: int, session: Session) -> bool:
-        """For so long after the end its zone may carry what it held to a next owner; till then its place is kept."""
-        return now >= session.end + self._settings.longer(self._settings.carry_ms * MICROSECONDS)
+        """Whether the session has ended so long ago that its zone can no longer carry credit to a next owner."""
+        return now >= session.end + self._settings.longer(self._settings.carry_ms * US_PER_MS)
 
     def _suspend(self, session: Session) -> None:
         if session.suspended:
@@ -234,7 +251,7 @@
             session.sequence = request.sequence
             session.acknowledged = min(request.acknowledged, session.grants)
         if now >= session.refresh_at:
-            session.refresh_at = now + REFRESH_PERIOD
+            session.refresh_at = now + REFRESH_INTERVAL_US
             session.acknowledged = 0
         if request.lending:
             self.lending.lend(now, session.peer.name, request.stamp, self.start)
@@ -255,12 +272,12 @@
         self._report(session, need.team, account, need.used, need.returned)
         if newest:
             account.wanted = need.wanted
-        self._note_waiting(session, need.team, account)
+        self._update_waiting(session, need.team, account)
         if account.shortfall:
             self._grant_at_once(now, session, need.team, account)
 
     def _may_carry(self, account: Account) -> bool:
-        """Once a session."""
+        """Whether credit of the term before may be accepted: once per session."""
         return not account.carried
 
     def _carry(self, session: Session, name: str, account: Account, count: int) -> None:
@@ -274,26 +291,26 @@
         progress = account.credit.report(used, returned)
         bucket.spend(progress.used * MICRO)
         bucket.put_back(progress.returned * MICRO)
-        self._note_waiting(session, name, account)
+        self._update_waiting(session, name, account)
 
-    def _note_waiting(self, session: Session, name: str, account: Account) -> None:
+    def _update_waiting(self, session: Session, name: str, account: Account) -> None:
         team = self.teams[name]
         if account.shortfall and team.known and not session.suspended:
             team.waiting[session.peer] = session
-            self._scarce[name] = None
+            self._scarce_teams[name] = None
         else:
             team.waiting.pop(session.peer, None)
 
     def _grant_at_once(self, now: int, session: Session, name: str, account: Account) -> None:
-        """If there is enough for all that wait; or else the next tick shares it out."""
+        """Grant the shortfall if the bucket covers all that wait; otherwise the next tick shares it out."""
         team = self._refresh(name)
         needed = sum(waiting.accounts[name].shortfall for waiting in team.waiting.values())
         if session.peer in team.waiting and needed * MICRO <= team.bucket.level:
-            self._give(session, name, account, account.shortfall)
-            self._note_waiting(session, name, account)
+            self._grant_credit(session, name, account, account.shortfall)
+            self._update_waiting(session, name, account)
 
     def _distribute(self, now: int, name: str) -> dict[Peer, Session]:
-        """Returns the sessions that got something."""
+        """Share the available credit of one team among its waiting sessions. Returns those that got some."""
         team = self._refresh(name)
         needs = {
             peer: session.accounts[name].shortfall
@@ -303,32 +320,32 @@
         available = team.bucket.level // MICRO
         if not needs:
             team.waiting.clear()
-            self._scarce.pop(name, None)
+            self._scarce_teams.pop(name, None)
         if not needs or not available:
             return {}
         served = {}
         for peer, count in team.shares.share(available, needs).items():
             session = team.waiting[peer]
             if count:
-                self._give(session, name, session.accounts[name], count)
+                self._grant_credit(session, name, session.accounts[name], count)
                 served[peer] = session
-            self._note_waiting(session, name, session.accounts[name])
+            self._update_waiting(session, name, session.accounts[name])
         return served
 
-    def _give(self, session: Session, name: str, account: Account, count: int) -> None:
+    def _grant_credit(self, session: Session, name: str, account: Account, count: int) -> None:
         self.teams[name].bucket.grant(count * MICRO)
         account.credit.grant(count)
         account.changed = session.grants + 1
 
     def _grant(self, now: int, session: Session, valid_ms: int) -> SendMessage:
         session.grants += 1
-        credits = tuple(
+        changed = tuple(
             self._credit(name, account)
             for name, account in session.accounts.items()
             if account.changed > session.acknowledged
         )
         grant = QuotaGrant(
-            self.shard, self.term, session.number, session.sequence, session.grants, now, valid_ms, credits
+            self.shard, self.term, session.number, session.sequence, session.grants, now, valid_ms, changed
         )
         return SendMessage(session.peer.name, grant)
 
@@ -359,10 +376,10 @@
             account = session.accounts.get(name)
             if account is not None:
                 account.changed = session.grants + 1
-                self._note_waiting(session, name, account)
+                self._update_waiting(session, name, account)
 
     def _refresh(self, name: str) -> Team:
-        """The team, its bucket filled to the lending's last `advance`."""
+        """Return the team with its bucket refilled up to the lending's last `advance`."""
         team = self.teams[name]
         refilled = self.lending.refilled
         if refilled > team.refilled:
--- a/badgerroad/fleet/rules/reserve.py
+++ b/badgerroad/fleet/rules/reserve.py
@@ -1,29 +1,31 @@
-"""The reserve: the part of each quota that is a zone's by right, for when it is cut off.
+"""The reserve: the part of each quota that belongs to a zone, for the time when it cannot reach an owner.
 
-While a zone is in contact with an owner it lends its part to it, for a stated time at a time. Nobody mints a part for
-which the other side may: the owner counts from a reading of its own clock that is older than the zone's promise, the
-zone from when it sent the promise and longer by the margin of the clocks.
+While a zone is in contact with an owner it lends its part to the owner, for a stated time at a time. Neither side
+mints a part that the other may mint: the owner counts from a reading of its own clock older than the zone's promise,
+the zone from when it sent the promise, and longer by the clock margin.
 """
 
 from __future__ import annotations
 
 from badgerroad.fleet.rules.bucket import MICRO
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
 
 class Lending:
     """The owner's side: how long each zone's part may be minted here, and the refill that follows from it.
 
-    `refilled`: microseconds for which the whole of a quota would have been minted, since the start of the term."""
+    `refilled`: microseconds for which the full quota would have been minted, since the start of the term.
+    """
 
     def __init__(self, settings: FleetSettings, now: int) -> None:
+        """Start a term at `now` with nothing lent."""
         self._settings = settings
         self._advanced = now
         self.lent_until: dict[str, int] = {}
         self.refilled = 0.0
 
     def advance(self, now: int) -> None:
-        """Counts the time up to `now`."""
+        """Add the refill of the time up to `now`."""
         if now <= self._advanced:
             return
         lent = sum(max(0, min(now, until) - self._advanced) for until in self.lent_until.values())
@@ -31,13 +33,16 @@
         self._advanced = now
 
     def lend(self, now: int, zone_controller: str, stamp: int, start: int) -> None:
-        """A zone lends its part until `stamp` + lending_ms. A stamp that this term has not given counts for nothing."""
+        """Record that a zone lends its part until `stamp` + lending_ms.
+
+        A stamp that this term has not issued is ignored.
+        """
         if start <= stamp <= now:
-            until = stamp + self._settings.lending_ms * MICROSECONDS
+            until = stamp + self._settings.lending_ms * US_PER_MS
             self.lent_until[zone_controller] = max(self.lent_until.get(zone_controller, 0), until)
 
     def _own_share(self) -> float:
-        """The reserve is set aside."""
+        """The part of each quota outside the reserve."""
         return 1.0 - self._settings.reserve_share
 
     def _zone_share(self) -> float:
@@ -48,51 +53,59 @@
     """The zone's side, for one shard. `usable_from`: by the zone's clock."""
 
     def __init__(self, settings: FleetSettings, now: int) -> None:
+        """Start at `now`. The reserve counts as lent, since an earlier incarnation may have lent it."""
         self._settings = settings
         self.usable_from = 0
         self._leased_until = 0
-        self.lend(now)  # an earlier life of this process may have
+        self.lend(now)  # an earlier incarnation of this process may have
 
     def lend(self, now: int) -> None:
-        """A message that lends is sent at `now`."""
-        lent = self._settings.lending_ms * MICROSECONDS
+        """Record that a message which lends the reserve is sent at `now`."""
+        lent = self._settings.lending_ms * US_PER_MS
         self.usable_from = max(self.usable_from, now + int(lent * (1 + 2 * self._settings.clock_margin)) + 1)
 
     def may_lend(self, now: int) -> bool:
-        """Only after all that was leased out of the reserve has ended."""
+        """Whether all leases out of the reserve have ended."""
         return now >= self._leased_until
 
     def usable(self, now: int) -> bool:
+        """Whether the zone may lease out of its reserve."""
         return now >= self.usable_from
 
     def lease(self, until: int) -> None:
-        """A dispatcher got a lease out of the reserve."""
+        """Record a lease out of the reserve that ends at `until`."""
         self._leased_until = max(self._leased_until, until)
 
 
 class ReserveStock:
-    """One team's: accrues from 0 from when the zone may use its reserve; at most a second's worth, or one request."""
+    """The reserve of one team.
+
+    It accrues from 0 once the zone may use its reserve, up to one second of the rate or one request.
+    """
 
     __slots__ = ("_level", "_since")
 
     def __init__(self, now: int) -> None:
+        """Start empty, accruing from `now`."""
         self._level = 0.0
         self._since = now
 
     def available(self, now: int, part: float) -> int:
-        """Whole requests. `part`: requests a second."""
+        """Whole requests available. `part`: the rate in requests per second."""
         depth = max(1.0, part) * MICRO
         self._level = min(depth, self._level + part * max(0, now - self._since))
         self._since = max(self._since, now)
         return int(self._level // MICRO)
 
     def take(self, count: int) -> None:
+        """Take `count` requests."""
         self._level -= count * MICRO
 
     def put_back(self, count: int) -> None:
+        """Put `count` unused requests back."""
         self._level += count * MICRO
 
 
 def zone_share(settings: FleetSettings) -> float:
-    """Which part of each quota is one zone's reserve."""
+    """The part of each quota that is one zone's reserve."""
     return settings.reserve_share / len(settings.zones)
--- a/badgerroad/fleet/rules/sharing.py
+++ b/badgerroad/fleet/rules/sharing.py
@@ -12,8 +12,10 @@
     """What each has a claim to that it hasn't got yet, in parts of a request; kept from one sharing to the next."""
 
     def share(self, available: int, needs: Mapping[Key, int]) -> dict[Key, int]:
-        """Whole requests for each, at most its need, together at most `available`. Claims left over last as long as
-        the need does."""
+        """Whole requests for each, at most its need, together at most `available`.
+
+        Claims left over last as long as the need does.
+        """
         total = sum(needs.values())
         if total <= available:
             self.clear()
--- a/badgerroad/fleet/rules/team_leases.py
+++ b/badgerroad/fleet/rules/team_leases.py
@@ -1,4 +1,4 @@
-"""What a dispatcher holds of one team, from each controller that it has asked."""
+"""A dispatcher's leases of one team, one from each controller that it has asked."""
 
 from __future__ import annotations
 
@@ -11,12 +11,16 @@
 
 
 class DispatcherLease(HolderCredit):
-    """The account with one life of one controller. `end`: by this process's clock. `told`: how many used and returned
-    requests the controller has been told of. `passed_on`: held by another process on this machine until `end`."""
+    """The lease from one incarnation of one controller.
+
+    `end`: by this process's clock, microseconds. `reported_total`: how many used and returned requests were reported
+    to the controller. `transferred`: requests that another process on this machine may use until `end`.
+    """
 
     __slots__ = ("end", "reported_total", "transferred")
 
     def __init__(self) -> None:
+        """Start without credit."""
         super().__init__()
         self.end = 0
         self.reported_total = 0
@@ -24,20 +28,24 @@
 
     @property
     def unused(self) -> int:
+        """Requests that this process may use."""
         return super().unused - self.transferred
 
     def transfer(self) -> int:
-        """Returns how many; the other process may use them as long as the lease runs."""
+        """Transfer all unused requests to another process; return how many.
+
+        The other process may use them as long as the lease runs.
+        """
         count = self.unused
         self.transferred += count
         return count
 
     def runs(self, now: int) -> bool:
-        """The lease's end is checked at each use."""
+        """Whether the lease runs; checked at each use."""
         return now < self.end
 
     def drop_ended(self, now: int) -> None:
-        """What is left of an ended lease was not used, and can't be."""
+        """If the lease has ended, return what is unused and count what was transferred as used."""
         if self.runs(now):
             return
         self.use(self.transferred)
@@ -46,17 +54,22 @@
 
     @property
     def unreported(self) -> bool:
+        """Whether the controller does not know the present totals."""
         return self.used + self.returned > self.reported_total
 
 
 class TeamLeases:
-    """`demand`: of requests within quota. `waiting`: requests with their deadlines, in order. `refused_until`: no use
-    asking before; `no_prefetch_until`: no use asking for more than what waits. `asked`: sequence of the open ask, or
-    None."""
+    """The leases of one team, and its requests that wait for one.
+
+    `demand`: of requests within quota. `waiting`: requests with their deadlines, in order. `rejected_until`: a request
+    sent before would be in vain; `no_prefetch_until`: so would one for more than what waits. `open_request`: sequence
+    of the open lease request, or None.
+    """
 
     __slots__ = ("accounts", "demand", "waiting", "rejected_until", "no_prefetch_until", "open_request")
 
     def __init__(self, now: int) -> None:
+        """Start without leases at `now` (microseconds)."""
         self.accounts: dict[Peer, DispatcherLease] = {}
         self.demand = Demand(now)
         self.waiting: dict[int, int] = {}
@@ -64,16 +77,18 @@
         self.open_request: int | None = None
 
     def account(self, peer: Peer) -> DispatcherLease:
+        """The lease from `peer`, created if there is none."""
         account = self.accounts.get(peer)
         if account is None:
             account = self.accounts[peer] = DispatcherLease()
         return account
 
     def unused(self, now: int) -> int:
+        """Unused requests of all running leases."""
         return sum(account.unused for account in self.accounts.values() if account.runs(now))
 
     def take(self, now: int) -> bool:
-        """Uses one request, of the lease that ends first. Returns whether there was one."""
+        """Use one request, of the lease that ends first. Returns whether there was one."""
         usable = [account for account in self.accounts.values() if account.unused and account.runs(now)]
         if not usable:
             return False
@@ -82,8 +97,10 @@
         return True
 
     def drop_ended(self, now: int) -> None:
+        """Drop what is left of ended leases."""
         for account in self.accounts.values():
             account.drop_ended(now)
 
     def prefetch(self, now: int) -> int:
+        """How many requests to lease in advance, by recent demand."""
         return int(self.demand.rate(now) * PREFETCH_S)
--- a/badgerroad/fleet/rules/view.py
+++ b/badgerroad/fleet/rules/view.py
@@ -1,5 +1,8 @@
-"""What a controller has heard of the others: who is alive, who owns which shard. Only for finding owners and for
-standing at the right time: that no two own a shard at once is up to the voters."""
+"""What a controller knows of the others: which are alive, and who owns which shard.
+
+Only for finding owners and for claiming shards at the right time. That no two controllers own a shard at once is
+ensured by the voters. Times are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 
 from badgerroad.fleet.messages import Claim, Holding, OwnerAnnouncement
 from badgerroad.fleet.rules.actions import Peer
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-LAST_TERM = 1 << 43  # a higher term can't be: elections of a lifetime don't get there
-ALIVE_PERIODS = 3  # of renew_ms: so long after its last announcement a controller counts as alive
+MAX_TERM = 1 << 43  # higher terms are impossible: no lifetime has that many elections
+ALIVE_PERIODS = 3  # renewal periods after its last announcement in which a controller counts as alive
 
 
 class Owner(NamedTuple):
@@ -21,14 +24,14 @@
 
 
 class Sighting(NamedTuple):
-    """An owner, and until when that is to be believed."""
+    """An owner, and until when that information is valid."""
 
     owner: Owner
     until: int
 
 
 class Presence(NamedTuple):
-    """A controller heard of: in which incarnation, without a break since when, and last when."""
+    """A controller that sends announcements: its incarnation, since when without a break, and when last."""
 
     incarnation: int
     since: int
@@ -36,9 +39,12 @@
 
 
 class View:
+    """Gathers announcements and the tables of voters."""
+
     def __init__(self, settings: FleetSettings) -> None:
+        """Start without any information."""
         self._settings = settings
-        self._alive_for = ALIVE_PERIODS * settings.renew_ms * MICROSECONDS
+        self._alive_for = ALIVE_PERIODS * settings.renew_ms * US_PER_MS
         self._presences: dict[str, Presence] = {}
         self._announced: dict[int, Sighting] = {}
         self._tables: dict[str, dict[int, Sighting]] = {}
@@ -46,14 +52,14 @@
         self.highest_terms: dict[int, int] = {}
 
     def alive(self, now: int, name: str, at_least: int = 0) -> bool:
-        """Has `name` been heard lately, and without a break for `at_least` microseconds?"""
+        """Whether announcements of `name` arrived lately, and without a break for `at_least` microseconds."""
         presence = self._presences.get(name)
         if presence is None or now - presence.last > self._alive_for:
             return False
         return now - presence.since >= at_least
 
     def owner_of(self, now: int, shard: int) -> Owner | None:
-        """By a majority of the voters' tables, or else by an announcement; the higher term counts."""
+        """The owner by a majority of the voters' tables or by an announcement, whichever has the higher term."""
         announced = self._announced.get(shard)
         if announced is not None and announced.until <= now:
             announced = None
@@ -63,59 +69,63 @@
         return announced.owner
 
     def informed(self, now: int) -> bool:
-        """Have the tables of a majority of voters come lately?"""
+        """Whether the tables of a majority of voters arrived lately."""
         fresh = [time for time in self._table_times.values() if now - time <= self._alive_for]
         return len(fresh) >= self._settings.majority
 
     def receive_announcement(self, now: int, sender: Peer, announcement: OwnerAnnouncement) -> None:
+        """Record which shards a controller owns, and that it is alive."""
         if announcement.leaving:
             self._presences.pop(sender.name, None)
         else:
-            self._hear(now, sender)
+            self._record_presence(now, sender)
         claims = {claim.shard: claim.term for claim in announcement.claims}
         for shard in [shard for shard, seen in self._announced.items() if seen.owner.peer == sender]:
             if shard not in claims:
                 self.forget(Owner(sender, self._announced[shard].owner.term), shard)
-        until = now + self._settings.ownership_lease_ms * MICROSECONDS
+        until = now + self._settings.ownership_lease_ms * US_PER_MS
         for shard, term in claims.items():
             self._announce(shard, Sighting(Owner(sender, term), until), now)
 
     def receive_table(self, now: int, voter: str, table: tuple[Holding, ...]) -> None:
+        """Replace what is known of a voter's table."""
         self._table_times[voter] = now
         sightings: dict[int, Sighting] = {}
         for holding in table:
             self.record_term(holding.shard, holding.term)
-            if holding.holder and holding.left_ms and holding.term <= LAST_TERM:
+            if holding.holder and holding.left_ms and holding.term <= MAX_TERM:
                 owner = Owner(Peer(holding.holder, holding.incarnation), holding.term)
                 left_ms = min(holding.left_ms, self._settings.longer(self._settings.ownership_lease_ms))
-                sightings[holding.shard] = Sighting(owner, now + left_ms * MICROSECONDS)
+                sightings[holding.shard] = Sighting(owner, now + left_ms * US_PER_MS)
         self._tables[voter] = sightings
 
     def record_term(self, shard: int, term: int) -> None:
-        if shard < self._settings.shards and term <= LAST_TERM:
+        """Record a term of a shard. Impossible terms are ignored."""
+        if shard < self._settings.shards and term <= MAX_TERM:
             self.highest_terms[shard] = max(self.highest_terms.get(shard, 0), term)
 
-    def record_own(self, now: int, me: Peer, claim: Claim, end: int) -> None:
-        self._announced[claim.shard] = Sighting(Owner(me, claim.term), end)
+    def record_own(self, now: int, self_peer: Peer, claim: Claim, end: int) -> None:
+        """Record this controller's own ownership."""
+        self._announced[claim.shard] = Sighting(Owner(self_peer, claim.term), end)
         self.record_term(claim.shard, claim.term)
 
     def forget(self, owner: Owner, shard: int) -> None:
-        """`owner` doesn't own the shard in this term any more."""
+        """Record that `owner` no longer owns the shard in its term."""
         for sightings in (self._announced, *self._tables.values()):
             seen = sightings.get(shard)
             if seen is not None and seen.owner == owner:
                 del sightings[shard]
 
-    def _hear(self, now: int, sender: Peer) -> None:
+    def _record_presence(self, now: int, sender: Peer) -> None:
         presence = self._presences.get(sender.name)
         if presence is not None and presence.incarnation > sender.incarnation and self.alive(now, sender.name):
             return
-        kept = self.alive(now, sender.name) and presence is not None and presence.incarnation == sender.incarnation
-        since = presence.since if kept and presence is not None else now
+        unbroken = self.alive(now, sender.name) and presence is not None and presence.incarnation == sender.incarnation
+        since = presence.since if unbroken and presence is not None else now
         self._presences[sender.name] = Presence(sender.incarnation, since, now)
 
     def _announce(self, shard: int, sighting: Sighting, now: int) -> None:
-        if sighting.owner.term > LAST_TERM:
+        if sighting.owner.term > MAX_TERM:
             return
         self.record_term(shard, sighting.owner.term)
         known = self._announced.get(shard)
--- a/badgerroad/fleet/rules/zone.py
+++ b/badgerroad/fleet/rules/zone.py
@@ -1,4 +1,4 @@
-"""The controller of a zone: answers its dispatchers at once, from what it holds of each shard's owner."""
+"""The controller of a zone: answers its dispatchers at once, from the credit it has from each shard's owner."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from badgerroad.fleet.rules.credits import GrantorCredit, is_newest
 from badgerroad.fleet.rules.view import View
 from badgerroad.fleet.rules.zone_session import Stock, ZoneShard
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-IDLE = 60_000_000  # microseconds after which a silent dispatcher's accounts are forgotten; far above any lease
+IDLE_TIMEOUT_US = 60_000_000  # a dispatcher that sent nothing for so long is forgotten; far above any lease
 
-READY_AFTER = 10_000_000  # microseconds after its start a controller says that it serves, also without any owner
+READY_AFTER_US = 10_000_000  # so long after its start a controller answers polls, also without any owner
 
 
 class Lease(GrantorCredit):
@@ -23,26 +23,32 @@
     __slots__ = ("end", "scheduled")
 
     def __init__(self) -> None:
+        """Start without credit."""
         super().__init__()
         self.end = 0
         self.scheduled = False
 
 
 class Dispatcher:
-    """`sequence`: of its newest request."""
+    """One dispatcher. `sequence`: of its newest request; `last_message_at`: microseconds."""
 
     __slots__ = ("sequence", "last_message_at", "leases")
 
     def __init__(self, now: int) -> None:
+        """Start without leases."""
         self.sequence = 0
         self.last_message_at = now
         self.leases: dict[str, Lease] = {}
 
 
 class ZoneController:
-    """`granted`, `refused`, `from_reserve`: whole requests, totals."""
+    """Leases requests to the dispatchers of a zone.
+
+    `granted`, `rejected` and `from_reserve` are totals of requests since the start.
+    """
 
     def __init__(self, settings: FleetSettings, incarnation: int, view: View, now: int) -> None:
+        """Start at `now` without sessions. `incarnation`: of this process."""
         self._settings = settings
         self._incarnation = incarnation
         self._view = view
@@ -50,16 +56,18 @@
         self._dispatchers: dict[Peer, Dispatcher] = {}
         self._ends: list[tuple[int, int, Peer, str]] = []  # a heap
         self._serial = 0
-        self._next_review = now + IDLE
-        self._ready_at = now + READY_AFTER
+        self._next_review = now + IDLE_TIMEOUT_US
+        self._ready_at = now + READY_AFTER_US
         self.ended = False
         self.granted = self.rejected = self.from_reserve = 0
 
     @property
     def dispatcher_count(self) -> int:
+        """The number of dispatchers that sent a message lately."""
         return len(self._dispatchers)
 
     def set_quotas(self, now: int, quotas: Mapping[str, float]) -> None:
+        """Replace all quotas (requests per second)."""
         by_shard: list[dict[str, float]] = [{} for _ in self.shards]
         for name, quota in quotas.items():
             by_shard[self._settings.shard_of(name)][name] = quota
@@ -67,7 +75,7 @@
             shard.set_quotas(now, part)
 
     def expire(self, now: int) -> None:
-        """To be called before anything else is done at `now`."""
+        """End sessions and dispatchers' leases. To be called before anything else is done at `now`."""
         for shard in self.shards:
             shard.expire(now)
         while self._ends and self._ends[0][0] <= now:
@@ -75,6 +83,7 @@
             self._expire_lease(now, peer, team)
 
     def tick(self, now: int) -> list[SendMessage]:
+        """Follow changes of owners and send the requests that are due."""
         self._forget_idle(now)
         if self.ended:
             return []
@@ -85,23 +94,28 @@
         return actions
 
     def receive_grant(self, now: int, sender: Peer, grant: QuotaGrant) -> None:
+        """Apply an owner's grant."""
         if grant.shard < len(self.shards) and not self.ended:
             self.shards[grant.shard].receive(now, sender, grant)
 
     def lease(self, now: int, sender: Peer, request: LeaseRequest) -> list[SendMessage]:
-        """Answers at once from what is there. A request for nothing asks whether this controller serves; while it has
-        just started it stays unanswered, so that dispatchers stay with the one that serves them."""
+        """Answer a lease request at once from the available credit.
+
+        A request without needs polls whether this controller serves. Shortly after its start such a poll stays
+        unanswered, so that dispatchers stay with the controller that serves them.
+        """
         if not request.needs and not self._ready(now):
             return []
         dispatcher = self._dispatcher(now, sender)
-        mine = request.controller == self._incarnation
+        same_incarnation = request.controller == self._incarnation
         newest = is_newest(request.sequence, dispatcher.sequence)
         if newest:
             dispatcher.sequence = request.sequence
-        credits = tuple(self._answer(now, sender, dispatcher, need, newest, mine) for need in request.needs)
-        return [SendMessage(sender.name, LeaseGrant(request.sequence, credits)), *self._replenish(now, request)]
+        answers = tuple(self._answer(now, sender, dispatcher, need, newest, same_incarnation) for need in request.needs)
+        return [SendMessage(sender.name, LeaseGrant(request.sequence, answers)), *self._replenish(now, request)]
 
     def receive_return(self, now: int, sender: Peer, message: LeaseReturn) -> None:
+        """Apply the totals that a dispatcher reports without requesting more."""
         if message.controller != self._incarnation:
             return
         dispatcher = self._dispatcher(now, sender)
@@ -113,7 +127,7 @@
                 self._report(shard, usage.team, stock, lease, usage.used, usage.returned)
 
     def end(self, now: int) -> list[SendMessage]:
-        """The process ends: gives everything back and lends no more."""
+        """Return all credit and lease out no more, because the process shuts down."""
         if self.ended:
             return []
         self.ended = True
@@ -123,31 +137,31 @@
         return actions
 
     def _answer(
-        self, now: int, sender: Peer, dispatcher: Dispatcher, need: LeaseNeed, newest: bool, mine: bool
+        self, now: int, sender: Peer, dispatcher: Dispatcher, need: LeaseNeed, newest: bool, same_incarnation: bool
     ) -> LeaseCredit:
-        """`mine`: the totals are of this life of this controller, and not of an earlier one."""
+        """Answer one need. `same_incarnation`: the totals belong to this incarnation of this controller."""
         shard = self.shards[self._settings.shard_of(need.team)]
         stock = shard.stocks.get(need.team)
         if stock is None or not stock.known:
             return LeaseCredit(need.team, 0, 0, False)
         lease = self._lease(shard, sender, dispatcher, need.team)
-        if mine:
+        if same_incarnation:
             self._report(shard, need.team, stock, lease, need.used, need.returned)
-        short = max(0, need.wanted - lease.outstanding) if newest and not self.ended else 0
-        given = self._share(short, shard.available(now, need.team, stock))
-        stock.demand.add(now, short, stock.quota)
-        if given:
-            shard.lend(now, need.team, stock, given)
-            lease.grant(given)
-            self.granted += given
-            self.from_reserve += 0 if shard.open else given
-        self.rejected += short - given
+        shortfall = max(0, need.wanted - lease.outstanding) if newest and not self.ended else 0
+        granted = self._share(shortfall, shard.available(now, need.team, stock))
+        stock.demand.add(now, shortfall, stock.quota)
+        if granted:
+            shard.lend(now, need.team, stock, granted)
+            lease.grant(granted)
+            self.granted += granted
+            self.from_reserve += 0 if shard.open else granted
+        self.rejected += shortfall - granted
         shard.note_need(now, stock)
         valid_ms = self._extend(now, shard, sender, need.team, lease)
         return LeaseCredit(need.team, lease.granted, valid_ms)
 
     def _replenish(self, now: int, request: LeaseRequest) -> list[SendMessage]:
-        """Asks the owners for more if the request left little."""
+        """Request more from the owners if the request left little."""
         if self.ended:
             return []
         actions: list[SendMessage] = []
@@ -156,18 +170,18 @@
         return actions
 
     def _ready(self, now: int) -> bool:
-        """Every shard is served; or this has run for so long that waiting for it brings nothing."""
+        """Whether every shard has an open session, or this has run long enough to serve regardless."""
         return not self.ended and (now >= self._ready_at or all(shard.open for shard in self.shards))
 
-    def _share(self, short: int, available: int) -> int:
-        """At most half of what is there, but at least one: one dispatcher doesn't empty the stock for the others."""
-        return min(short, available, max(1, available // 2))
+    def _share(self, shortfall: int, available: int) -> int:
+        """At most half of what is available, but at least one, so that one dispatcher cannot empty the stock."""
+        return min(shortfall, available, max(1, available // 2))
 
     def _extend(self, now: int, shard: ZoneShard, sender: Peer, team: str, lease: Lease) -> int:
         if not lease.outstanding:
             return 0
         valid_ms = shard.valid_ms(now)
-        lease.end = max(lease.end, now + self._settings.longer(valid_ms * MICROSECONDS))
+        lease.end = max(lease.end, now + self._settings.longer(valid_ms * US_PER_MS))
         if not shard.open:
             shard.reserve.lease(lease.end)
         if not lease.scheduled:
@@ -214,7 +228,9 @@
     def _forget_idle(self, now: int) -> None:
         if now < self._next_review:
             return
-        self._next_review = now + IDLE
-        for peer in [peer for peer, known in self._dispatchers.items() if now - known.last_message_at >= IDLE]:
+        self._next_review = now + IDLE_TIMEOUT_US
+        for peer in [
+            peer for peer, known in self._dispatchers.items() if now - known.last_message_at >= IDLE_TIMEOUT_US
+        ]:
             for team in self._dispatchers.pop(peer).leases:
                 self.shards[self._settings.shard_of(team)].leases.pop((peer, team), None)
--- a/badgerroad/fleet/rules/zone_session.py
+++ b/badgerroad/fleet/rules/zone_session.py
@@ -1,4 +1,7 @@
-"""A zone controller's dealings with the owner of one shard: the session, the stock of each team, the reserve."""
+"""A zone controller's session with the owner of one shard: the stock of each team, and the zone's reserve.
+
+Times are microseconds of the zone controller's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -6,25 +9,29 @@
 
 from badgerroad.fleet.messages import UNKNOWN_SESSION, QuotaGrant, QuotaNeed, QuotaRequest, QuotaReturn, Usage
 from badgerroad.fleet.rules.actions import Peer, SendMessage
-from badgerroad.fleet.rules.credits import WINDOW, GrantorCredit, HolderCredit, is_newest
+from badgerroad.fleet.rules.credits import LATE_WINDOW, GrantorCredit, HolderCredit, is_newest
 from badgerroad.fleet.rules.demand import Demand, target_stock
 from badgerroad.fleet.rules.reserve import Reserve, ReserveStock, zone_share
 from badgerroad.fleet.rules.view import Owner
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-URGENT_PAUSE = 50_000  # microseconds between two requests, at least
-SCARCE_PAUSE = 250_000  # the same while the owner has less than is wanted: it grants more by itself
-REFRESH_PERIOD = 10_000_000  # microseconds after which all is told again, whatever was answered
-FIRST_SESSIONS = 1 << 48  # the first session of a term has a number below that
-REQUESTS_KEPT = 128  # whose sending times are remembered
-OWNERS_KEPT = 64  # whose sessions are known to have been left
+URGENT_INTERVAL_US = 50_000  # shortest time between two requests
+SCARCE_INTERVAL_US = 250_000  # the same while the owner has less credit than wanted: it grants more unasked
+REFRESH_INTERVAL_US = 10_000_000  # all totals are sent again after this time, whatever was answered
+FIRST_SESSION_LIMIT = 1 << 48  # the first session number of a term is below this
+MAX_REMEMBERED_REQUESTS = 128  # requests whose sending times are remembered
+MAX_FORMER_OWNERS = 64  # owners to which no session is opened again
 
 
 class Stock:
-    """One team in one zone. `quota`: as the owner tells it; `configured`: as this controller's own file does; the lower
-    one counts. `credit`: with the owner; `handed`: how much of it dispatchers hold, unreported.
-    `changed`: the first request that can tell its present state; `told`: the wanted stock in the last one; `waiting`:
-    the owner had less than that; `carried`: what the session of an earlier term left."""
+    """One team in one zone.
+
+    `quota`: the rate the owner sent; `configured`: the rate in this controller's own file; the lower one counts.
+    `credit`: the account with the owner; `leased_out`: the part of it that dispatchers have leased and not reported.
+    `changed`: sequence of the first request that can carry the present state; `requested_stock`: the stock wanted in
+    the last request; `below_requested`: the owner granted less than that; `carried`: unused credit of the session of
+    an earlier term.
+    """
 
     __slots__ = (
         "quota",
@@ -40,6 +47,7 @@
     )
 
     def __init__(self, quota: float, now: int) -> None:
+        """Start without credit. `quota`: requests per second."""
         self.quota = self.configured = quota
         self.known = True
         self.credit = HolderCredit()
@@ -52,25 +60,32 @@
 
     @property
     def available(self) -> int:
+        """Requests that may still be leased to dispatchers."""
         return self.credit.unused - self.leased_out
 
     @property
     def served(self) -> bool:
+        """Whether the team has a quota above zero."""
         return self.known and self.rate > 0
 
     @property
     def rate(self) -> float:
-        """Requests a second."""
+        """The effective quota in requests per second."""
         return min(self.quota, self.configured)
 
     def target(self, now: int, settings: FleetSettings) -> int:
+        """The stock in requests that the zone should have, by recent demand."""
         return target_stock(self.demand.rate(now), self.rate, settings) if self.served else 0
 
 
 class ZoneShard:
-    """`open`: the owner's lease ran at the last look, and the stock may be lent out; `end`: the lease's end."""
+    """The zone's part of one shard.
+
+    `open`: the owner's lease ran when last checked, and the stock may be leased out; `end`: the end of that lease.
+    """
 
     def __init__(self, settings: FleetSettings, shard: int, now: int) -> None:
+        """Start without an owner and without a session."""
         self._settings = settings
         self.shard = shard
         self.owner: Owner | None = None
@@ -90,13 +105,15 @@
         self._stamp = 0
         self._last_request: int | None = None
         self._pending: dict[str, None] = {}  # in order
-        self._urgent = self._urgent_later = False
+        self._urgent = False
+        self._scarce = False
         self._next_trim = now
-        self._next_refresh = now + REFRESH_PERIOD
+        self._next_refresh = now + REFRESH_INTERVAL_US
 
     # Quotas
 
     def set_quotas(self, now: int, quotas: Mapping[str, float]) -> None:
+        """Replace the configured quotas of this shard's teams (requests per second)."""
         for name, stock in self.stocks.items():
             if name not in quotas:
                 stock.known = False
@@ -109,7 +126,7 @@
             self.note_change(name, stock)
 
     def _settle_unserved(self, name: str, stock: Stock) -> None:
-        """What there is of a team without a quota goes back."""
+        """Return the unused credit of a team without a quota."""
         if not stock.served and stock.available > 0:
             stock.credit.give_back(stock.available)
         self.note_change(name, stock)
@@ -117,39 +134,40 @@
     # What may be lent out
 
     def expire(self, now: int) -> None:
-        """To be called before anything else is done at `now`."""
+        """End the session if its lease has run out. To be called before anything else is done at `now`."""
         if self.open and not self._lease_runs(now):
             self._end_session()
 
     def _lease_runs(self, now: int) -> bool:
-        """The lease's end is checked at each use."""
+        """Whether the owner's lease runs; checked at each use."""
         return now < self.end
 
     def available(self, now: int, name: str, stock: Stock) -> int:
+        """Requests of the team that may be leased to dispatchers now, from the stock or from the reserve."""
         if not stock.served:
             return 0
         if self.open:
             return stock.available if self.valid_ms(now) > self._settings.ask_timeout_ms else 0
         if not self.reserve.usable(now):
             return 0
-        return self._reserve_stock(name).available(now, self._part(stock))
+        return self._reserve_stock(name).available(now, self._zone_rate(stock))
 
     def lend(self, now: int, name: str, stock: Stock, count: int) -> None:
-        """A dispatcher gets so many of what is available."""
+        """Lease `count` of the available requests to a dispatcher."""
         if self.open:
             stock.leased_out += count
         else:
             self._reserve_stock(name).take(count)
 
     def valid_ms(self, now: int) -> int:
-        """How long a dispatcher's lease may last: no longer than the owner's to this zone."""
+        """Duration of a dispatcher's lease: never beyond the owner's lease to this zone."""
         if not self.open:
             return self._settings.dispatcher_lease_ms
-        left_ms = (self.end - now) // MICROSECONDS
+        left_ms = (self.end - now) // US_PER_MS
         return min(self._settings.dispatcher_lease_ms, self._settings.shorter(left_ms))
 
     def settle(self, name: str, stock: Stock, used: int, returned: int) -> None:
-        """So much of what a dispatcher held was used, so much came back."""
+        """Account for a dispatcher's leased requests: `used` were used, `returned` came back unused."""
         if self.open:
             stock.leased_out -= used + returned
             stock.credit.use(used)
@@ -158,19 +176,20 @@
             self._reserve_stock(name).put_back(returned)
 
     def note_change(self, name: str, stock: Stock) -> None:
+        """Include the team in the next request to the owner."""
         stock.changed = self._sequence + 1
         self._pending[name] = None
 
     def note_need(self, now: int, stock: Stock) -> None:
-        """Asks the owner soon if the stock is low."""
+        """Schedule a request to the owner soon if the stock is below its target."""
         if not self.open or stock.available >= stock.target(now, self._settings):
             return
         if stock.below_requested:
-            self._urgent_later = True
+            self._scarce = True
         else:
             self._urgent = True
 
-    def _part(self, stock: Stock) -> float:
+    def _zone_rate(self, stock: Stock) -> float:
         return stock.rate * zone_share(self._settings)
 
     def _reserve_stock(self, name: str) -> ReserveStock:
@@ -182,9 +201,9 @@
     # The session
 
     def _end_session(self) -> None:
-        """All leases of dispatchers have ended before this; what they have not reported counts as used."""
+        """End the session. All dispatchers' leases ended before; what they did not report counts as used."""
         self.open = False
-        self._carry_until = self.end + self._settings.carry_ms * MICROSECONDS
+        self._carry_until = self.end + self._settings.carry_ms * US_PER_MS
         for (_, name), lease in self.leases.items():
             self.stocks[name].credit.use(lease.write_off())
         for name, stock in self.stocks.items():
@@ -192,29 +211,32 @@
             self.note_change(name, stock)
 
     def _begin_session(self) -> None:
-        """What dispatchers got out of the reserve has no part in the session."""
+        """Begin to lease out the stock. Leases out of the reserve have no part in the session."""
         self.open = True
         self._reserve_stocks.clear()
         for lease in self.leases.values():
             lease.write_off()
 
     def follow(self, now: int, owner: Owner | None) -> None:
-        """Turns to another owner once the session with the old one is over. Never twice to the same: its count of this
-        zone's credit goes on from where it was."""
+        """Open a session with a new owner once the session with the old one is over.
+
+        Never twice with the same owner in the same term: its count of this zone's credit would continue from the old
+        one.
+        """
         if owner is None or owner == self.owner or self.open or owner in self._left_owners:
             return
         if self.owner is not None:
-            if owner.term < self.owner.term and now < self._carry_until + self._settings.carry_ms * MICROSECONDS:
+            if owner.term < self.owner.term and now < self._carry_until + self._settings.carry_ms * US_PER_MS:
                 return
             self._leave(now, self.owner, owner)
         self.owner = owner
         self._reset(UNKNOWN_SESSION)
-        self._tell_all()
+        self._mark_all_changed()
         self._urgent = True
         self._last_request = None
 
     def _leave(self, now: int, old: Owner, new: Owner) -> None:
-        self._left_owners = [*self._left_owners[1 - OWNERS_KEPT :], old]
+        self._left_owners = [*self._left_owners[1 - MAX_FORMER_OWNERS :], old]
         for stock in self.stocks.values():
             if self.number != UNKNOWN_SESSION:
                 stock.carried = max(0, stock.available) if old.term != new.term else 0
@@ -226,49 +248,51 @@
             stock.credit = HolderCredit()
             stock.leased_out = 0
 
-    def _tell_all(self) -> None:
+    def _mark_all_changed(self) -> None:
         for name, stock in self.stocks.items():
             self.note_change(name, stock)
 
     # Messages
 
     def tick(self, now: int) -> list[SendMessage]:
-        if self.owner is None or not self._due(now):
+        """Send a request to the owner if one is due."""
+        if self.owner is None or not self._request_due(now):
             return []
         return [SendMessage(self.owner.peer.name, self._request(now, self.owner))]
 
-    def _due(self, now: int) -> bool:
+    def _request_due(self, now: int) -> bool:
         if self._last_request is None:
             return True
         waited = now - self._last_request
-        if (self._urgent and waited >= URGENT_PAUSE) or (self._urgent_later and waited >= SCARCE_PAUSE):
+        if (self._urgent and waited >= URGENT_INTERVAL_US) or (self._scarce and waited >= SCARCE_INTERVAL_US):
             return True
-        return waited >= self._settings.renew_ms * MICROSECONDS
+        return waited >= self._settings.renew_ms * US_PER_MS
 
     def _request(self, now: int, owner: Owner) -> QuotaRequest:
-        self._urgent = self._urgent_later = False
+        self._urgent = False
+        self._scarce = False
         self._last_request = now
         self._review_stocks(now)
         if now >= self._next_refresh:
-            self._next_refresh = now + REFRESH_PERIOD
-            self._tell_all()
+            self._next_refresh = now + REFRESH_INTERVAL_US
+            self._mark_all_changed()
         lending = self.open and self._stamp > 0 and self.reserve.may_lend(now)
         if lending:
             self.reserve.lend(now)
         self._sequence += 1
         self._sent[self._sequence] = now
-        self._sent.pop(self._sequence - REQUESTS_KEPT, None)
+        self._sent.pop(self._sequence - MAX_REMEMBERED_REQUESTS, None)
         needs = tuple(self._need(now, name) for name in self._pending)
         return QuotaRequest(
             self.shard, owner.term, self.number, self._sequence, self._acknowledged, self._stamp, lending, needs
         )
 
     def _review_stocks(self, now: int) -> None:
-        """A wanted stock follows demand; once a period, what is above it goes back."""
-        closing = self.end - now < self._settings.renew_ms * MICROSECONDS  # what goes back now would be lost
+        """Adapt the wanted stocks to demand; once per renewal period, return what exceeds them."""
+        closing = self.end - now < self._settings.renew_ms * US_PER_MS  # credit returned now would be lost
         trims = self.open and now >= self._next_trim and not closing
         if trims:
-            self._next_trim = now + self._settings.renew_ms * MICROSECONDS
+            self._next_trim = now + self._settings.renew_ms * US_PER_MS
         for name, stock in self.stocks.items():
             target = stock.target(now, self._settings)
             if trims and stock.available > target:
@@ -284,6 +308,7 @@
         return QuotaNeed(name, stock.credit.used, stock.credit.returned, stock.requested_stock, carried)
 
     def receive(self, now: int, sender: Peer, grant: QuotaGrant) -> None:
+        """Apply a grant. Grants of another owner, term or earlier session are ignored."""
         if self.owner is None or sender != self.owner.peer or grant.term != self.owner.term:
             return
         if grant.session != self.number and not self._adopt(grant.session):
@@ -296,22 +321,22 @@
         self._note_answered(grant.sequence)
         sent = self._sent.get(grant.sequence)
         if sent is not None and grant.valid_ms:
-            self._extend(now, sent + min(grant.valid_ms, self._settings.quota_lease_ms) * MICROSECONDS)
+            self._extend(now, sent + min(grant.valid_ms, self._settings.quota_lease_ms) * US_PER_MS)
         for stock in self.stocks.values():
             stock.below_requested = stock.credit.unused < stock.requested_stock
 
     def _adopt(self, number: int) -> bool:
-        """A new session, unless the message belongs to an older one, or the number can't be."""
-        if number < self.number or number >= FIRST_SESSIONS + WINDOW:
+        """Change to the session `number`. Returns False for the number of an older or impossible session."""
+        if number < self.number or number >= FIRST_SESSION_LIMIT + LATE_WINDOW:
             return False
-        if self.number != UNKNOWN_SESSION and number > self.number + WINDOW:
+        if self.number != UNKNOWN_SESSION and number > self.number + LATE_WINDOW:
             return False
         if self.open:
             self._end_session()
         forgotten = self.number != UNKNOWN_SESSION
         self._reset(number)
         if forgotten:
-            self._tell_all()
+            self._mark_all_changed()
             self._urgent = True
         for stock in self.stocks.values():
             stock.carried = 0
@@ -326,7 +351,7 @@
                 stock.credit.take(credit.granted)
             if newest:
                 if credit.rate < stock.quota:
-                    self._urgent, self._next_trim = True, 0  # what is above the lower quota's stock goes back at once
+                    self._urgent, self._next_trim = True, 0  # return the excess over the new stock at once
                 stock.quota = credit.rate
                 stock.known = credit.known
             if not stock.served:
@@ -343,7 +368,7 @@
             self._begin_session()
 
     def give_back(self, now: int) -> list[SendMessage]:
-        """The process ends: all that no dispatcher holds goes back."""
+        """Return all credit that no dispatcher has leased, because the process shuts down."""
         if self.owner is None or not self.open:
             return []
         for stock in self.stocks.values():
--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from badgerroad.errors import Error
-from badgerroad.fleet.messages import MAXIMAL_LIST, MAXIMAL_NAME
+from badgerroad.fleet.messages import MAX_LIST, MAX_NAME
 
-MICROSECONDS = 1000  # in a millisecond
-MAXIMAL_CONTROLLERS = 256
+US_PER_MS = 1000  # in a millisecond
+MAX_CONTROLLERS = 256
 CARRY_SHARE = 0.85  # of the ownership lease: so long after its session's end a zone may carry credit to the next owner
 CLAIM_SHARE = 0.1  # of the ownership lease: so long a candidate waits for votes; with CARRY_SHARE well below 1
 
@@ -49,7 +49,7 @@
     wrong in rate by r, with (1 + r) / (1 - r) - 1 within the margin: by 1% either way for 0.0203 and up."""
 
     controllers: tuple[Controller, ...]
-    shards: Annotated[int, msgspec.Meta(ge=1, lt=MAXIMAL_LIST)] = 19
+    shards: Annotated[int, msgspec.Meta(ge=1, lt=MAX_LIST)] = 19
     ownership_lease_ms: Duration = 5000
     renew_ms: Duration = 1000
     quota_lease_ms: Duration = 3000
@@ -117,15 +117,13 @@
         return max(0, int(duration / (1 + self.clock_margin)) - 1)
 
     def _check_controllers(self) -> None:
-        if not 1 <= len(self.controllers) <= MAXIMAL_CONTROLLERS:
-            raise FleetSettingsError("controllers", f"must be 1 to {MAXIMAL_CONTROLLERS}, got {len(self.controllers)}")
+        if not 1 <= len(self.controllers) <= MAX_CONTROLLERS:
+            raise FleetSettingsError("controllers", f"must be 1 to {MAX_CONTROLLERS}, got {len(self.controllers)}")
         for field in ("name", "zone", "region"):
             values = [getattr(controller, field) for controller in self.controllers]
             for value in values:
-                if not 1 <= len(value.encode()) <= MAXIMAL_NAME:
-                    raise FleetSettingsError(
-                        f"controllers.{field}", f"must be 1 to {MAXIMAL_NAME} bytes, got {value!r}"
-                    )
+                if not 1 <= len(value.encode()) <= MAX_NAME:
+                    raise FleetSettingsError(f"controllers.{field}", f"must be 1 to {MAX_NAME} bytes, got {value!r}")
             if field != "region":
                 _check_unique(f"controllers.{field}", values)
 
--- a/badgerroad/fleet/table.py
+++ b/badgerroad/fleet/table.py
@@ -14,7 +14,7 @@
 
 TeamName = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # requests a second over all dispatchers
-NOT_TIMES = frozenset(("name", "zone", "members", "quotas", "controllers"))  # of the table; all else is a setting
+IDENTITY_FIELDS = frozenset(("name", "zone", "members", "quotas", "controllers"))  # of the table; all else is a setting
 
 
 class Members(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -26,7 +26,7 @@
 def settings_of(table: Fleet, file: str) -> FleetSettings:
     """The rules' settings. `file`: that the table is from. Raises BadConfig, whose one line names file and field."""
     told = {name: value for name, value in msgspec.structs.asdict(table).items() if value is not None}
-    times = {name: value for name, value in told.items() if name not in NOT_TIMES}
+    times = {name: value for name, value in told.items() if name not in IDENTITY_FIELDS}
     controllers = [msgspec.structs.asdict(controller) for controller in _controllers(table, file)]
     try:
         settings = msgspec.convert({**times, "controllers": controllers}, FleetSettings)
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -17,7 +17,7 @@
 from badgerroad.fleet import peer_connection
 from badgerroad.fleet.errors import FrameError
 from badgerroad.fleet.framing import LENGTH_BYTES, FrameReader, frame
-from badgerroad.fleet.messages import MAXIMAL_MESSAGE, VERSION, Claim, Hello, NotOwner, OwnerAnnouncement, encode
+from badgerroad.fleet.messages import MAX_MESSAGE_BYTES, VERSION, Claim, Hello, NotOwner, OwnerAnnouncement, encode
 
 
 @given(st.lists(st.binary(max_size=40), max_size=8), st.data())
@@ -33,10 +33,10 @@
 
 def test_a_frame_over_the_limit_is_refused_by_both_sides():
     with pytest.raises(FrameError):
-        frame(bytes(MAXIMAL_MESSAGE + 1))
+        frame(bytes(MAX_MESSAGE_BYTES + 1))
     with pytest.raises(FrameError):
-        FrameReader().feed((MAXIMAL_MESSAGE + 1).to_bytes(LENGTH_BYTES, "big"))
-    assert len(frame(bytes(MAXIMAL_MESSAGE))) == MAXIMAL_MESSAGE + LENGTH_BYTES
+        FrameReader().feed((MAX_MESSAGE_BYTES + 1).to_bytes(LENGTH_BYTES, "big"))
+    assert len(frame(bytes(MAX_MESSAGE_BYTES))) == MAX_MESSAGE_BYTES + LENGTH_BYTES
 
 
 class Node:
--- a/tests/fleet/test_controller_process.py
+++ b/tests/fleet/test_controller_process.py
@@ -17,7 +17,7 @@
 
 
 def test_the_tables_settings_are_those_of_the_rules():
-    assert {*Fleet.__struct_fields__} - table.NOT_TIMES == {*FleetSettings.__struct_fields__} - {"controllers"}
+    assert {*Fleet.__struct_fields__} - table.IDENTITY_FIELDS == {*FleetSettings.__struct_fields__} - {"controllers"}
 
 
 MEMBER = '[[controllers]]\nname = "c0"\nzone = "z"\nregion = "r"\nhost = "127.0.0.1"\nport = 7000\nvoter = true\n'
--- a/tests/fleet/test_rules_credits.py
+++ b/tests/fleet/test_rules_credits.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgerroad.fleet.rules.credits import WINDOW, GrantorCredit, HolderCredit, Progress, is_newest
+from badgerroad.fleet.rules.credits import LATE_WINDOW, GrantorCredit, HolderCredit, Progress, is_newest
 from badgerroad.fleet.rules.sharing import FairShares
 
 
@@ -62,7 +62,7 @@
 
 @given(st.integers(0, 1 << 62), st.integers(0, 1 << 62))
 def test_a_number_far_ahead_keeps_no_later_one_from_being_the_newest(known: int, number: int) -> None:
-    assert is_newest(number, known) or 0 < known - number <= WINDOW
+    assert is_newest(number, known) or 0 < known - number <= LATE_WINDOW
 
 
 def test_a_total_of_grants_repeated_or_late_adds_nothing() -> None:
--- a/tests/fleet/test_rules_messages.py
+++ b/tests/fleet/test_rules_messages.py
@@ -86,7 +86,7 @@
 
 def test_a_message_over_the_limit_is_malformed() -> None:
     with pytest.raises(MalformedMessageError, match="at most"):
-        decode(b"\x00" * (messages.MAXIMAL_MESSAGE + 1))
+        decode(b"\x00" * (messages.MAX_MESSAGE_BYTES + 1))
 
 
 @given(st.binary(max_size=200))
