--- a/badgerroad/fleet/rules/dispatcher.py
+++ b/badgerroad/fleet/rules/dispatcher.py
@@ -1,40 +1,35 @@
-"""A dispatcher's side of the leases: requests wait for a lease for at most settings.ask_timeout_ms."""
+"""A dispatcher's side of the leases: a request waits for a lease for at most settings.ask_timeout_ms.
+
+Times are microseconds of the caller's monotonic clock.
+"""
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Iterable
-from typing import NamedTuple
 
 import msgspec
 
-from badgerroad.fleet.messages import (
-    MAX_LIST,
-    MAX_NAME,
-    LeaseCredit,
-    LeaseGrant,
-    LeaseNeed,
-    LeaseRequest,
-    LeaseReturn,
-    Message,
-    Usage,
-)
+from badgerroad.fleet.messages import LeaseCredit, LeaseGrant, Message
 from badgerroad.fleet.rules.actions import Action, Peer, QuotaDecision, Randomness, SendMessage
 from badgerroad.fleet.rules.controller_choice import ControllerChoice
-from badgerroad.fleet.rules.team_leases import INHERITED, DispatcherLease, TeamLeases
+from badgerroad.fleet.rules.lease_requests import LeaseRequests, OpenLeaseRequest
+from badgerroad.fleet.rules.lease_transfer import LeaseExport, export_leases, import_leases
+from badgerroad.fleet.rules.team_leases import DispatcherLease, TeamLeases
+from badgerroad.fleet.rules.team_table import TeamTable
+from badgerroad.fleet.rules.waiting_requests import WaitingRequests
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-REJECTED_FOR_US = 50_000  # microseconds for which a refusal is remembered
-UNKNOWN_TEAM_FOR_US = 1_000_000  # microseconds for which it is remembered that a team has no quota
-REVIEWS_PER_LEASE = 8  # in a lease's time: looks at leases that end
-REPORTS_PER_LEASE = 4  # in a lease's time: reports of what was used
-MAX_REQUESTED = 1_000_000  # requests in one ask
-MAX_TEAMS = 4096  # further ones are over quota without asking
+REJECTED_FOR_US = 50_000  # how long a rejection of a team is remembered
+REVIEWS_PER_LEASE = 8  # reviews of the leases within the duration of one
+REPORTS_PER_LEASE = 4  # reports of used requests within the duration of a lease
 
 
 class DispatcherFigures(msgspec.Struct, frozen=True, rename={"lease_requests": "asks", "unused": "held"}):
-    """For log lines. Counts are totals since the start, but `held` and `waiting`. `over_unanswered`: those of `over`
-    that nobody answered in time."""
+    """Counters for log lines, under the names that the operators' page gives.
+
+    They are totals since the start, except `unused` and `waiting`. `over_unanswered`: those of `over` for which no
+    controller answered in time.
+    """
 
     controller: str = ""
     within: int = 0
@@ -45,143 +40,101 @@
     waiting: int = 0
 
 
-class ExportedLease(msgspec.Struct, frozen=True):
-    """`end`: microseconds of the machine's monotonic clock."""
-
-    team: str
-    count: int
-    end: int
-
-
-class LeaseExport(msgspec.Struct, frozen=True):
-    """What passes to the process that takes over."""
-
-    leases: tuple[ExportedLease, ...] = ()
-
-
-class RequestedCredit(NamedTuple):
-    """How many requests were asked for, and the total that would have to be granted for that."""
-
-    requests: int
-    total: int
-
-
-class OpenLeaseRequest(NamedTuple):
-    """A LeaseRequest that is open."""
-
-    sent: int
-    controller: str
-    wanted: dict[str, RequestedCredit]
-
-
 class DispatcherLeases:
+    """Decides for each request of a dispatcher whether it is within its team's quota."""
+
     def __init__(
         self, settings: FleetSettings, name: str, zone: str, incarnation: int, now: int, random: Randomness
     ) -> None:
-        """Times are microseconds. `incarnation` must be higher than at any earlier start under this name."""
+        """Start without leases. `incarnation` must be higher than at any earlier start under this name."""
         self._settings = settings
         self._random = random
         self._choice = ControllerChoice(settings, zone, name, now)
-        self._incarnations: dict[str, int] = {}
-        self._teams: dict[str, TeamLeases] = {}
-        self._unknown: dict[str, int] = {}
-        self._active: dict[str, None] = {}  # in order: teams that may hold something, or have something to report
-        self._waiting: dict[int, str] = {}
-        self._deadlines: deque[tuple[int, int]] = deque()
-        self._asks: dict[int, OpenLeaseRequest] = {}
-        self._sequence = 0
-        self._lease = settings.dispatcher_lease_ms * US_PER_MS
-        self._next_review = now + self._lease // REVIEWS_PER_LEASE
-        self._next_report = now + self._lease // REPORTS_PER_LEASE
-        self._released = False
-        self._within = self._over = self._unanswered = 0
+        self._teams = TeamTable()
+        self._waiting = WaitingRequests()
+        self._requests = LeaseRequests(self._teams, self._choice)
+        self._lease_us = settings.dispatcher_lease_ms * US_PER_MS
+        self._next_review = now + self._lease_us // REVIEWS_PER_LEASE
+        self._next_report = now + self._lease_us // REPORTS_PER_LEASE
+        self._within = 0
+        self._over = 0
+        self._unanswered = 0
 
     def request(self, now: int, request: int, team: str) -> list[Action]:
-        """`request`: a number unique among those that wait."""
-        leases = self._known_team(now, team)
+        """Decide a request of `team`, or let it wait. `request`: a number unique among those that wait."""
+        leases = self._teams.find(now, team)
         if leases is None:
             return [self._decide(request, True)]
         if leases.take(now):
-            self._active[team] = None
-            return [self._decide(request, False), *self._prefetch(now, team, leases)]
+            self._teams.mark_active(team)
+            return [self._decide(request, False), *self._requests.prefetch(now, team, leases)]
         if now < leases.rejected_until:
             return [self._decide(request, True)]
         deadline = now + self._settings.ask_timeout_ms * US_PER_MS
         leases.waiting[request] = deadline
-        self._waiting[request] = team
-        self._deadlines.append((deadline, request))
-        return self._ask(now, [team]) if leases.open_request is None else []
+        self._waiting.add(request, team, deadline)
+        return self._requests.request(now, [team]) if leases.open_request is None else []
 
     def receive(self, now: int, sender: Peer, message: Message) -> list[Action]:
-        known = self._incarnations.get(sender.name, 0)
-        if sender.incarnation < known:
+        """Handle a message of a controller. Messages of an earlier incarnation of it are ignored."""
+        incarnations = self._requests.incarnations
+        if sender.incarnation < incarnations.get(sender.name, 0):
             return []
-        self._incarnations[sender.name] = sender.incarnation
+        incarnations[sender.name] = sender.incarnation
         if not isinstance(message, LeaseGrant):
             return []
-        ask = self._asks.pop(message.sequence, None)
-        if ask is None or ask.controller != sender.name:
+        opened = self._requests.take_reply(message.sequence, sender.name)
+        if opened is None:
             return []
-        actions: list[Action] = []
-        returned = self._choice.reply_received(sender.name)
-        again = [team for credit in message.credits for team in self._take(now, sender, ask, credit, actions)]
-        for team in ask.wanted:
-            self._close_ask(team, message.sequence)
-        if returned:
-            again = self._waiting_teams()
-        return actions + self._ask(now, again)
+        return self._apply_grant(now, sender, opened, message)
 
     def tick(self, now: int) -> list[Action]:
-        """To be called at least every settings.tick_ms, and at `next_wakeup`."""
+        """Do what is due. To be called at least every settings.tick_ms, and at `next_wakeup`."""
         actions = self._time_out(now)
         if self._choice.tick(now):
-            actions += self._ask(now, self._waiting_teams())
+            actions += self._requests.request(now, self._waiting.teams())
         if self._choice.should_poll_own(now):
-            actions.append(self._send_ask(now, self._choice.own, {}))
+            actions.append(self._requests.send(now, self._choice.own, {}))
         if now >= self._next_review:
-            self._next_review = now + self._lease // REVIEWS_PER_LEASE
-            self._forget_asks(now)
+            self._next_review = now + self._lease_us // REVIEWS_PER_LEASE
+            self._requests.drop_sent_before(now - self._lease_us)
             actions += self._review(now)
         if now >= self._next_report:
-            self._next_report = now + self._lease // REPORTS_PER_LEASE
-            actions += self._report()
+            self._next_report = now + self._lease_us // REPORTS_PER_LEASE
+            actions += self._requests.report()
         return actions
 
     def next_wakeup(self) -> int | None:
-        """When a waiting request must be decided."""
-        while self._deadlines and self._deadlines[0][1] not in self._waiting:
-            self._deadlines.popleft()
-        return self._deadlines[0][0] if self._deadlines else None
+        """When the next waiting request must be decided, or None."""
+        return self._waiting.next_deadline()
 
     def peer_lost(self, now: int, name: str) -> list[Action]:
-        self._incarnations.pop(name, None)
+        """The connection to the controller `name` closed, or could not be made."""
+        self._requests.incarnations.pop(name, None)
         if not self._choice.connection_lost(now, name):
             return []
-        return self._ask(now, self._waiting_teams())
+        return self._requests.request(now, self._waiting.teams())
 
     def cancel(self, now: int, request: int) -> None:
-        """The client of a waiting request left."""
-        team = self._waiting.pop(request, None)
+        """The client of a waiting request disconnected."""
+        team = self._waiting.remove(request)
         if team is not None:
-            self._teams[team].waiting.pop(request, None)
+            self._teams.leases[team].waiting.pop(request, None)
 
     def release(self, now: int) -> list[SendMessage]:
-        """What is held goes back: the process ends, or another takes over. Later requests are asked for one by one."""
-        self._released = True
-        for team in self._active:
-            for account in self._teams[team].accounts.values():
+        """Return all unused credit: the process ends, or another takes over.
+
+        Later requests are asked for one by one.
+        """
+        self._requests.prefetching = False
+        for _, leases in self._teams.active_leases():
+            for account in leases.accounts.values():
                 account.give_back(account.unused)
-        return self._report()
+        return self._requests.report()
 
     def export(self, now: int) -> LeaseExport:
-        """What the process that takes over goes on with; nothing of it is held here any more."""
-        exported: list[ExportedLease] = []
-        for team in self._active:
-            for account in self._teams[team].accounts.values():
-                account.drop_ended(now)
-                if account.unused:
-                    exported.append(ExportedLease(team, account.transfer(), account.end))
-        return LeaseExport(tuple(exported))
+        """The unused credit, for the process that takes over; none of it may be used here any more."""
+        return export_leases(now, self._teams)
 
     @classmethod
     def restore(
@@ -194,45 +147,28 @@
         random: Randomness,
         exported: LeaseExport,
     ) -> DispatcherLeases:
-        """The other end of `export`. `now`: of the same clock (both processes run on one machine)."""
+        """The receiving end of `export`. `now`: of the same clock, since both processes run on one machine."""
         leases = cls(settings, name, zone, incarnation, now, random)
         leases.inherit(now, exported)
         return leases
 
     def inherit(self, now: int, exported: LeaseExport) -> None:
-        """Takes over what another process on this machine held."""
-        for lease in exported.leases:
-            account = self._teams.setdefault(lease.team, TeamLeases(now)).account(INHERITED)
-            account.drop_ended(now)
-            account.take(account.granted + lease.count)
-            account.end = min(account.end, lease.end) if account.unused > lease.count else lease.end
-            self._active[lease.team] = None
+        """Take over the credit of another process on this machine."""
+        import_leases(now, self._teams, exported)
 
     def figures(self, now: int) -> DispatcherFigures:
+        """The present counters, for a log line."""
         return DispatcherFigures(
             controller=self._choice.current,
             within=self._within,
             over=self._over,
             over_unanswered=self._unanswered,
-            lease_requests=self._sequence,
-            unused=sum(self._teams[team].unused(now) for team in self._active),
+            lease_requests=self._requests.sequence,
+            unused=sum(leases.unused(now) for _, leases in self._teams.active_leases()),
             waiting=len(self._waiting),
         )
 
-    # Requests
-
-    def _known_team(self, now: int, team: str) -> TeamLeases | None:
-        """None if the team is known to have no quota, or can't have one."""
-        leases = self._teams.get(team)
-        if leases is not None:
-            return leases
-        until = self._unknown.get(team)
-        if until is not None and now < until:
-            return None
-        if len(self._teams) >= MAX_TEAMS or not 1 <= len(team.encode(errors="replace")) <= MAX_NAME:
-            return None
-        leases = self._teams[team] = TeamLeases(now)
-        return leases
+    # Decisions
 
     def _decide(self, request: int, over_quota: bool) -> QuotaDecision:
         if over_quota:
@@ -243,20 +179,16 @@
 
     def _decide_waiting(self, leases: TeamLeases, request: int, over_quota: bool) -> QuotaDecision:
         del leases.waiting[request]
-        del self._waiting[request]
+        self._waiting.remove(request)
         return self._decide(request, over_quota)
 
-    def _waiting_teams(self) -> list[str]:
-        return list(dict.fromkeys(self._waiting.values()))
+    def _reject_waiting(self, leases: TeamLeases) -> list[Action]:
+        return [self._decide_waiting(leases, request, True) for request in list(leases.waiting)]
 
     def _time_out(self, now: int) -> list[Action]:
         actions: list[Action] = []
-        while self._deadlines and self._deadlines[0][0] <= now:
-            _, request = self._deadlines.popleft()
-            team = self._waiting.get(request)
-            if team is None:
-                continue
-            leases = self._teams[team]
+        for request, team in self._waiting.due(now):
+            leases = self._teams.leases[team]
             within = leases.take(now)
             if not within:
                 self._unanswered += 1
@@ -265,135 +197,75 @@
             actions.append(self._decide_waiting(leases, request, not within))
         return actions
 
-    # Asks
+    # Grants
 
-    def _prefetch(self, now: int, team: str, leases: TeamLeases) -> list[Action]:
-        """Asks before the last is used, if there is demand."""
-        wanted = leases.prefetch(now)
-        if self._released or leases.open_request is not None or now < leases.no_prefetch_until:
-            return []
-        if leases.unused(now) * 2 >= wanted:
-            return []
-        return self._ask(now, [team])
-
-    def _ask(self, now: int, teams: Iterable[str]) -> list[Action]:
-        wanted = {team: self._wanted(now, self._teams[team]) for team in teams if team in self._teams}
-        if not wanted:
-            return []
-        return [self._send_ask(now, self._choice.current, wanted)]
-
-    def _wanted(self, now: int, leases: TeamLeases) -> int:
-        prefetch = 0 if self._released else leases.prefetch(now)
-        return min(len(leases.waiting) + prefetch, MAX_REQUESTED)
-
-    def _send_ask(self, now: int, controller: str, wanted: dict[str, int]) -> SendMessage:
-        """At most MAX_LIST teams; there are no more."""
-        self._sequence += 1
-        ask = self._asks[self._sequence] = OpenLeaseRequest(now, controller, {})
-        if controller == self._choice.current:
-            self._choice.request_sent(now, self._sequence)
-        peer = Peer(controller, self._incarnations.get(controller, 0))
-        needs: list[LeaseNeed] = []
-        for team, count in wanted.items():
-            leases = self._teams[team]
-            leases.open_request = self._sequence
-            leases.drop_ended(now)
-            account = leases.account(peer) if peer.incarnation else DispatcherLease()
-            account.reported_total = account.used + account.returned
-            outstanding = count + account.transferred
-            ask.wanted[team] = RequestedCredit(count, account.reported_total + outstanding)
-            needs.append(LeaseNeed(team, account.used, account.returned, outstanding))
-        return SendMessage(controller, LeaseRequest(self._sequence, tuple(needs[:MAX_LIST]), peer.incarnation))
-
-    def _take(
-        self, now: int, sender: Peer, ask: OpenLeaseRequest, credit: LeaseCredit, actions: list[Action]
-    ) -> list[str]:
-        """Serves what waits. Returns the team if it has to be asked for again."""
-        leases = self._teams.get(credit.team)
-        if leases is None or credit.team not in ask.wanted:
-            return []
+    def _apply_grant(self, now: int, sender: Peer, opened: OpenLeaseRequest, grant: LeaseGrant) -> list[Action]:
+        actions: list[Action] = []
+        own_is_back = self._choice.reply_received(sender.name)
+        unserved: list[str] = []
+        for credit in grant.credits:
+            if self._apply_credit(now, sender, opened, credit, actions):
+                unserved.append(credit.team)
+        self._requests.close(opened.wanted, grant.sequence)
+        if own_is_back:
+            unserved = self._waiting.teams()
+        return actions + self._requests.request(now, unserved)
+
+    def _apply_credit(
+        self, now: int, sender: Peer, opened: OpenLeaseRequest, credit: LeaseCredit, actions: list[Action]
+    ) -> bool:
+        """Serve what waits, adding to `actions`. Returns whether the team must be requested again."""
+        leases = self._teams.leases.get(credit.team)
+        if leases is None or credit.team not in opened.wanted:
+            return False
         if not credit.known:
-            actions += self._forget_team(now, credit.team, leases)
-            return []
-        account = leases.account(sender)
-        wanted = ask.wanted[credit.team]
-        account.drop_ended(now)
-        account.take(credit.granted)
-        account.give_back(max(0, account.unused - wanted.requests))  # more than was asked for is an error or came late
-        if credit.valid_ms:
-            account.end = max(account.end, ask.sent + min(credit.valid_ms * US_PER_MS, self._lease))
-        self._active[credit.team] = None
-        fulfilled = credit.granted >= wanted.total
+            actions += self._reject_waiting(leases)
+            self._teams.mark_without_quota(now, credit.team)
+            return False
+        self._extend_lease(now, leases.account(sender), opened, credit)
+        self._teams.mark_active(credit.team)
         for request in list(leases.waiting):
             if not leases.take(now):
                 break
             actions.append(self._decide_waiting(leases, request, False))
-        if fulfilled:
-            return [credit.team] if leases.waiting else []
+        if credit.granted >= opened.wanted[credit.team].total:
+            return bool(leases.waiting)
         leases.no_prefetch_until = now + REJECTED_FOR_US
         if leases.waiting:
             leases.rejected_until = now + REJECTED_FOR_US
-        actions += [self._decide_waiting(leases, request, True) for request in list(leases.waiting)]
-        return []
-
-    def _forget_team(self, now: int, team: str, leases: TeamLeases) -> list[Action]:
-        """The team has no quota."""
-        actions: list[Action] = [self._decide_waiting(leases, request, True) for request in list(leases.waiting)]
-        leases.rejected_until = now + UNKNOWN_TEAM_FOR_US
-        if not leases.accounts:
-            del self._teams[team]
-            self._active.pop(team, None)
-            if len(self._unknown) >= MAX_TEAMS:
-                self._unknown.clear()
-            self._unknown[team] = now + UNKNOWN_TEAM_FOR_US
-        return actions
+        actions += self._reject_waiting(leases)
+        return False
 
-    def _close_ask(self, team: str, sequence: int) -> None:
-        leases = self._teams.get(team)
-        if leases is not None and leases.open_request == sequence:
-            leases.open_request = None
-
-    def _forget_asks(self, now: int) -> None:
-        """Answers to asks older than any lease are worth nothing."""
-        for sequence in [sequence for sequence, ask in self._asks.items() if now - ask.sent >= self._lease]:
-            for team in self._asks.pop(sequence).wanted:
-                self._close_ask(team, sequence)
+    def _extend_lease(self, now: int, account: DispatcherLease, opened: OpenLeaseRequest, credit: LeaseCredit) -> None:
+        """Apply the granted total. Credit beyond what was requested is an error or came late, and is returned."""
+        account.drop_ended(now)
+        account.take(credit.granted)
+        account.give_back(max(0, account.unused - opened.wanted[credit.team].requests))
+        if credit.valid_ms:
+            account.end = max(account.end, opened.sent + min(credit.valid_ms * US_PER_MS, self._lease_us))
 
-    # Leases held
+    # Reviews
 
     def _review(self, now: int) -> list[Action]:
-        """Leases past half their time are renewed if there is demand, or else what is left of them goes back."""
+        """Renew leases past half their duration if there is demand, otherwise return what is left of them."""
         renewed: list[str] = []
-        for team in list(self._active):
-            leases = self._teams[team]
+        for team, leases in self._teams.active_leases():
             leases.drop_ended(now)
-            held = [account for account in leases.accounts.values() if account.unused]
-            if not held and not any(account.unreported or account.transferred for account in leases.accounts.values()):
-                self._active.pop(team, None)
-            elif any(account.end - now < self._lease // 2 for account in held):
-                wanted = 0 if self._released else leases.prefetch(now)
-                self._give_back(held, leases.unused(now) - wanted)
-                if wanted:
+            unused = [account for account in leases.accounts.values() if account.unused]
+            if not unused and not any(
+                account.unreported or account.transferred for account in leases.accounts.values()
+            ):
+                self._teams.active.pop(team, None)
+            elif any(account.end - now < self._lease_us // 2 for account in unused):
+                wanted = self._requests.prefetch_count(now, leases)
+                _return_surplus(unused, leases.unused(now) - wanted)
+                if wanted and leases.open_request is None:
                     renewed.append(team)
-        return self._ask(now, [team for team in renewed if self._teams[team].open_request is None])
-
-    def _give_back(self, accounts: Iterable[DispatcherLease], surplus: int) -> None:
-        for account in accounts:
-            count = min(max(0, surplus), account.unused)
-            account.give_back(count)
-            surplus -= count
-
-    def _report(self) -> list[SendMessage]:
-        """Totals that controllers don't know yet, one message to each."""
-        usages: dict[Peer, list[Usage]] = {}
-        for team in self._active:
-            for peer, account in self._teams[team].accounts.items():
-                if not account.unreported:
-                    continue
-                account.reported_total = account.used + account.returned
-                if peer != INHERITED and self._incarnations.get(peer.name) == peer.incarnation:
-                    usages.setdefault(peer, []).append(Usage(team, account.used, account.returned))
-        return [
-            SendMessage(peer.name, LeaseReturn(tuple(entries[:MAX_LIST]), peer.incarnation))
-            for peer, entries in usages.items()
-        ]
+        return self._requests.request(now, renewed)
+
+
+def _return_surplus(accounts: Iterable[DispatcherLease], surplus: int) -> None:
+    for account in accounts:
+        count = min(max(0, surplus), account.unused)
+        account.give_back(count)
+        surplus -= count
--- a/tests/fleet/simulation/owners_oracle.py
+++ b/tests/fleet/simulation/owners_oracle.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from badgerroad.fleet.messages import LeaseGrant, LeaseRequest, QuotaGrant, QuotaRequest
-from badgerroad.fleet.rules.dispatcher import LeaseExport
+from badgerroad.fleet.rules.lease_transfer import LeaseExport
 from tests.fleet.simulation import inspect
 from tests.fleet.simulation.clock import MILLISECOND
 from tests.fleet.simulation.meter import SLACK
--- a/tests/fleet/simulation/requests_oracle.py
+++ b/tests/fleet/simulation/requests_oracle.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from badgerroad.fleet.messages import LeaseGrant, LeaseRequest
-from badgerroad.fleet.rules.dispatcher import LeaseExport
+from badgerroad.fleet.rules.lease_transfer import LeaseExport
 from tests.fleet.simulation.clock import MILLISECOND, RATE_ERROR, SECOND
 from tests.fleet.simulation.meter import SLACK, QuotaMeter
 from tests.fleet.simulation.network import Parcel
--- a/tests/fleet/simulation/scenarios.py
+++ b/tests/fleet/simulation/scenarios.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from badgerroad.fleet.rules.dispatcher import LeaseExport
+from badgerroad.fleet.rules.lease_transfer import LeaseExport
 from tests.fleet.simulation import faults
 from tests.fleet.simulation.clock import SECOND
 from tests.fleet.simulation.faults import Fault
--- a/tests/fleet/simulation/trace.py
+++ b/tests/fleet/simulation/trace.py
@@ -4,7 +4,7 @@
 
 from typing import Any, TextIO
 
-from badgerroad.fleet.rules.dispatcher import LeaseExport
+from badgerroad.fleet.rules.lease_transfer import LeaseExport
 from tests.fleet.simulation.network import Parcel
 from tests.fleet.simulation.nodes import Node
 from tests.fleet.simulation.world import World
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -10,7 +10,8 @@
 
 from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.controller import ControllerRules
-from badgerroad.fleet.rules.dispatcher import DispatcherLeases, LeaseExport
+from badgerroad.fleet.rules.dispatcher import DispatcherLeases
+from badgerroad.fleet.rules.lease_transfer import LeaseExport
 from tests.fleet.simulation.clock import MILLISECOND, draw_clock
 from tests.fleet.simulation.network import Network, Parcel
 from tests.fleet.simulation.nodes import Event, Node
--- a/tests/mutation/dialogue.py
+++ b/tests/mutation/dialogue.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from badgerroad.fleet import messages
-from badgerroad.fleet.rules.dispatcher import LeaseExport
+from badgerroad.fleet.rules.lease_transfer import LeaseExport
 from badgerroad.fleet.settings import FleetSettings
 from tests.fleet.simulation import faults
 from tests.fleet.simulation.clock import MILLISECOND, SECOND
