--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -14,15 +14,15 @@
 from badgerroad.errors import BadgerroadError
 
 VERSION = 1
-MAXIMAL_NAME = 64
-MAXIMAL_LIST = 4096
-MAXIMAL_MESSAGE = 1 << 20  # bytes of one encoded message
+MAX_NAME = 64
+MAX_LIST = 4096
+MAX_MESSAGE_BYTES = 1 << 20  # bytes of one encoded message
 UNKNOWN_SESSION = 0  # in a QuotaRequest: no number of a session of this term has been heard yet
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAXIMAL_NAME)]
-OptionalName = Annotated[str, msgspec.Meta(max_length=MAXIMAL_NAME)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
+OptionalName = Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
-Shard = Annotated[int, msgspec.Meta(ge=0, lt=MAXIMAL_LIST)]
+Shard = Annotated[int, msgspec.Meta(ge=0, lt=MAX_LIST)]
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=600_000)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
@@ -91,14 +91,14 @@
     known: bool = True
 
 
-Claims = Annotated[tuple[Claim, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-Holdings = Annotated[tuple[Holding, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-Shards = Annotated[tuple[Shard, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-QuotaNeeds = Annotated[tuple[QuotaNeed, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-QuotaCredits = Annotated[tuple[QuotaCredit, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-Usages = Annotated[tuple[Usage, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-LeaseNeeds = Annotated[tuple[LeaseNeed, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
-LeaseCredits = Annotated[tuple[LeaseCredit, ...], msgspec.Meta(max_length=MAXIMAL_LIST)]
+Claims = Annotated[tuple[Claim, ...], msgspec.Meta(max_length=MAX_LIST)]
+Holdings = Annotated[tuple[Holding, ...], msgspec.Meta(max_length=MAX_LIST)]
+Shards = Annotated[tuple[Shard, ...], msgspec.Meta(max_length=MAX_LIST)]
+QuotaNeeds = Annotated[tuple[QuotaNeed, ...], msgspec.Meta(max_length=MAX_LIST)]
+QuotaCredits = Annotated[tuple[QuotaCredit, ...], msgspec.Meta(max_length=MAX_LIST)]
+Usages = Annotated[tuple[Usage, ...], msgspec.Meta(max_length=MAX_LIST)]
+LeaseNeeds = Annotated[tuple[LeaseNeed, ...], msgspec.Meta(max_length=MAX_LIST)]
+LeaseCredits = Annotated[tuple[LeaseCredit, ...], msgspec.Meta(max_length=MAX_LIST)]
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
@@ -232,7 +232,7 @@
     tag: int
 
 
-class MalformedMessage(BadgerroadError, ValueError):
+class MalformedMessageError(BadgerroadError, ValueError):
     """Bytes that are no message of this protocol."""
 
     code = "fleet-message"
@@ -249,9 +249,9 @@
 
 
 def decode(data: bytes) -> Message | Unknown:
-    """The message in `data` (without framing). Raises MalformedMessage."""
-    if len(data) > MAXIMAL_MESSAGE:
-        raise MalformedMessage(f"{len(data)} bytes in one message, at most {MAXIMAL_MESSAGE}")
+    """The message in `data` (without framing). Raises MalformedMessageError."""
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise MalformedMessageError(f"{len(data)} bytes in one message, at most {MAX_MESSAGE_BYTES}")
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -259,11 +259,11 @@
 
 
 def _unknown(data: bytes, cause: Exception) -> Unknown:
-    """Raises MalformedMessage unless only the kind is unknown."""
+    """Raises MalformedMessageError unless only the kind is unknown."""
     try:
         fields: Any = msgspec.msgpack.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        raise MalformedMessage(str(cause)) from cause
+        raise MalformedMessageError(str(cause)) from cause
     if isinstance(fields, list) and fields and type(fields[0]) is int and fields[0] not in TAGS:
         return Unknown(fields[0])
-    raise MalformedMessage(str(cause)) from cause
+    raise MalformedMessageError(str(cause)) from cause
