--- /dev/null
+++ b/tests/compatibility/test_recorded_messages.py
@@ -0,0 +1,60 @@
+"""The messages and the saved state that the version before the packages were renamed wrote, under `data/`.
+
+`benchmarks/record_compatibility.py` recorded them. Two processes of one dispatcher may be of two versions: so each
+message has to be read, and the same content has to be written as the same bytes.
+"""
+
+import json
+from pathlib import Path
+
+import pytest
+
+from badgerroad.net import framing
+
+DATA = Path(__file__).parent / "data"
+HOT_RESTART_KINDS = {
+    "hello",
+    "offer",
+    "take",
+    "yours",
+    "return",
+    "client",
+    "host",
+    "call back",
+    "sent",
+    "started",
+    "over",
+    "ended",
+    "passed on",
+    "held",
+}
+MULTIPROCESS_KINDS = {"config", "peer", "go", "here", "listens", "figures", "cut off", "call back"}
+
+
+def recorded(subsystem):
+    paths = sorted((DATA / subsystem).glob("*.packet"))
+    return [pytest.param(path.read_bytes(), id=f"{subsystem}-{path.stem}") for path in paths]
+
+
+def kinds(subsystem):
+    return {json.loads(path.read_bytes().split(b"\n")[0])["kind"] for path in (DATA / subsystem).glob("*.packet")}
+
+
+@pytest.mark.parametrize(
+    ("subsystem", "expected"),
+    [
+        pytest.param("hot_restart", HOT_RESTART_KINDS, id="hot_restart"),
+        pytest.param("multiprocess", MULTIPROCESS_KINDS, id="multiprocess"),
+    ],
+)
+def test_every_kind_of_message_is_recorded(subsystem, expected):
+    assert kinds(subsystem) == expected
+
+
+@pytest.mark.parametrize("packet", [*recorded("hot_restart"), *recorded("multiprocess")])
+def test_a_recorded_packet_is_read_and_written_as_the_same_bytes(packet):
+    kind, head, payload = framing.Reader().read(packet)
+    content = {name: value for name, value in head.items() if name != "kind"}
+    assert framing.one(kind, content, payload) == packet
+    if not payload:
+        assert framing.pack(kind, content) == [packet]
