--- /dev/null
+++ b/badgerroad/hot_restart/actions.py
@@ -0,0 +1,209 @@
+"""The actions of `hot_restart.rules`, performed on this dispatcher and the channel to the peer."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import Any
+
+from badgerroad.discovery.reader import BadList
+from badgerroad.dispatcher import Dispatcher
+from badgerroad.hot_restart import messages, rules, snapshot
+from badgerroad.hot_restart.attempt_reports import AttemptReports
+from badgerroad.hot_restart.connection_transfer import ConnectionTransfer
+from badgerroad.hot_restart.descriptor_accounting import DescriptorAccounting
+from badgerroad.hot_restart.peers import PeerProcess, Peers, Report
+from badgerroad.hot_restart.rules import Action, PredecessorState
+from badgerroad.load_balancing import state
+from badgerroad.net import logs
+from badgerroad.net.connection import Address
+from badgerroad.net.timer_wheel import Wheel
+
+log = logs.get("badgerroad")
+
+
+class NoListenerError(RuntimeError):
+    """An action needs a listener that this process does not have."""
+
+
+class IncompleteOfferError(ValueError):
+    """An offer lacks a field. `field`: its name."""
+
+    def __init__(self, field: str) -> None:
+        """`field`: of `messages.Offer`."""
+        super().__init__(f"{field}: missing")
+        self.field = field
+
+
+def _present(offer: messages.Offer, field: str) -> Any:
+    value = getattr(offer, field)
+    if value is None:
+        raise IncompleteOfferError(field)
+    return value
+
+
+class ActionPerformer:
+    """Performs one action at a time. It owns the offer, and the listener that came with it until that is adopted."""
+
+    def __init__(
+        self,
+        dispatcher: Dispatcher,
+        wheel: Wheel,
+        peers: Peers,
+        descriptors: DescriptorAccounting,
+        transfer: ConnectionTransfer,
+        attempt_reports: AttemptReports,
+        announce: Callable[[], None],
+    ) -> None:
+        """`announce`: lets a newer process find this one from now on."""
+        self.finishing = False  # the requests are another process's: this one ends with its last answer
+        self.address: asyncio.Future[Address] = asyncio.get_running_loop().create_future()  # where this process listens
+        self.received_listener: socket.socket | None = None
+        self._received_offer: messages.Offer | None = None
+        self._dispatcher = dispatcher
+        self._wheel = wheel
+        self._peers = peers
+        self._descriptors = descriptors
+        self._transfer = transfer
+        self._attempt_reports = attempt_reports
+        self._announce = announce
+        self._own_actions: dict[Action, Callable[[], None]] = {
+            Action.LISTEN: self._listen,
+            Action.ADOPT_LISTENER: self._adopt_listener,
+            Action.ACCEPT: self._accept,
+            Action.DRAIN: self._drain,
+            Action.RETIRE: self._retire,
+            Action.FINISH: self._finish,
+            Action.RESUME_ACCEPTING: self._resume_accepting,
+        }
+        self._peer_actions: dict[Action, Callable[[PeerProcess], None]] = {
+            Action.FORGET_PEER: peers.forget,
+            Action.CLOSE_CHANNEL: self._close_channel,
+            Action.SEND_HELLO: self._send_hello,
+            Action.SEND_OFFER: self._send_offer,
+            Action.SEND_CLAIM: self._send_claim,
+            Action.SEND_GRANT: self._send_grant,
+            Action.SEND_RETURN: self._send_return,
+        }
+
+    def receive_offer(self, offer: messages.Offer, listener: socket.socket) -> None:
+        """An offer has been received, with the listener."""
+        self._received_offer = offer
+        self.received_listener = listener
+
+    def perform(self, action: Action, peer: PeerProcess | None, report: Report) -> None:
+        """`peer`: the process that the state machine is about, if there is one; `report` gives an event to it."""
+        if peer is not None and action is not Action.FINISH:  # that awaits nothing; the peer may still become silent
+            peer.cancel_timeout()
+        log.info("hot_restart", action=str(action))
+        if action in self._own_actions:
+            self._own_actions[action]()
+        elif action is Action.STOP_ACCEPTING:
+            self._stop_accepting(peer)
+        elif peer is not None:
+            self._peer_actions[action](peer)
+            self._expect_reply(action, peer, report)
+        if action is Action.FORGET_PEER:
+            self._descriptors.take_all_back()
+
+    def _expect_reply(self, action: Action, peer: PeerProcess, report: Report) -> None:
+        timeout_us = rules.REPLY_TIMEOUT_US.get(action)
+        if action is Action.SEND_GRANT and peer is self._peers.newer:
+            timeout_us = timeout_us or rules.MISSING_HEARTBEAT_US
+        if timeout_us is not None:
+            peer.expect_message(self._wheel, timeout_us, report)
+
+    def _listen(self) -> None:
+        dispatcher = self._dispatcher
+        try:
+            address = dispatcher.frontend.listen(dispatcher.config.listen, shared=True)
+        except OSError as error:
+            self.address.set_exception(error)
+            return
+        self.address.set_result(address)
+        dispatcher.begin(dispatcher.config.known)
+        self._announce()
+
+    def _adopt_listener(self) -> None:
+        if self.received_listener is None or self._received_offer is None:
+            raise NoListenerError("no offer was received")
+        dispatcher = self._dispatcher
+        self.address.set_result(dispatcher.frontend.adopt_listener(self.received_listener, accept=False))
+        try:
+            self._use_offer(self._received_offer)
+        except (KeyError, TypeError, ValueError, BadList) as error:
+            log.warning("hot_restart_offer_invalid", error=f"{type(error).__name__}: {error}")
+            dispatcher.begin(dispatcher.config.known)
+
+    def _use_offer(self, offer: messages.Offer) -> None:
+        """Raises KeyError, TypeError, ValueError or BadList if it cannot be read."""
+        self._descriptors.leave_to_peer(int(_present(offer, "descriptors_in_use")))
+        self._dispatcher.count_as(_present(offer, "zones"), _present(offer, "machine_types"))
+        self._dispatcher.begin(_present(offer, "endpoint_list"))
+
+    def _accept(self) -> None:
+        self._dispatcher.frontend.accept()
+        self._announce()
+        self._descriptors.report_until_alone()
+
+    def _stop_accepting(self, peer: PeerProcess | None) -> None:
+        for extension in self._dispatcher.extensions:
+            extension.superseded()
+        self._dispatcher.frontend.yield_to(self._transfer.pass_client)
+        if self._peers.older is not None and peer is self._peers.newer:
+            self._peers.older.send(messages.Superseded(True))
+
+    def _resume_accepting(self) -> None:
+        self._transfer.stop()
+        self._dispatcher.frontend.take_back()
+        self._announce()  # the name is the peer's, or that of a dead process
+        if self._peers.older is not None:
+            self._peers.older.send(messages.Superseded(False))
+
+    def _drain(self) -> None:
+        self._transfer.stop()
+        if self._dispatcher.frontend.heir is not None:
+            self._dispatcher.frontend.take_back()
+        self._dispatcher.drain()
+
+    def _retire(self) -> None:
+        self._transfer.stop()
+        self._dispatcher.frontend.retire()
+
+    def _finish(self) -> None:
+        self.finishing = True
+        self._dispatcher.frontend.finish()
+
+    def _close_channel(self, peer: PeerProcess) -> None:
+        peer.channel.close()
+        if self._peers.predecessor.state is PredecessorState.OVER and peer is self._peers.newer:
+            self._descriptors.take_all_back()
+            self._peers.newer = None
+
+    def _send_hello(self, peer: PeerProcess) -> None:
+        peer.send(snapshot.hello(self._dispatcher))
+
+    def _send_offer(self, peer: PeerProcess) -> None:
+        listener = self._dispatcher.frontend.listener
+        if listener is None:
+            raise NoListenerError("a process that does not listen was asked for its listener")
+        self._descriptors.prepare_offer()
+        peer.send(snapshot.offer(self._dispatcher), descriptor=listener.fileno())
+
+    def _send_claim(self, peer: PeerProcess) -> None:
+        peer.send(messages.Claim())
+
+    def _send_return(self, peer: PeerProcess) -> None:
+        peer.send(messages.Return())
+
+    def _send_grant(self, peer: PeerProcess) -> None:
+        peers, dispatcher = self._peers, self._dispatcher
+        attempts = state.attempts_out(dispatcher.decisions, self._attempt_reports.key)
+        if peers.older is not None and peer is not peers.older:
+            attempts += peers.older.attempts.listed()
+        # An older process that accepts again has the state: this one's attempts were reported to it.
+        with_state = peer is peers.newer
+        peer.send(snapshot.grant(dispatcher, attempts, peers.open_requests, with_state))
+        self._transfer.begin(peer)
+        self._descriptors.report_until_alone()
--- /dev/null
+++ b/badgerroad/hot_restart/connection_transfer.py
@@ -0,0 +1,114 @@
+"""Connections and open requests on their way to the process that accepts new ones, and from one that has yielded."""
+
+from __future__ import annotations
+
+import socket
+from typing import Any
+
+from badgerroad.dispatcher import Dispatcher
+from badgerroad.frontend.client import Exchange
+from badgerroad.hot_restart import messages, request_transfer
+from badgerroad.hot_restart.attempt_reports import AttemptReports
+from badgerroad.hot_restart.descriptor_accounting import DescriptorAccounting
+from badgerroad.hot_restart.peers import PeerProcess, Peers
+from badgerroad.hot_restart.unmatched_job_events import UnmatchedJobEvents
+from badgerroad.net.connection import Address
+from badgerroad.net.timer_wheel import Wheel
+from badgerroad.requests import OpenRequest
+
+RETRY_INTERVAL_US = 20_000  # for what could not be passed on: the channel was busy, or the connection had been read
+
+
+class ConnectionTransfer:
+    """Passes connections to `Peers.recipient` and adopts those that peers pass."""
+
+    def __init__(
+        self,
+        dispatcher: Dispatcher,
+        wheel: Wheel,
+        peers: Peers,
+        descriptors: DescriptorAccounting,
+        attempt_reports: AttemptReports,
+        unmatched: UnmatchedJobEvents,
+    ) -> None:
+        """Nothing is passed until `begin`."""
+        self._dispatcher = dispatcher
+        self._wheel = wheel
+        self._peers = peers
+        self._descriptors = descriptors
+        self._attempt_reports = attempt_reports
+        self._unmatched = unmatched
+
+    def begin(self, recipient: PeerProcess) -> None:
+        """Pass connections and open requests to `recipient` from now on."""
+        self._peers.recipient = recipient
+        self._descriptors.leave_all_but_used()
+        backend = self._dispatcher.backend
+        backend.heir = self._pass_worker_connection
+        backend.pass_on()
+        self._pass_clients()
+
+    def stop(self) -> None:
+        """Pass nothing any more."""
+        self._peers.recipient = None
+        self._dispatcher.backend.heir = None
+        self._descriptors.take_all_back()
+
+    def _pass_clients(self) -> None:
+        if self._dispatcher.frontend.heir is not None:
+            self._dispatcher.frontend.pass_on()
+            self._wheel.after(RETRY_INTERVAL_US, self._pass_clients)
+
+    def pass_client(self, descriptor: int, connection: dict[str, Any], data: bytes, exchange: Exchange | None) -> bool:
+        """Pass a client's connection, with its open request if it has one; false if that is not possible now.
+
+        `connection`: the frontend's description of it; `data`: the bytes read and not used yet.
+        """
+        recipient = self._peers.recipient
+        if recipient is None or recipient.channel.busy:
+            return False
+        if exchange is None:
+            return recipient.try_send(messages.ClientConnection(connection, None, 0), data, descriptor)
+        request = self._dispatcher.requests.get(exchange.number)
+        if request is None or not request_transfer.can_move(request):
+            return False
+        copy, body = request_transfer.copy(self._dispatcher, request)
+        message = messages.ClientConnection(connection, copy, len(body))
+        if not recipient.try_send(message, body + data, descriptor):
+            return False
+        self._forget_passed(request)
+        return True
+
+    def _forget_passed(self, request: OpenRequest) -> None:
+        for attempt in request.attempts:
+            if not attempt.ended:
+                self._attempt_reports.ended(self._peers.sharing(), attempt)
+        request_transfer.forget(self._dispatcher, request)
+
+    def _pass_worker_connection(self, descriptor: int, worker: str, address: Address, idle_us: int) -> bool:
+        recipient = self._peers.recipient
+        message = messages.WorkerConnection(worker, address, idle_us)
+        return recipient is not None and recipient.try_send(message, b"", descriptor)
+
+    def adopt_client(self, sock: socket.socket, message: messages.ClientConnection, payload: bytes) -> None:
+        """Take over a client's connection and its open request."""
+        dispatcher, request = self._dispatcher, message.request
+        body, data = payload[: message.body_length], payload[message.body_length :]
+        self._descriptors.take_one_back()
+        if request is None:
+            dispatcher.frontend.adopt(sock, message.connection, data, None)
+            return
+        request_id = request["id"].encode("latin-1")
+        self._peers.open_requests.discard(request_id)
+        dispatcher.frontend.adopt(
+            sock,
+            message.connection,
+            data,
+            lambda connection: request_transfer.restore(dispatcher, request, body, connection),
+        )
+        for event in self._unmatched.of_request(request_id):
+            dispatcher.backend.called_back(event.request_id, event.worker, event.state, event.item)
+
+    def adopt_worker_connection(self, sock: socket.socket, message: messages.WorkerConnection) -> None:
+        """Take over an idle connection to a worker."""
+        self._dispatcher.backend.adopt(sock, message.worker, message.address, message.idle_us)
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -1,401 +1,263 @@
-"""One dispatcher in two processes: what `handover.rules` says, performed on this dispatcher and the link to the other.
+"""One dispatcher in two processes while it is upgraded: what `hot_restart.rules` decides, performed on this one.
 
-A process may know an older one, whose jobs run out, and a newer one, to which it has given way. It owns both links, the
-name in `$TMPDIR` under which a newer one finds it, and the tallies of the attempts that each of them has out.
+`HotRestart` owns the name in `$TMPDIR` under which a newer process finds this one, and the channels to both. It gives
+events to the state machines and has `hot_restart.actions` perform the actions; it passes messages to where they belong,
+and reports to the peers what the dispatcher reports to its extensions.
 """
 
 from __future__ import annotations
 
-import asyncio
 import socket
-from collections.abc import Callable
 from typing import Any
 
 from badgerroad.backend.attempts import Attempt
-from badgerroad.discovery.reader import BadList
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.extension import DispatcherExtension
-from badgerroad.frontend.client import Exchange
-from badgerroad.hot_restart import messages, rules, snapshot, transfer
-from badgerroad.hot_restart.attempts import AttemptMessages
-from badgerroad.hot_restart.peer import Peer
-from badgerroad.hot_restart.strays import StrayCalls
-from badgerroad.load_balancing import state
-from badgerroad.net import framing, logs
+from badgerroad.hot_restart import messages, rules, snapshot
+from badgerroad.hot_restart.actions import ActionPerformer
+from badgerroad.hot_restart.attempt_reports import AttemptReports, count_sent
+from badgerroad.hot_restart.connection_transfer import ConnectionTransfer
+from badgerroad.hot_restart.descriptor_accounting import DescriptorAccounting
+from badgerroad.hot_restart.peers import PeerProcess, Peers, Report
+from badgerroad.hot_restart.rules import Event, PredecessorState, SuccessorState
+from badgerroad.hot_restart.unmatched_job_events import UnmatchedJobEvents
+from badgerroad.net import logs
 from badgerroad.net.connection import Address
+from badgerroad.net.framing import BadPacketError
 from badgerroad.net.timer_wheel import Wheel
-from badgerroad.net.unix_channel import Link, Place
+from badgerroad.net.unix_channel import UnixSocketPath
 from badgerroad.requests import OpenRequest
 
 log = logs.get("badgerroad")
 
-LOOK = 20_000  # how often it is looked whether discovery has answered
-TELL = 200_000  # how often the other side hears how many descriptors are held here, and that this one lives
-# Descriptors that a process holds besides connections, as counted on one: standard streams, the loop's own three, the
-# listener, the second address with its callers, the Unix socket and the link, discovery's connection.
-BASE = 24
-SPARE = 4  # what the older process may still open, for repeats and cancels
+PREPARED_CHECK_INTERVAL_US = 20_000  # between two checks whether discovery has answered
 
+_HEARTBEAT_STATES = (PredecessorState.YIELDED, PredecessorState.PASSED)  # in which the newer process must be heard of
+
+
+class HotRestart(DispatcherExtension):
+    """This process's part in an upgrade, as an extension of its dispatcher."""
 
-class Handover(DispatcherExtension):
     def __init__(self, dispatcher: Dispatcher, wheel: Wheel, folder: str) -> None:
-        self.dispatcher, self.wheel = dispatcher, wheel
+        """`folder`: of the Unix sockets. Nothing happens until `begin`."""
+        self._dispatcher = dispatcher
+        self._wheel = wheel
         host, port = dispatcher.config.listen
-        self.place = Place(folder, f"badgerroad-{host}-{port}.sock")
-        self.successor, self.predecessor = rules.Successor(), rules.Predecessor()
-        self.older: Peer | None = None
-        self.newer: Peer | None = None
-        self.begun: asyncio.Future[Address] = asyncio.get_running_loop().create_future()
-        self._offer: dict[str, Any] = {}
-        self._listener: socket.socket | None = None
-        self._attempts = AttemptMessages(dispatcher)
-        self.heir: Peer | None = None  # that takes the new jobs
-        self._strays = StrayCalls()
-        self.ending = self.closed = False
-        self.elsewhere: set[bytes] = set()  # the ids of requests that are open in another process
-        dispatcher.set_extension("handover", self)
-
-    # The younger side.
+        self.socket_path = UnixSocketPath(folder, f"badgerroad-{host}-{port}.sock")
+        self.peers = Peers()
+        self._closed = False
+        self._attempt_reports = AttemptReports(dispatcher)
+        self._unmatched = UnmatchedJobEvents()
+        self._descriptors = DescriptorAccounting(dispatcher, wheel, self.peers)
+        self._transfer = ConnectionTransfer(
+            dispatcher, wheel, self.peers, self._descriptors, self._attempt_reports, self._unmatched
+        )
+        self._actions = ActionPerformer(
+            dispatcher,
+            wheel,
+            self.peers,
+            self._descriptors,
+            self._transfer,
+            self._attempt_reports,
+            self.announce,
+        )
+        dispatcher.set_extension("hot_restart", self)
+
+    @property
+    def finishing(self) -> bool:
+        """Whether another process has the clients, and this one ends with its last answer."""
+        return self._actions.finishing
+
+    # The state machines.
 
     async def begin(self) -> Address:
         """Find out whether there is another process; returns where this one listens. Raises OSError."""
-        sock = self.place.find()
+        sock = self.socket_path.connect()
         if sock is not None:
-            self.older = Peer(
-                Link(sock, self._told_by_older, lambda: self._as_successor(rules.LOST)),
-                state.Others(self.dispatcher.decisions),
+            self.peers.older = PeerProcess(
+                sock, self._on_older_message, self._on_older_lost, self._dispatcher.decisions
             )
-        self._as_successor(rules.NOT_FOUND if sock is None else rules.FOUND)
-        return await self.begun
-
-    def _as_successor(self, event: str) -> None:
-        if self.older is not None and event == rules.LOST:
-            self.older.link.close()
-        other = self.older
-        for action in self.successor.on(event):
-            self._perform(action, other, self._as_successor)
-
-    def _as_predecessor(self, event: str) -> None:
-        other = self.newer
-        for action in self.predecessor.on(event):
-            self._perform(action, other, self._as_predecessor)
-
-    def _perform(self, action: str, other: Peer | None, back: Callable[[str], None]) -> None:
-        d = self.dispatcher
-        if self.closed:
-            return
-        if other is not None and action != rules.FINISH:  # that waits for nothing; the other may still fall silent
-            other.waits_no_longer()
-        log.info("handover", do=action)
-        if action == rules.LISTEN:
-            try:
-                address = d.frontend.listen(d.config.listen, shared=True)
-            except OSError as e:
-                self.begun.set_exception(e)
-                return
-            self.begun.set_result(address)
-            d.begin(d.config.known)
-            self._be_found()
-        elif action == rules.ADOPT:
-            assert self._listener is not None
-            self.begun.set_result(d.frontend.adopt_listener(self._listener, accept=False))
-            try:
-                d.descriptors.share(int(self._offer["held"]) + BASE)
-                d.count_as(self._offer["zones"], self._offer["kinds"])
-                d.begin(self._offer["known"])
-            except (KeyError, TypeError, ValueError, BadList) as e:
-                log.warning("handover: the offer cannot be read", why=f"{type(e).__name__}: {e}")
-                d.begin(d.config.known)
-            self._look()
-        elif action == rules.ACCEPT:
-            d.frontend.accept()
-            self._be_found()
-            self._tell_held()
-        elif action == rules.STOP:
-            for extension in d.extensions:
-                extension.superseded()
-            d.frontend.yield_to(self._give_client)
-            if self.older is not None and other is self.newer:
-                self.older.link.send(messages.PASSED_ON, {"on": True})
-        elif action == rules.RESUME:
-            self._keep_all()
-            d.frontend.take_back()
-            self._be_found()  # the name is the other one's, or a dead one's
-            if self.older is not None:
-                self.older.link.send(messages.PASSED_ON, {"on": False})
-        elif action == rules.FORGET:
-            if other is not None:
-                other.attempts.clear()
-                self.elsewhere -= other.open
-            if back == self._as_successor:
-                self.older = None
-            else:
-                self.newer = None
-            d.descriptors.share(0)
-        elif action == rules.CLOSE:
-            if other is not None:
-                other.link.close()
-                if self.predecessor.state == "over" and other is self.newer:
-                    d.descriptors.share(0)
-                    self.newer = None
-        elif action == rules.DRAIN:
-            self._keep_all()
-            if d.frontend.heir is not None:
-                d.frontend.take_back()
-            d.drain()
-        elif action == rules.RETIRE:
-            self._keep_all()
-            d.frontend.retire()
-        elif action == rules.FINISH:
-            self.ending = True
-            d.frontend.finish()
-        elif other is not None:
-            self._say(action, other, back)
-
-    def _say(self, action: str, other: Peer, back: Callable[[str], None]) -> None:
-        d, link = self.dispatcher, other.link
-        if action == rules.SAY_HELLO:
-            link.send(messages.HELLO, snapshot.hello(d))
-        elif action == rules.SAY_OFFER:
-            listener = d.frontend.listener
-            assert listener is not None
-            d.descriptors.share(BASE)
-            if d.descriptors.scarce:
-                d.frontend.shed()
-                d.backend.shed()
-            link.send(messages.OFFER, snapshot.offer(d), descriptor=listener.fileno())
-        elif action == rules.SAY_TAKE:
-            link.send(messages.TAKE, {})
-        elif action == rules.SAY_RETURN:
-            link.send(messages.RETURN, {})
-        elif action == rules.SAY_YOURS:
-            self._say_yours(other)
-            if other is self.newer:
-                other.wait(self.wheel, rules.SILENCE, back)
-        if action in rules.WAIT:
-            other.wait(self.wheel, rules.WAIT[action], back)
-
-    def _look(self) -> None:
+        self._handle_as_successor(Event.NO_PEER_FOUND if sock is None else Event.PEER_FOUND)
+        address = await self._actions.address
+        if self.peers.successor.state is SuccessorState.PREPARING:
+            self._check_prepared()
+        return address
+
+    def announce(self) -> None:
+        """Let a newer process find this one from now on."""
+        try:
+            self.socket_path.listen(self._on_connection)
+        except OSError as error:
+            log.warning("hot_restart_announce_failed", error=str(error))
+
+    def _handle_as_successor(self, event: Event) -> None:
+        peer = self.peers.older
+        if peer is not None and event is Event.CHANNEL_LOST:
+            peer.channel.close()
+        self._perform(self.peers.successor.handle(event), peer, self._handle_as_successor)
+
+    def _handle_as_predecessor(self, event: Event) -> None:
+        peer = self.peers.newer
+        self._perform(self.peers.predecessor.handle(event), peer, self._handle_as_predecessor)
+
+    def _perform(self, actions: tuple[rules.Action, ...], peer: PeerProcess | None, report: Report) -> None:
+        for action in actions:
+            if not self._closed:
+                self._actions.perform(action, peer, report)
+
+    def _check_prepared(self) -> None:
         """Until discovery has answered or failed."""
-        if self.successor.state != "preparing":
+        if self.peers.successor.state is not SuccessorState.PREPARING:
             return
-        if self.dispatcher.ready:
-            self._as_successor(rules.PREPARED)
+        if self._dispatcher.ready:
+            self._handle_as_successor(Event.PREPARED)
         else:
-            self.wheel.after(LOOK, self._look)
+            self._wheel.after(PREPARED_CHECK_INTERVAL_US, self._check_prepared)
 
-    def _be_found(self) -> None:
-        try:
-            self.place.bind(self._arrived)
-        except OSError as e:
-            log.warning("handover: a newer process will not find this one", why=str(e))
+    def _on_older_lost(self) -> None:
+        self._handle_as_successor(Event.CHANNEL_LOST)
 
-    # The older side.
+    def _on_newer_lost(self) -> None:
+        self._handle_as_predecessor(Event.CHANNEL_LOST)
 
-    def _arrived(self, sock: socket.socket) -> None:
-        if self.newer is not None:
-            sock.close()  # one at a time; the third one listens by itself
+    def _on_connection(self, sock: socket.socket) -> None:
+        peers = self.peers
+        if peers.newer is not None:
+            sock.close()  # one at a time; another one listens by itself
             return
-        self.predecessor = rules.Predecessor(self.dispatcher.frontend.draining)
-        self.newer = Peer(
-            Link(sock, self._told_by_newer, lambda: self._as_predecessor(rules.LOST)),
-            state.Others(self.dispatcher.decisions),
-        )
-        self.newer.wait(self.wheel, rules.ASK_TIME, self._as_predecessor)
-
-    def _say_yours(self, other: Peer) -> None:
-        d = self.dispatcher
-        attempts = state.attempts_out(d.decisions, self._attempts.key)
-        if self.older is not None and other is not self.older:
-            attempts += self.older.attempts.listed()
-        self.heir = other
-        # An older process that takes over again keeps what it knows: of this one's sends it was told.
-        other.link.send(messages.YOURS, snapshot.yours(d, attempts, self.elsewhere, learned=other is self.newer))
-        d.descriptors.share(d.descriptors.whole - d.descriptors.used - SPARE)
-        d.backend.heir = self._give_host
-        d.backend.pass_on()
-        self._pass_on()
-        self._tell_held()
-
-    def _pass_on(self) -> None:
-        """What could not be passed on at once: the link was busy, or the connection had just been read from."""
-        if self.dispatcher.frontend.heir is not None:
-            self.dispatcher.frontend.pass_on()
-            self.wheel.after(LOOK, self._pass_on)
-
-    def _give_client(self, descriptor: int, about: dict[str, Any], data: bytes, exchange: Exchange | None) -> bool:
-        d = self.dispatcher
-        request = d.requests.get(exchange.number) if exchange is not None else None
-        if self.heir is None or self.heir.link.busy:
-            return False
-        if exchange is not None and (request is None or not transfer.movable(request)):
-            return False
-        job, body = transfer.copied(d, request) if request is not None else (None, b"")
-        if not self.heir.link.give(messages.CLIENT, {**about, "job": job, "body": len(body)}, body + data, descriptor):
-            return False
-        if request is not None:
-            for attempt in request.attempts:
-                if not attempt.ended:
-                    self._attempts.over(self._others(), attempt)
-            transfer.gone(d, request)
-        return True
-
-    def _give_host(self, descriptor: int, name: str, address: Address, idle: int) -> bool:
-        return self.heir is not None and self.heir.link.give(
-            messages.HOST, {"host": name, "address": list(address), "idle": idle}, b"", descriptor
-        )
+        peers.predecessor = rules.Predecessor(terminating=self._dispatcher.frontend.draining)
+        peers.newer = PeerProcess(sock, self._on_newer_message, self._on_newer_lost, self._dispatcher.decisions)
+        peers.newer.expect_message(self._wheel, rules.HELLO_TIMEOUT_US, self._handle_as_predecessor)
 
-    @property
-    def between(self) -> bool:
-        """Do an older process's call-backs reach it through this one, which has given way itself?"""
-        return self.older is not None and self.newer is not None and self.heir is self.newer
-
-    def _keep_all(self) -> None:
-        self.dispatcher.backend.heir = self.heir = None
-        self.dispatcher.descriptors.share(0)
-
-    def _tell_held(self) -> None:
-        """How many descriptors are held here, as both processes together have one limit; and a sign of life."""
-        used = self.dispatcher.descriptors.used
-        for other in self._others():
-            other.link.send(messages.HELD, {"held": used + (SPARE if other is self.heir else 0)})
-        if self._others():
-            self.wheel.after(TELL, self._tell_held)
-
-    # What both sides tell each other.
-
-    def _others(self) -> list[Peer]:
-        """Those with which this process is one dispatcher now."""
-        older = self.older if self.successor.state in ("serving", "returning", "given back") else None
-        newer = self.newer if self.predecessor.state in ("yielded", "passed", "resuming", "resumed") else None
-        return [o for o in (older, newer) if o is not None]
-
-    def _told_by_older(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
-        sock = None if descriptor is None else socket.socket(fileno=descriptor)
-        if kind == messages.OFFER and sock is not None and head["version"] == rules.VERSION:
-            self._offer, self._listener = head, sock
-            self._as_successor(rules.OFFER)
-        elif self.older is not None:
-            beyond = self.newer if self.predecessor.state == "yielded" else None
-            self._told(kind, head, payload, sock, self.older, beyond, self._as_successor)
-
-    def _take_client(self, sock: socket.socket, head: dict[str, Any], payload: bytes) -> None:
-        d, job, body = self.dispatcher, head["job"], payload[: head["body"]]
-        d.descriptors.share(max(d.descriptors.whole - d.descriptors.limit - 1, 0))
-        if job is not None:
-            self.elsewhere.discard(job["id"].encode("latin-1"))
-        d.frontend.adopt(
-            sock, head, payload[head["body"] :], None if job is None else lambda c: transfer.taken_in(d, job, body, c)
-        )
-        if job is not None:
-            for call in self._strays.of(job["id"].encode("latin-1")):
-                d.backend.called_back(*call)
+    # Messages.
 
-    def _told_by_newer(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
+    def _on_older_message(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
         sock = None if descriptor is None else socket.socket(fileno=descriptor)
-        if self.newer is not None and self.predecessor.state in ("yielded", "passed"):
-            self.newer.wait(self.wheel, rules.SILENCE, self._as_predecessor)
-        if kind == messages.HELLO:
-            config = self.dispatcher.config
-            if (head["version"], head["name"], head["listen"]) != (rules.VERSION, config.name, list(config.listen)):
-                raise framing.BadPacket("another dispatcher, or another version")
-            self._as_predecessor(rules.HELLO)
-        elif kind == messages.RETURN:
-            self._as_predecessor(rules.RETURN)
-        elif kind == messages.PASSED_ON:
-            self._as_predecessor(rules.PASSED if head["on"] else rules.KEPT)
-        elif self.newer is not None:
-            self._told(kind, head, payload, sock, self.newer, self.older, self._as_predecessor)
-
-    def _told(
+        message = messages.decode(kind, head)
+        if isinstance(message, messages.Offer) and sock is not None and message.version == rules.VERSION:
+            self._actions.receive_offer(message, sock)
+            self._handle_as_successor(Event.OFFER)
+        elif self.peers.older is not None:
+            self._on_message(message, payload, sock, self.peers.older, self._handle_as_successor)
+
+    def _on_newer_message(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
+        sock = None if descriptor is None else socket.socket(fileno=descriptor)
+        peers = self.peers
+        if peers.newer is not None and peers.predecessor.state in _HEARTBEAT_STATES:
+            peers.newer.expect_message(self._wheel, rules.MISSING_HEARTBEAT_US, self._handle_as_predecessor)
+        message = messages.decode(kind, head)
+        match message:
+            case messages.Hello():
+                if not snapshot.is_same_dispatcher(self._dispatcher, message):
+                    raise BadPacketError("another dispatcher, or another version")
+                self._handle_as_predecessor(Event.HELLO)
+            case messages.Return():
+                self._handle_as_predecessor(Event.RETURN)
+            case messages.Superseded(superseded):
+                self._handle_as_predecessor(Event.SUPERSEDED if superseded else Event.RESUMED)
+            case _:
+                if peers.newer is not None:
+                    self._on_message(message, payload, sock, peers.newer, self._handle_as_predecessor)
+
+    def _on_message(
         self,
-        kind: str,
-        head: dict[str, Any],
+        message: messages.AnyMessage,
         payload: bytes,
         sock: socket.socket | None,
-        by: Peer,
-        beyond: Peer | None,
-        back: Callable[[str], None],
+        sender: PeerProcess,
+        report: Report,
     ) -> None:
-        """What means the same from either side; some goes on to the third process of a chain, if there is one."""
-        d = self.dispatcher
-        if kind == messages.TAKE:
-            back(rules.TAKE)
-        elif kind == messages.YOURS:
-            snapshot.take_over(d, head, by)
-            self.elsewhere |= by.open
-            back(rules.YOURS)
-        elif kind == messages.CLIENT and sock is not None:
-            self._take_client(sock, head, payload)
-        elif kind == messages.HOST and sock is not None:
-            d.backend.adopt(
-                sock, str(head["host"]), (str(head["address"][0]), int(head["address"][1])), int(head["idle"])
-            )
-        elif kind == messages.HELD:
-            if self.heir is None:
-                d.descriptors.share(int(head["held"]) + BASE)
-        elif kind == messages.ENDED:
-            self.elsewhere.discard(head["id"].encode("latin-1"))
-            if self.heir is not None and self.heir is not by:
-                self.heir.link.send(messages.ENDED, {"id": head["id"]})
-        elif sock is not None:
-            raise framing.BadPacket("a descriptor that nobody asked for")
-        else:
-            self._told_of_attempts(kind, head, by, beyond)
-
-    def _told_of_attempts(self, kind: str, head: dict[str, Any], by: Peer, beyond: Peer | None) -> None:
-        d = self.dispatcher
-        if kind == messages.CALL_BACK:
-            call = head["id"].encode("latin-1"), head["host"], head["state"], head["item"]
-            if d.backend.called_back(*call):
-                return
-            self._strays.keep(call, d.clock.now())
-        elif not self._attempts.told(kind, head, by, d.clock.now()):
-            raise framing.BadPacket(f"a word not known here: {kind}")
-        if beyond is not None:
-            beyond.link.send(kind, {k: v for k, v in head.items() if k != "kind"})
-
-    # The dispatcher tells what the others must know.
+        """A message that means the same from either side. Raises BadPacketError if it has no place here."""
+        match message:
+            case messages.Claim():
+                report(Event.CLAIM)
+            case messages.Grant():
+                snapshot.restore(self._dispatcher, message, sender)
+                self.peers.open_requests |= sender.open_requests
+                report(Event.GRANT)
+            case messages.DescriptorsInUse(descriptors):
+                if self.peers.recipient is None:
+                    self._descriptors.leave_to_peer(descriptors)
+            case messages.RequestEnded(request_id):
+                self._on_request_ended(request_id, sender)
+            case messages.ClientConnection() if sock is not None:
+                self._transfer.adopt_client(sock, message, payload)
+            case messages.WorkerConnection() if sock is not None:
+                self._transfer.adopt_worker_connection(sock, message)
+            case _:
+                if sock is not None:
+                    raise BadPacketError("a descriptor that is not expected")
+                self._on_attempt_message(message, sender)
+
+    def _on_request_ended(self, request_id: bytes, sender: PeerProcess) -> None:
+        self.peers.open_requests.discard(request_id)
+        recipient = self.peers.recipient
+        if recipient is not None and recipient is not sender:
+            recipient.send(messages.RequestEnded(request_id))
+
+    def _on_attempt_message(self, message: messages.AnyMessage, sender: PeerProcess) -> None:
+        """A message about attempts, which the third process of a chain needs too."""
+        now = self._dispatcher.clock.now()
+        match message:
+            case messages.JobEvent(request_id, worker, state, item):
+                if self._dispatcher.backend.called_back(request_id, worker, state, item):
+                    return
+                self._unmatched.retain(message, now)
+            case messages.AttemptSent():
+                count_sent(sender, message, now)
+            case messages.AttemptStarted(attempt):
+                sender.attempts.started(attempt)
+            case messages.AttemptEnded(attempt):
+                sender.attempts.over(attempt)
+            case _:
+                raise BadPacketError(f"a message that is not expected: {message.kind}")
+        third_process = self.peers.third_process(sender)
+        if third_process is not None:
+            third_process.send(message)
+
+    # The dispatcher's reports.
 
     def has_open_request(self, request_id: bytes) -> bool:
-        return request_id in self.elsewhere
+        """Whether a request of that id is open in another process."""
+        return request_id in self.peers.open_requests
 
     def attempt_sent(self, request: OpenRequest, attempt: Attempt) -> None:
-        self._attempts.sent(self._others(), attempt)
+        """Report the attempt to the peers."""
+        self._attempt_reports.sent(self.peers.sharing(), attempt)
 
     def attempt_started(self, request: int, number: int) -> None:
-        self._attempts.started(self._others(), request, number)
+        """Report the start to the peers."""
+        self._attempt_reports.started(self.peers.sharing(), request, number)
 
     def attempt_ended(self, request: OpenRequest, attempt: Attempt, result: str) -> None:
-        self._attempts.over(self._others(), attempt)
+        """Report the end to the peers."""
+        self._attempt_reports.ended(self.peers.sharing(), attempt)
 
     def request_forgotten(self, request_id: bytes) -> None:
-        if self.heir is not None:
-            self.heir.link.send(messages.ENDED, {"id": request_id.decode("latin-1")})
+        """Report to the process that accepts new requests that the id is free again."""
+        if self.peers.recipient is not None:
+            self.peers.recipient.send(messages.RequestEnded(request_id))
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """A call-back for an attempt that is not known here: another process has it, or it is on its way here."""
-        others = self._others()
-        if others:
-            self._strays.keep((request_id, host, state, item), self.dispatcher.clock.now())
-        for other in others:
-            other.link.send(
-                messages.CALL_BACK, {"id": request_id.decode("latin-1"), "host": host, "state": state, "item": item}
-            )
+        """A job event for an attempt that is not known here: another process has it, or it is on its way here."""
+        event = messages.JobEvent(request_id, host, state, item)
+        sharing = self.peers.sharing()
+        if sharing:
+            self._unmatched.retain(event, self._dispatcher.clock.now())
+        for peer in sharing:
+            peer.send(event)
 
     # The end.
 
-    def term(self) -> None:
+    def terminate(self) -> None:
         """SIGTERM."""
-        if self.newer is not None or self.older is None:
-            self._as_predecessor(rules.TERM)
+        if self.peers.newer is not None or self.peers.older is None:
+            self._handle_as_predecessor(Event.TERMINATE)
         else:
-            for action in self.successor.term():
-                self._perform(action, self.older, self._as_successor)
+            self._handle_as_successor(Event.TERMINATE)
 
     def close(self) -> None:
-        self.closed = True
-        self.place.close()
-        for other in (self.older, self.newer):
-            if other is not None:
-                other.link.close()
+        """Close the channels; the name goes too, unless a newer process has taken it."""
+        self._closed = True
+        self.socket_path.close()
+        self.peers.close()
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -1,48 +1,55 @@
-"""What one process tells the other of all that it knows: who it is, in its offer, and when it gives way."""
+"""What one process sends the other of all that it knows: who it is, its offer, and its state when it yields."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from badgerroad.dispatcher import Dispatcher
-from badgerroad.hot_restart import rules
-from badgerroad.hot_restart.peer import Peer
+from badgerroad.hot_restart import messages, rules
+from badgerroad.hot_restart.peers import PeerProcess
 from badgerroad.load_balancing import state
 
 
-def hello(d: Dispatcher) -> dict[str, Any]:
-    """Which dispatcher this is, and what version of the messages it speaks."""
-    return {"version": rules.VERSION, "name": d.config.name, "listen": list(d.config.listen)}
+def hello(dispatcher: Dispatcher) -> messages.Hello:
+    """Which dispatcher this is, and the version of its messages."""
+    return messages.Hello(rules.VERSION, dispatcher.config.name, list(dispatcher.config.listen))
 
 
-def offer(d: Dispatcher) -> dict[str, Any]:
-    """The worker list, the numbers of zones and kinds in it, and how many descriptors are held here."""
-    reader = d.worker_list.reader
-    return {
-        "version": rules.VERSION,
-        "known": d.worker_list.as_told(d.backend.places()),
-        "zones": reader.zones,
-        "kinds": reader.kinds,
-        "held": d.descriptors.used,
-    }
+def is_same_dispatcher(dispatcher: Dispatcher, message: messages.Hello) -> bool:
+    """Whether the sender of a hello is of this dispatcher and speaks the same version."""
+    config = dispatcher.config
+    received = message.version, message.name, message.listen
+    return received == (rules.VERSION, config.name, list(config.listen))
 
 
-def yours(d: Dispatcher, attempts: list[Any], elsewhere: set[bytes], learned: bool) -> dict[str, Any]:
-    """`attempts`: those out, as `state` lists them; `elsewhere`: ids open in other processes; `learned`: with what the
-    decisions have learned."""
-    return {
-        "state": state.copy_out(d.decisions) if learned else None,
-        "attempts": attempts,
-        "open": [i.decode("latin-1") for i in {*d.by_id, *elsewhere}],
-    }
+def offer(dispatcher: Dispatcher) -> messages.Offer:
+    """The endpoint list, the numbers of zones and machine types in it, and the descriptors in use."""
+    reader = dispatcher.worker_list.reader
+    return messages.Offer(
+        version=rules.VERSION,
+        endpoint_list=dispatcher.worker_list.as_told(dispatcher.backend.places()),
+        zones=reader.zones,
+        machine_types=reader.kinds,
+        descriptors_in_use=dispatcher.descriptors.used,
+    )
 
 
-def take_over(d: Dispatcher, head: dict[str, Any], peer: Peer) -> None:
-    """What `yours` says, taken in: into the decisions, and into what is known of the other process."""
-    if head["state"] is not None:
-        state.copy_in(d.decisions, head["state"])
-    for attempt, worker, slots, long, started in head["attempts"]:
-        peer.attempts.sent(attempt, worker, float(slots), bool(long), (0, 0.0))
+def grant(dispatcher: Dispatcher, attempts: list[Any], open_elsewhere: set[bytes], with_state: bool) -> messages.Grant:
+    """`attempts`: those in flight, as `state` lists them; `open_elsewhere`: ids open in other processes; `with_state`:
+    with what the decisions have learned."""
+    return messages.Grant(
+        state=state.copy_out(dispatcher.decisions) if with_state else None,
+        attempts=attempts,
+        open_requests=list({*dispatcher.by_id, *open_elsewhere}),
+    )
+
+
+def restore(dispatcher: Dispatcher, message: messages.Grant, sender: PeerProcess) -> None:
+    """Put what a grant carries into the decisions, and into what is known of its sender."""
+    if message.state is not None:
+        state.copy_in(dispatcher.decisions, message.state)
+    for attempt, worker, slots, long, started in message.attempts:
+        sender.attempts.sent(attempt, worker, float(slots), bool(long), (0, 0.0))
         if started:
-            peer.attempts.started(attempt)
-    peer.open = {i.encode("latin-1") for i in head["open"]} - d.by_id.keys()
+            sender.attempts.started(attempt)
+    sender.open_requests = set(message.open_requests) - dispatcher.by_id.keys()
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -14,7 +14,7 @@
 from badgerroad.multiprocess import messages
 from badgerroad.net import framing, logs
 from badgerroad.net.timer_wheel import Wheel
-from badgerroad.net.unix_channel import Link
+from badgerroad.net.unix_channel import UnixChannel
 from badgerroad.operator_limits import limit
 
 if TYPE_CHECKING:
@@ -68,11 +68,11 @@
             sock = socket.socket(fileno=descriptor)
             reader, message = framing.Reader(), None
             while message is None:
-                packet = sock.recv(framing.LONGEST + 64)
+                packet = sock.recv(framing.RECEIVE_BYTES)
                 if not packet:
                     raise BadConfig(f"{messages.VARIABLE}: the supervisor has gone")
                 message = reader.read(packet)
-        except (ValueError, OSError, framing.BadPacket) as e:
+        except (ValueError, OSError, framing.BadPacketError) as e:
             raise BadConfig(f"{messages.VARIABLE}: no supervisor: {e}") from e
         part, head = Part(number, size), message[1]
         return cls(part, sock, config_of(head, part, environment, None), messages.heard(head["operator"]))
@@ -91,10 +91,10 @@
     def __init__(self, joined: Joined, dispatcher: Dispatcher, wheel: Wheel, stop: Callable[[], None]) -> None:
         """`stop`: what a SIGTERM does; also the end of the supervisor, which must leave no orphans."""
         self.part, self.dispatcher, self.wheel = joined.part, dispatcher, wheel
-        self.peers: dict[int, Link] = {}
+        self.peers: dict[int, UnixChannel] = {}
         self.closed = False
         self.go = asyncio.Event()  # it may listen
-        self.supervisor = Link(joined.sock, self._told, stop)
+        self.supervisor = UnixChannel(joined.sock, self._told, stop)
         dispatcher.set_extension("multiprocess", self)
         self.supervisor.send(messages.HERE, {"pid": os.getpid()})
         self._tell()
@@ -113,7 +113,7 @@
             number = int(head["number"])
             if number in self.peers:
                 self.peers.pop(number).close()
-            link = Link(socket.socket(fileno=descriptor), self._told_by_peer, lambda: self._cut_off(number, link))
+            link = UnixChannel(socket.socket(fileno=descriptor), self._told_by_peer, lambda: self._cut_off(number, link))
             self.peers[number] = link
         elif kind == messages.GO and descriptor is None:
             self.go.set()
@@ -131,9 +131,9 @@
         else:
             if descriptor is not None:
                 os.close(descriptor)
-            raise framing.BadPacket(f"a word not known here: {kind}")
+            raise framing.BadPacketError(f"a word not known here: {kind}")
 
-    def _cut_off(self, number: int, link: Link) -> None:
+    def _cut_off(self, number: int, link: UnixChannel) -> None:
         if self.peers.get(number) is link:
             del self.peers[number]
             self.supervisor.send(messages.CUT_OFF, {"number": number})
@@ -142,7 +142,7 @@
         if descriptor is not None:
             os.close(descriptor)
         if kind != messages.CALL_BACK:
-            raise framing.BadPacket(f"a word not known here: {kind}")
+            raise framing.BadPacketError(f"a word not known here: {kind}")
         # It has been to the process that it reached; if it is not known here either, another one holds the attempt, or
         # none.
         self.dispatcher.backend.called_back(head["id"].encode("latin-1"), head["host"], head["state"], head["item"])
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -25,7 +25,7 @@
 from badgerroad.net import logs
 from badgerroad.net.connection import spawn
 from badgerroad.net.timer_wheel import Clock, Timer, Wheel
-from badgerroad.net.unix_channel import Link
+from badgerroad.net.unix_channel import UnixChannel
 
 if TYPE_CHECKING:
     from badgerroad.operator.schema import Operator
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.process: asyncio.subprocess.Process | None = None
-        self.link: Link | None = None
+        self.link: UnixChannel | None = None
         self.timer: Timer | None = None  # until its next word is overdue
         self.here = self.taking = False
 
@@ -106,7 +106,7 @@
         try:
             environment = {k: v for k, v in os.environ.items() if k != "PROXY_OPS"}
             environment[messages.VARIABLE] = f"{number}/{len(self.slots)}/{theirs.fileno()}"
-            link = slot.link = Link(ours, lambda *told: self._told(number, slot, *told), lambda: None)
+            link = slot.link = UnixChannel(ours, lambda *told: self._told(number, slot, *told), lambda: None)
             link.send(messages.CONFIG, self._config())
             self._await(number, slot, rules.START_TIME)
             slot.process = await asyncio.create_subprocess_exec(
@@ -178,7 +178,7 @@
         pair = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         for slot, number, sock in zip(slots, (two, one), pair, strict=False):
             if slot.link is not None:
-                slot.link.hand_over(messages.PEER, {"number": number}, sock)
+                slot.link.send_socket(messages.PEER, {"number": number}, sock)
 
     def reread(self) -> None:
         """SIGHUP: checked here, whole, and then told to all that run; whoever starts later is told it at its start."""
--- a/badgerroad/net/unix_channel.py
+++ b/badgerroad/net/unix_channel.py
@@ -1,6 +1,6 @@
-"""The Unix socket between processes of one dispatcher: packets in order, descriptors with them.
+"""A Unix socket between two processes of one dispatcher: messages in order, with descriptors.
 
-SOCK_SEQPACKET keeps the bounds of packets, so a word is there whole or not at all, also when the other side dies.
+SOCK_SEQPACKET keeps the bounds of packets, so a packet arrives complete or not at all, also when its sender dies.
 """
 
 from __future__ import annotations
@@ -11,8 +11,9 @@
 import socket
 import stat
 from collections import deque
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager, suppress
+from typing import Any, NamedTuple, TypeAlias
 
 from tornado.ioloop import IOLoop
 
@@ -20,215 +21,270 @@
 
 log = logs.get("badgerroad")
 
-MOST_QUEUED = 20_000  # packets that wait for a silent other side; more, and it is given up
-TURN = 32  # packets read in one go, so that clients are served between them
-
-
-class Link:
-    """One end. It owns the socket, and what it is given to pass on until that is sent."""
-
-    def __init__(
-        self,
-        sock: socket.socket,
-        told: Callable[[str, dict[str, Any], bytes, int | None], None],
-        lost: Callable[[], None],
-    ) -> None:
-        """`told`: kind, head, payload and a descriptor, which is the receiver's from then on. `lost` comes once, from
-        the loop, whoever ended it."""
-        self.sock, self.told, self.lost = sock, told, lost
-        self._queue: deque[tuple[bytes, int | None, socket.socket | None]] = deque()
-        self._reader, self._loop, self.closed = framing.Reader(), IOLoop.current(), False
-        self._mute = False  # the other side takes nothing any more; what it has sent is still read
+MAX_QUEUED_PACKETS = 20_000  # for a peer that does not read; with more the channel is closed
+PACKETS_PER_TURN = 32  # read before the loop serves others
+BACKLOG = 4  # processes that wait to be accepted
+PEER_BUSY_ERRORS = (errno.EAGAIN, errno.EINTR, errno.ETOOMANYREFS, errno.EMSGSIZE)
+
+OnMessage: TypeAlias = Callable[[str, dict[str, Any], bytes, "int | None"], None]
+AncillaryData: TypeAlias = list[tuple[int, int, Any]]
+
+
+class QueuedPacket(NamedTuple):
+    """A packet that waits until the peer reads."""
+
+    data: bytes
+    descriptor: int | None  # sent along
+    owned: socket.socket | None  # closed once the packet is sent, or cannot be
+
+
+class ReceivedPacket(NamedTuple):
+    """A packet as it arrived; empty data is the end of the channel."""
+
+    data: bytes
+    descriptors: list[int]  # the receiver's, to be closed if it does not use them
+    truncated: bool
+
+
+def descriptor_data(descriptor: int | None) -> AncillaryData:
+    """The ancillary data that carries a descriptor."""
+    if descriptor is None:
+        return []
+    return [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
+
+
+def received_descriptors(ancillary: AncillaryData) -> list[int]:
+    """The descriptors in the ancillary data of a packet."""
+    return [
+        descriptor
+        for level, kind, data in ancillary
+        if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS)
+        for descriptor in array.array("i", data[: len(data) - len(data) % 4])
+    ]
+
+
+class UnixChannel:
+    """One end of a channel. It owns the socket, and the packets and sockets that are queued on it."""
+
+    def __init__(self, sock: socket.socket, on_message: OnMessage, on_closed: Callable[[], None]) -> None:
+        """`on_message` is given kind, head, payload and a descriptor, which is the receiver's from then on. `on_closed`
+        is called once, from the loop, whichever side closed."""
+        self.sock = sock
+        self.closed = False
+        self._on_message = on_message
+        self._on_closed = on_closed
+        self._queue: deque[QueuedPacket] = deque()
+        self._reader = framing.Reader()
+        self._loop = IOLoop.current()
+        self._write_closed = False  # the peer takes nothing any more; what it has sent is still read
         sock.setblocking(False)
-        self._loop.add_handler(sock, self._ready, IOLoop.READ)
+        self._loop.add_handler(sock, self._on_ready, IOLoop.READ)
 
     def send(self, kind: str, head: dict[str, Any], descriptor: int | None = None) -> None:
-        """In order, when there is room. `descriptor` goes with the last packet and must stay open until then."""
+        """Queue a message. `descriptor` goes with its last packet and must stay open until that is sent."""
         self.send_packed(framing.pack(kind, head), descriptor)
 
-    def send_packed(self, parts: list[bytes], descriptor: int | None = None) -> None:
-        """What `framing.pack` made: once for several links."""
-        if not self.closed and not self._mute:
-            self._queue += [(part, descriptor if part is parts[-1] else None, None) for part in parts]
-            self._flush()
+    def send_packed(self, packets: list[bytes], descriptor: int | None = None) -> None:
+        """Queue the packets of one message that `framing.pack` made, once for several channels."""
+        if self.closed or self._write_closed:
+            return
+        for packet in packets:
+            self._queue.append(QueuedPacket(packet, descriptor if packet is packets[-1] else None, None))
+        self._flush()
 
-    def hand_over(self, kind: str, head: dict[str, Any], sock: socket.socket) -> None:
-        """As `send`, with a socket that is the link's from now on: closed here once it is sent, or cannot be."""
-        if self.closed or self._mute:
+    def send_socket(self, kind: str, head: dict[str, Any], sock: socket.socket) -> None:
+        """Queue a message with a socket, which the channel owns from now on and closes once it is sent or cannot be."""
+        if self.closed or self._write_closed:
             sock.close()
             return
-        self._queue.append((framing.one(kind, head), sock.fileno(), sock))
+        self._queue.append(QueuedPacket(framing.one(kind, head), sock.fileno(), sock))
         self._flush()
 
     @property
     def busy(self) -> bool:
-        """Nothing can be given now."""
-        return self.closed or self._mute or bool(self._queue)
+        """Whether `try_send` cannot succeed now."""
+        return self.closed or self._write_closed or bool(self._queue)
 
-    def give(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int) -> bool:
-        """Send now or not at all: what is not sent stays the caller's, descriptor and bytes."""
+    def try_send(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int) -> bool:
+        """Send now or not at all. What is not sent stays the caller's, descriptor and bytes."""
         packet = framing.one(kind, head, payload)
-        if self.busy or len(packet) > framing.LONGEST:
+        if self.busy or len(packet) > framing.MAX_PACKET_BYTES:
             return False
         try:
-            self.sock.sendmsg([packet], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))])
-        except OSError as e:
-            if e.errno not in (errno.EAGAIN, errno.EINTR, errno.ETOOMANYREFS, errno.EMSGSIZE):
-                self._mute = True
+            self.sock.sendmsg([packet], descriptor_data(descriptor))
+        except OSError as error:
+            if error.errno not in PEER_BUSY_ERRORS:
+                self._write_closed = True
             return False
         return True
 
     def _flush(self) -> None:
         while self._queue and not self.closed:
-            packet, descriptor, owned = self._queue[0]
-            ancillary: list[Any] = (
-                [] if descriptor is None else [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
-            )
+            packet = self._queue[0]
             try:
-                self.sock.sendmsg([packet], ancillary)
+                self.sock.sendmsg([packet.data], descriptor_data(packet.descriptor))
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError as e:
-                # It has gone; but what it said last, clients among it, lies here still unread.
-                log.info("link: the other side cannot be told", why=str(e))
-                self._mute = True
+            except OSError as error:
+                # The peer has gone; what it sent last, clients' connections among it, is still unread here.
+                log.info("channel_peer_gone", error=str(error))
+                self._write_closed = True
                 self._drop_queue()
                 break
             self._queue.popleft()
-            if owned is not None:
-                owned.close()
+            if packet.owned is not None:
+                packet.owned.close()
         if self.closed:
             return
-        if len(self._queue) > MOST_QUEUED:
-            log.warning("link: the other side does not listen")
+        if len(self._queue) > MAX_QUEUED_PACKETS:
+            log.warning("channel_peer_does_not_read", queued=len(self._queue))
             self.close()
             return
         self._loop.update_handler(self.sock, IOLoop.READ | (IOLoop.WRITE if self._queue else 0))
 
-    def _ready(self, _fd: Any, events: int) -> None:
+    def _on_ready(self, _descriptor: Any, events: int) -> None:
         if events & IOLoop.WRITE:
             self._flush()
-        for _ in range(TURN):
+        for _ in range(PACKETS_PER_TURN):
             if self.closed:
                 return
             try:
-                packet, ancillary, flags, _ = self.sock.recvmsg(framing.LONGEST + 64, socket.CMSG_SPACE(4))
+                packet = self._receive()
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionResetError:
-                continue  # it left with something unread: told once, before what it had sent and the end
-            except OSError:
-                packet, ancillary, flags = b"", [], 0
-            descriptors = [
-                fd
-                for level, kind, data in ancillary
-                if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS)
-                for fd in array.array("i", data[: len(data) - len(data) % 4])
-            ]
-            if not packet:
+                continue  # the peer closed with packets unread: reported once, before what it had sent and the end
+            if not packet.data:
                 self.close()
                 return
-            try:
-                if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                    raise framing.BadPacket("cut off")
-                message = self._reader.read(packet)
-                if message is not None:
-                    kind, head, payload = message
-                    fd = descriptors.pop() if descriptors else None
-                    self.told(kind, head, payload, fd)
-            except (framing.BadPacket, KeyError, TypeError, ValueError, IndexError, AttributeError) as e:
-                log.warning("link: what came cannot be read", why=f"{type(e).__name__}: {e}")
-                self.close()
-            finally:
-                for left in descriptors:
-                    os.close(left)
+            self._deliver(packet)
+
+    def _receive(self) -> ReceivedPacket:
+        """Raises BlockingIOError, InterruptedError or ConnectionResetError; any other error is the end."""
+        try:
+            data, ancillary, flags, _ = self.sock.recvmsg(framing.RECEIVE_BYTES, socket.CMSG_SPACE(4))
+        except (BlockingIOError, InterruptedError, ConnectionResetError):
+            raise
+        except OSError:
+            return ReceivedPacket(b"", [], False)
+        truncated = bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC))
+        return ReceivedPacket(data, received_descriptors(ancillary), truncated)
+
+    def _deliver(self, packet: ReceivedPacket) -> None:
+        descriptors = packet.descriptors
+        try:
+            if packet.truncated:
+                raise framing.BadPacketError("cut off")
+            message = self._reader.read(packet.data)
+            if message is not None:
+                kind, head, payload = message
+                self._on_message(kind, head, payload, descriptors.pop() if descriptors else None)
+        except (framing.BadPacketError, KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
+            log.warning("channel_message_invalid", error=f"{type(error).__name__}: {error}")
+            self.close()
+        finally:
+            for descriptor in descriptors:
+                os.close(descriptor)
 
     def _drop_queue(self) -> None:
-        for _, _, owned in self._queue:
-            if owned is not None:
-                owned.close()
+        for packet in self._queue:
+            if packet.owned is not None:
+                packet.owned.close()
         self._queue.clear()
 
     def close(self) -> None:
+        """Close the socket and drop what is queued; `on_closed` follows from the loop."""
         if not self.closed:
             self.closed = True
             self._loop.remove_handler(self.sock)
             self.sock.close()
             self._drop_queue()
-            self._loop.add_callback(self.lost)
+            self._loop.add_callback(self._on_closed)
+
+
+class FileId(NamedTuple):
+    """Which file a name leads to."""
 
+    device: int
+    inode: int
 
-class Place:
-    """The Unix socket's name in `$TMPDIR`, reached through a descriptor of the folder, as names are short there."""
+
+class UnixSocketPath:
+    """The name of a Unix socket in a folder, reached through a descriptor of the folder: socket names are short."""
 
     def __init__(self, folder: str, name: str) -> None:
-        self.folder, self.name = folder, name
+        """Nothing is opened or bound yet."""
+        self.folder = folder
+        self.name = name
         self._listener: socket.socket | None = None
-        self._mine: tuple[int, int] = (0, 0)  # device and inode of what was bound here
-
-    def _at(self, folder: int) -> str:
-        return f"/proc/self/fd/{folder}/{self.name}"
+        self._bound: FileId | None = None
 
-    def find(self) -> socket.socket | None:
-        """A connection to the process that listens there, or None if there is none."""
+    def connect(self) -> socket.socket | None:
+        """A connection to the process that listens there, or None if there is none. Raises OSError without folder."""
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.setblocking(False)
-            sock.connect(self._at(folder))
+            sock.connect(self._path_in(folder))
             return sock
-        except OSError:  # no such file, a stale one, or a backlog that nobody takes from
+        except OSError:  # no such file, a stale one, or a backlog that is full
             sock.close()
             return None
         finally:
             os.close(folder)
 
-    def bind(self, arrived: Callable[[socket.socket], None]) -> None:
-        """Be found from now on, in place of whoever was before, this process included. Raises OSError."""
+    def listen(self, on_connection: Callable[[socket.socket], None]) -> None:
+        """Be found from now on, in place of whichever process was before, this one included. Raises OSError."""
         self.close()
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            try:
+            with suppress(FileNotFoundError):
                 os.unlink(self.name, dir_fd=folder)
-            except FileNotFoundError:
-                pass
-            old = os.umask(0o177)
-            try:
-                listener.bind(self._at(folder))
-            finally:
-                os.umask(old)
-            listener.listen(4)
+            with _owner_only():
+                listener.bind(self._path_in(folder))
+            listener.listen(BACKLOG)
             listener.setblocking(False)
             found = os.stat(self.name, dir_fd=folder)
-            self._mine = found.st_dev, found.st_ino
+            self._bound = FileId(found.st_dev, found.st_ino)
         except OSError:
             listener.close()
             raise
         finally:
             os.close(folder)
         self._listener = listener
-        IOLoop.current().add_handler(listener, lambda sock, events: self._accept(sock, arrived), IOLoop.READ)
-
-    @staticmethod
-    def _accept(listener: socket.socket, arrived: Callable[[socket.socket], None]) -> None:
-        try:
-            sock, _ = listener.accept()
-        except OSError:
-            return
-        arrived(sock)
+        IOLoop.current().add_handler(listener, lambda sock, events: self._accept(sock, on_connection), IOLoop.READ)
 
     def close(self) -> None:
-        """The name goes too, unless another process has taken it."""
+        """Stop listening. The name goes too, unless another process has taken it."""
         if self._listener is None:
             return
         IOLoop.current().remove_handler(self._listener)
         self._listener.close()
         self._listener = None
         path = os.path.join(self.folder, self.name)
-        try:
+        with suppress(OSError):
             found = os.stat(path)
-            if stat.S_ISSOCK(found.st_mode) and (found.st_dev, found.st_ino) == self._mine:
+            if stat.S_ISSOCK(found.st_mode) and (found.st_dev, found.st_ino) == self._bound:
                 os.unlink(path)
+
+    def _path_in(self, folder: int) -> str:
+        return f"/proc/self/fd/{folder}/{self.name}"
+
+    @staticmethod
+    def _accept(listener: socket.socket, on_connection: Callable[[socket.socket], None]) -> None:
+        try:
+            sock, _ = listener.accept()
         except OSError:
-            pass
+            return
+        on_connection(sock)
+
+
+@contextmanager
+def _owner_only() -> Iterator[None]:
+    """Files made meanwhile are readable and writable by their owner only."""
+    previous = os.umask(0o177)
+    try:
+        yield
+    finally:
+        os.umask(previous)
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from badgerroad.admin.listener import Listener
     from badgerroad.fleet.extension import QuotaExtension
-    from badgerroad.hot_restart.process import Handover
+    from badgerroad.hot_restart.process import HotRestart
     from badgerroad.multiprocess.server_process import Joined, ServerProcess
 
 log = logs.get("badgerroad")
@@ -89,16 +89,16 @@
     dispatcher, ops = assemble(config, wheel, counted=joined is not None)
     limit(dispatcher, operator)
     quotas = join_fleet(dispatcher, operator, operator_file)
-    handover: Handover | None = None
+    hot_restart: HotRestart | None = None
     process: ServerProcess | None = None
     done = asyncio.Event()
 
     def check(since: int) -> None:
         after = wheel.clock.now() - since
-        finishing = handover is not None and handover.ending and dispatcher.frontend.heir is not None
+        finishing = hot_restart is not None and hot_restart.finishing and dispatcher.frontend.heir is not None
         # Clients whose connections go to another process need no grace here, but each connection has to get there.
         wait = dispatcher.frontend.left and after < GRACE if finishing else after < GRACE
-        if handover is not None and handover.between and after < BETWEEN:
+        if hot_restart is not None and hot_restart.peers.relays_job_events and after < BETWEEN:
             wait = True
         # Where another process has the clients, none of them is ended for the end of this one.
         if dispatcher.owed or wait or not finishing and not dispatcher.end():
@@ -113,8 +113,8 @@
         if not stopping:
             stopping = True
             log.info("stopping: answering what is owed")
-            if handover is not None:
-                handover.term()
+            if hot_restart is not None:
+                hot_restart.terminate()
             else:
                 dispatcher.drain()
             check(wheel.clock.now())
@@ -157,9 +157,9 @@
             ops.listen(config.ops)  # before anything is taken from another process
         except OSError as e:
             raise CannotListen("ops", config.ops, e) from e
-        from badgerroad.hot_restart.process import Handover
+        from badgerroad.hot_restart.process import HotRestart
 
-        handover = Handover(dispatcher, wheel, os.environ.get("TMPDIR") or "/tmp")
+        hot_restart = HotRestart(dispatcher, wheel, os.environ.get("TMPDIR") or "/tmp")
     if process is not None:
         await asyncio.wait(
             [asyncio.ensure_future(process.go.wait()), asyncio.ensure_future(done.wait())],
@@ -168,7 +168,7 @@
         if done.is_set():
             return OK  # told to end before it has begun
     try:
-        host, port = await handover.begin() if handover is not None else dispatcher.start(process is not None)
+        host, port = await hot_restart.begin() if hot_restart is not None else dispatcher.start(process is not None)
     except OSError as e:
         raise CannotListen("listen", config.listen, e) from e
     log.info(
@@ -187,8 +187,8 @@
         quotas.close()
     if ops is not None:
         ops.close()
-    if handover is not None:
-        handover.close()
+    if hot_restart is not None:
+        hot_restart.close()
     if process is not None:
         process.close()
     dispatcher.close()
--- a/tests/compatibility/test_recorded_messages.py
+++ b/tests/compatibility/test_recorded_messages.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from badgerroad.hot_restart import messages as hot_restart_messages
 from badgerroad.net import framing
 
 DATA = Path(__file__).parent / "data"
@@ -58,3 +59,21 @@
     assert framing.one(kind, content, payload) == packet
     if not payload:
         assert framing.pack(kind, content) == [packet]
+
+
+@pytest.mark.parametrize("packet", recorded("hot_restart"))
+def test_a_recorded_message_of_an_upgrade_is_decoded_and_encoded_as_the_same_bytes(packet):
+    kind, head, payload = framing.Reader().read(packet)
+    message = hot_restart_messages.decode(kind, head)
+    assert framing.one(message.kind, message.to_head(), payload) == packet
+
+
+def test_a_long_head_is_sent_in_the_parts_that_the_version_before_wrote():
+    head = {"text": "x" * 70_000}
+    encoded = json.dumps({**head, "kind": "config"}, separators=(",", ":")).encode()
+    part = 32 * 1024
+    assert framing.pack("config", head) == [
+        b'{"kind":"part","more":1}\n' + encoded[:part],
+        b'{"kind":"part","more":1}\n' + encoded[part : 2 * part],
+        b'{"kind":"part","more":0}\n' + encoded[2 * part :],
+    ]
--- a/tests/dispatcher/test_admission.py
+++ b/tests/dispatcher/test_admission.py
@@ -4,7 +4,7 @@
 import json
 
 from badgerroad.extension import DispatcherExtension
-from badgerroad.hot_restart import transfer
+from badgerroad.hot_restart import request_transfer
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.settings import settings_from
 from tests.support.loopback import SETTINGS, World, async_test, job, reply, serve, until
@@ -152,6 +152,6 @@
         holder = Holder()
         await held_by(w, holder)
         request = holder.held[0][0]
-        assert not transfer.movable(request)
+        assert not request_transfer.can_move(request)
         holder.release()
-        await until(lambda: sends(w) and transfer.movable(request))
+        await until(lambda: sends(w) and request_transfer.can_move(request))
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -257,7 +257,7 @@
             assert (await w.ask(order(number)))[0] == 200
         (old_name,) = controller.peers()
         new = await serving(fleet, w, **{**variables, "PROXY_OPS": f"127.0.0.1:{free_port()}"})
-        await old.says("handover .*do=.?say yours")
+        await old.says("hot_restart .*action=.?send grant")
         await until(lambda: controller.held(old_name) == {"a": 0})
         for number in range(5, 10):
             assert (await w.ask(order(number)))[0] == 200
--- a/tests/hot_restart/test_real_upgrades.py
+++ b/tests/hot_restart/test_real_upgrades.py
@@ -67,14 +67,14 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
-@pytest.mark.parametrize("step", ["say hello", "adopt", "say take", "accept"])
+@pytest.mark.parametrize("step", ["send hello", "adopt listener", "send claim", "accept"])
 @async_test
 async def test_jobs_are_served_though_the_new_process_dies_or_stops_at_any_step(step, number, tmp_path):
     async with Service(tmp_path) as s:
         await s.upgrade()
         starting = asyncio.ensure_future(s.start())
         await until(lambda: len(s.processes) == 2)
-        while f"do={step}" not in (tmp_path / "1.log").read_text().replace("'", ""):
+        while f"action={step}\n" not in (tmp_path / "1.log").read_text().replace("'", ""):
             await asyncio.sleep(0.001)
         s.processes[1][0].send_signal(number)
         await s.client("c", 3)  # the old one's yes may take until the new one counts as gone
@@ -84,4 +84,4 @@
         starting.cancel()
         if number == signal.SIGKILL:
             await s.upgrade()  # a third one finds the one that has taken back
-            assert "do=adopt" in (tmp_path / "2.log").read_text()
+            assert "action='adopt listener'" in (tmp_path / "2.log").read_text()
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -11,10 +11,11 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad.frontend import client as frontend_client
-from badgerroad.hot_restart import rules, transfer
-from badgerroad.hot_restart.process import Handover
+from badgerroad.hot_restart import request_transfer, rules
+from badgerroad.hot_restart.process import HotRestart
+from badgerroad.hot_restart.rules import Action
 from badgerroad.net.timer_wheel import Clock, Wheel
-from badgerroad.net.unix_channel import Place
+from badgerroad.net.unix_channel import UnixSocketPath
 from badgerroad.serving import assemble
 from tests.support.loopback import World, async_test, id_of, job, read_message, reply, serve, until
 
@@ -22,10 +23,10 @@
 @contextlib.asynccontextmanager
 async def with_second_process(w, folder, **over):
     """A second dispatcher in this process, with `over` in its configuration, that takes over from the one of a World."""
-    first = Handover(w.dispatcher, w.dispatcher.wheel, str(folder))
-    first._be_found()
+    first = HotRestart(w.dispatcher, w.dispatcher.wheel, str(folder))
+    first.announce()
     new, ops = assemble(w.dispatcher.config._replace(**over), Wheel(Clock(), IOLoop.current()))
-    second = Handover(new, new.wheel, str(folder))
+    second = HotRestart(new, new.wheel, str(folder))
     w.begin(second.begin())
     await until(lambda: new.taking)
     try:
@@ -62,15 +63,15 @@
         await until(lambda: attempt.accepted)
         attempt.accepted = False  # as if the 202 had not come yet: that job has to wait
         async with with_second_process(w, tmp_path) as (first, second):
-            await until(lambda: len(second.dispatcher.frontend.connections) >= 60)
-            assert first.dispatcher.requests
-            assert not first.dispatcher.taking
+            await until(lambda: len(second._dispatcher.frontend.connections) >= 60)
+            assert first._dispatcher.requests
+            assert not first._dispatcher.taking
             status, _, why = await w.ask(job("first"))
             assert status == 400
             assert b"open request" in why
             attempt.accepted = True
-            first.term()
-            await until(lambda: not first.dispatcher.owed and not first.dispatcher.frontend.left)
+            first.terminate()
+            await until(lambda: not first._dispatcher.owed and not first._dispatcher.frontend.left)
             for n, (_, writer) in enumerate(crowd):
                 writer.write(texts[n][2 * n :])
             gate.set()
@@ -79,7 +80,7 @@
                 assert (head.split()[1], body) == (b"200", b"made")
             ran = Counter(id_of(head) for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST"))
             assert ran == {f"r{n}": 1 for n in range(60)} | {"first": 1, "second": 1}
-            assert not any(x.tally or x.running for x in second.dispatcher.decisions.workers.values())
+            assert not any(x.tally or x.running for x in second._dispatcher.decisions.workers.values())
 
 
 @async_test
@@ -89,22 +90,22 @@
         async with with_second_process(w, tmp_path) as (first, second):
             for back in (True, False):
                 d, ops = assemble(w.dispatcher.config, Wheel(Clock(), IOLoop.current()))
-                third = Handover(d, d.wheel, str(tmp_path))
+                third = HotRestart(d, d.wheel, str(tmp_path))
                 w.begin(third.begin())
-                await until(lambda: d.taking and first.predecessor.state == "passed")
-                first._arrived(rejected_socket := socket.socket())  # one at a time: it is sent away
+                await until(lambda d=d: d.taking and first.peers.predecessor.state == "passed")
+                first._on_connection(rejected_socket := socket.socket())  # one at a time: it is sent away
                 assert rejected_socket.fileno() == -1
                 if back:
-                    third.term()  # the second takes the new jobs again, and says so
-                    await until(lambda: second.dispatcher.taking and first.predecessor.state == "yielded")
+                    third.terminate()  # the second takes the new jobs again, and says so
+                    await until(lambda: second._dispatcher.taking and first.peers.predecessor.state == "yielded")
                     third.close()
                     d.close()
-                    await until(lambda: second.newer is None)
+                    await until(lambda: second.peers.newer is None)
             second.close()
-            await until(lambda: first.newer is None)
+            await until(lambda: first.peers.newer is None)
             assert not w.dispatcher.taking
             assert not w.dispatcher.frontend._accepting
-            second.dispatcher.frontend.close()
+            second._dispatcher.frontend.close()
             assert (await w.ask(job()))[0] == 200
             for thing in (third, ops, d):
                 thing.close()
@@ -127,14 +128,14 @@
         answer, attempt = await stuck(w)
         async with with_second_process(w, tmp_path) as (first, second):
             attempt.accepted = True
-            first.dispatcher.frontend.pass_on()
-            assert not first.dispatcher.requests
-            assert not second.dispatcher.requests
+            first._dispatcher.frontend.pass_on()
+            assert not first._dispatcher.requests
+            assert not second._dispatcher.requests
             for n in range(99):
-                second.dispatcher.called_back(b"other", "h0", "done", {"result": str(n)})
-            second.dispatcher.called_back(b"r1", "h0", "done", {"result": "made"})
+                second._dispatcher.called_back(b"other", "h0", "done", {"result": str(n)})
+            second._dispatcher.called_back(b"r1", "h0", "done", {"result": "made"})
             if ends:
-                first.newer.link.close()
+                first.peers.newer.channel.close()
             assert (await answer)[0] == 200
             assert (await w.figures())["current"] == 0
             here, there = socket.socketpair()
@@ -150,7 +151,7 @@
     tmp_path, monkeypatch
 ):
     monkeypatch.setattr(frontend_client, "REQUEST_TIME", 1_000_000)
-    monkeypatch.setattr(transfer, "movable", lambda request: False)  # open jobs stay: each has attempts out
+    monkeypatch.setattr(request_transfer, "can_move", lambda request: False)  # open jobs stay: each has attempts out
 
     def tallies(d):
         return {n: (x.tally, x.running) for n, x in d.decisions.workers.items()}
@@ -172,7 +173,7 @@
         old.decisions.workers[attempt.worker].strikes = 3
         told = {"zones": ["far", "a"], "kinds": ["big", "m2"], "known": {"seq": 0, "whole": True, "hosts": []}}
         async with with_second_process(w, tmp_path, **told) as (first, second):
-            new = second.dispatcher
+            new = second._dispatcher
             # The list, though discovery is dead and the file knows no host; in the old one's numbers, the settings too.
             assert {n: x.info for n, x in new.decisions.workers.items()} == {
                 n: x.info for n, x in old.decisions.workers.items()
@@ -202,13 +203,13 @@
                 and new.by_id[b"n1"].attempts
                 and tallies(old)[new.by_id[b"n1"].attempts[0].worker][0] == 1
             )
-            first.term()
+            first.terminate()
             assert (
                 await w.call_back("r1", "done", again_.worker, result="made") == 200
             )  # to the new one, for the old one
             assert (await answer)[0] == 200
             assert b"close" not in (await answer)[1]
-            first.newer.link.close()
+            first.peers.newer.channel.close()
             await until(lambda: set(tallies(old).values()) == {(0, 0)})  # what it had out is forgotten
 
 
@@ -248,21 +249,25 @@
 @async_test
 async def test_the_old_process_serves_on_whatever_a_new_one_does_at_any_step(at, told, tmp_path, monkeypatch):
     """`at`: how many steps go well; then silence, an end or nonsense."""
-    for name in ("ASK_TIME", "SILENCE"):
+    for name in ("HELLO_TIMEOUT_US", "MISSING_HEARTBEAT_US"):
         monkeypatch.setattr(rules, name, 200_000)
-    monkeypatch.setattr(rules, "WAIT", {**rules.WAIT, rules.SAY_OFFER: 200_000, rules.SAY_YOURS: 200_000})
+    monkeypatch.setattr(
+        rules,
+        "REPLY_TIMEOUT_US",
+        {**rules.REPLY_TIMEOUT_US, Action.SEND_OFFER: 200_000, Action.SEND_GRANT: 200_000},
+    )
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        first = Handover(w.dispatcher, w.dispatcher.wheel, str(tmp_path))
-        first._be_found()
-        new = first.place.find()
-        await until(lambda: first.newer is not None)
+        first = HotRestart(w.dispatcher, w.dispatcher.wheel, str(tmp_path))
+        first.announce()
+        new = first.socket_path.connect()
+        await until(lambda: first.peers.newer is not None)
         for step in [*[HELLO, dict(kind="take")][:at], told]:
             say(new, step)
         if at == 0 and told != "close":  # no offer for one that is not of this dispatcher
             assert await asyncio.get_running_loop().sock_recv(new, 1) == b""
-        await until(lambda: first.newer is None and w.dispatcher.taking)
-        assert first.predecessor.state == "over"
+        await until(lambda: first.peers.newer is None and w.dispatcher.taking)
+        assert first.peers.predecessor.state == "over"
         assert (await w.ask(job()))[0] == 200
         assert w.dispatcher.descriptors.limit == w.dispatcher.descriptors.whole
         first.close()
@@ -284,24 +289,24 @@
 )
 @async_test
 async def test_a_new_process_serves_whatever_the_old_one_does_at_any_step(at, told, tmp_path, monkeypatch):
-    monkeypatch.setattr(rules, "WAIT", dict.fromkeys(rules.WAIT, 200_000))
+    monkeypatch.setattr(rules, "REPLY_TIMEOUT_US", dict.fromkeys(rules.REPLY_TIMEOUT_US, 200_000))
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
         config, arrived = w.dispatcher.config._replace(listen=("127.0.0.1", w.port)), []
-        place = Place(str(tmp_path), f"badgerroad-127.0.0.1-{w.port}.sock")
-        place.bind(arrived.append)
+        place = UnixSocketPath(str(tmp_path), f"badgerroad-127.0.0.1-{w.port}.sock")
+        place.listen(arrived.append)
         d, ops = assemble(config, Wheel(Clock(), IOLoop.current()))
-        second = Handover(d, d.wheel, str(tmp_path))
+        second = HotRestart(d, d.wheel, str(tmp_path))
         w.begin(second.begin())
         await until(lambda: arrived)
         if at:
             say(arrived[0], dict(OFFER, known=config.known), w.dispatcher.frontend.listener.fileno())
-            await until(lambda: second.successor.state == "claiming")
+            await until(lambda: second.peers.successor.state == "claiming")
             assert d.descriptors.limit <= d.descriptors.whole - 100
             assert not d.taking
         say(arrived[0], told, w.dispatcher.frontend.listener.fileno())
         await until(lambda: d.taking)
-        assert (second._listener is None) == (at == 0 and told != dict(kind="offer", version=2))
+        assert (second._actions.received_listener is None) == (at == 0 and told != dict(kind="offer", version=2))
         w.dispatcher.close()
         assert (await w.ask(job()))[0] == 200
         assert len(d.decisions.workers) == 1
--- a/tests/hot_restart/test_upgrade_rules.py
+++ b/tests/hot_restart/test_upgrade_rules.py
@@ -9,20 +9,21 @@
 from hypothesis import strategies as st
 
 from badgerroad.hot_restart import rules
+from badgerroad.hot_restart.rules import Action, Event
 from badgerroad.load_balancing import interface, state
 from badgerroad.load_balancing.policy import DispatchPolicy
 from badgerroad.net import framing
 from badgerroad.net.http1 import Parser
 from badgerroad.net.ring_buffer import Ring
-from badgerroad.net.unix_channel import Link
+from badgerroad.net.unix_channel import UnixChannel
 from tests.support.loopback import async_test, until
 
 WORDS = {
-    rules.SAY_HELLO: rules.HELLO,
-    rules.SAY_OFFER: rules.OFFER,
-    rules.SAY_TAKE: rules.TAKE,
-    rules.SAY_YOURS: rules.YOURS,
-    rules.SAY_RETURN: rules.RETURN,
+    Action.SEND_HELLO: Event.HELLO,
+    Action.SEND_OFFER: Event.OFFER,
+    Action.SEND_CLAIM: Event.CLAIM,
+    Action.SEND_GRANT: Event.GRANT,
+    Action.SEND_RETURN: Event.RETURN,
 }
 
 
@@ -41,15 +42,15 @@
         for action in actions:
             if action in WORDS and other.linked and self.linked:
                 other.inbox.append(WORDS[action])
-            if action in (rules.LISTEN, rules.ACCEPT, rules.RESUME):
+            if action in (Action.LISTEN, Action.ACCEPT, Action.RESUME_ACCEPTING):
                 self.taking = True
-            if action == rules.STOP:
+            if action == Action.STOP_ACCEPTING:
                 self.taking = False
-            if action in (rules.DRAIN, rules.FINISH):
+            if action in (Action.DRAIN, Action.FINISH):
                 self.draining = True
-            if action == rules.CLOSE and self.linked:
+            if action == Action.CLOSE_CHANNEL and self.linked:
                 self.linked = False
-                other.inbox.append(rules.LOST)
+                other.inbox.append(Event.CHANNEL_LOST)
 
 
 STEP = st.sampled_from(
@@ -60,7 +61,7 @@
 @given(st.lists(STEP, max_size=30))
 def test_one_process_takes_new_jobs_whatever_is_lost_and_whoever_dies(steps):
     new, old = Side(rules.Successor(), False), Side(rules.Predecessor(), True)
-    new.do(new.machine.on(rules.FOUND), old)
+    new.do(new.machine.handle(Event.PEER_FOUND), old)
     failed = ended = False
     for step in steps + ["new", "old", "prepared"] * 6:
         side, other = (new, old) if "new" in step or step == "prepared" else (old, new)
@@ -68,24 +69,24 @@
             continue
         if step in ("new", "old") and side.inbox:
             event = side.inbox.pop(0)
-            if event == rules.LOST:
+            if event == Event.CHANNEL_LOST:
                 side.linked = False
-            side.do(side.machine.on(event), other)
+            side.do(side.machine.handle(event), other)
         elif (
             step == "prepared"
             or step.endswith("waits")
             and side.machine.state in ("asking", "claiming", "returning", "alone", "offering", "yielded", "resuming")
         ):
             failed |= step != "prepared"
-            side.do(side.machine.on(rules.PREPARED if step == "prepared" else rules.TIMED_OUT), other)
+            side.do(side.machine.handle(Event.PREPARED if step == "prepared" else Event.TIMED_OUT), other)
         elif step == "term":
-            old.do(old.machine.on(rules.TERM), new)
+            old.do(old.machine.handle(Event.TERMINATE), new)
         elif step == "term new" and not ended:
             ended = True
-            new.do(new.machine.term(), old)
+            new.do(new.machine.handle(Event.TERMINATE), old)
         elif step.startswith("kill"):
             failed, side.alive, side.taking = True, False, False
-            other.inbox.append(rules.LOST)
+            other.inbox.append(Event.CHANNEL_LOST)
         assert failed or not (new.taking and old.taking)
     if new.alive and not ended:
         assert new.taking  # also when the other was lost, silent or spoke nonsense
@@ -97,7 +98,7 @@
 @given(st.dictionaries(st.text(max_size=5), st.text(max_size=40_000), max_size=4))
 def test_long_heads_come_in_parts_and_whole(head):
     reader, parts = framing.Reader(), framing.pack("word", head)
-    assert all(len(p) <= framing.LONGEST for p in parts)
+    assert all(len(p) <= framing.MAX_PACKET_BYTES for p in parts)
     told = [reader.read(p) for p in parts]
     assert told[:-1] == [None] * (len(parts) - 1)
     assert told[-1] == ("word", {**head, "kind": "word"}, b"")
@@ -107,7 +108,7 @@
     "packet", [b"", b"{}\n", b"[]\n", b'{"kind":1}\n', b'{"kind":"x"}', b"\xff\n", b'{"kind":"part"}\n!']
 )
 def test_nonsense_is_no_packet(packet):
-    with pytest.raises(framing.BadPacket):
+    with pytest.raises(framing.BadPacketError):
         framing.Reader().read(packet)
 
 
@@ -116,17 +117,19 @@
 async def test_what_the_other_side_sent_last_is_heard_though_it_takes_nothing_any_more(speaks):
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     told, lost, (client, passed) = [], [], socket.socketpair()
-    link = Link(ours, lambda kind, head, payload, fd: told.append(socket.socket(fileno=fd)), lambda: lost.append(1))
-    link.send("held", {})  # it ends with this unread
+    channel = UnixChannel(
+        ours, lambda kind, head, payload, fd: told.append(socket.socket(fileno=fd)), lambda: lost.append(1)
+    )
+    channel.send("held", {})  # it ends with this unread
     for _ in "12":
         theirs.sendmsg(
             [framing.one("client", {})], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [passed.fileno()]))]
         )
     theirs.close()
     if speaks:
-        link.send("held", {})
-        assert not link.give("client", {}, b"", client.fileno())
-        assert link.busy
+        channel.send("held", {})
+        assert not channel.try_send("client", {}, b"", client.fileno())
+        assert channel.busy
     await until(lambda: lost)
     for sock in told:
         sock.send(b"x")
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -18,7 +18,7 @@
 from badgerroad.multiprocess.figures import Sums
 from badgerroad.multiprocess.server_process import Joined, Part, ServerProcess
 from badgerroad.multiprocess.supervisor import Supervisor
-from badgerroad.net.unix_channel import Link
+from badgerroad.net.unix_channel import UnixChannel
 from tests.support.loopback import CLASS, SETTINGS, World, async_test, serve, until
 from tests.support.service import Service
 
@@ -260,10 +260,12 @@
         for n, slot in enumerate(supervisor.slots):
             slot.here, slot.link = (
                 True,
-                Link(ends[n][0], lambda *told: supervisor._told(0, supervisor.slots[0], *told), lambda: None),
+                UnixChannel(ends[n][0], lambda *told: supervisor._told(0, supervisor.slots[0], *told), lambda: None),
             )
         process = ServerProcess(Joined(Part(0, 2), ends[0][1], d.config, None), d, d.wheel, lambda: None)
-        other = Link(ends[1][1], lambda kind, head, payload, fd: got.append(socket.socket(fileno=fd)), lambda: None)
+        other = UnixChannel(
+            ends[1][1], lambda kind, head, payload, fd: got.append(socket.socket(fileno=fd)), lambda: None
+        )
         await until(lambda: got and process.peers and process.go.is_set())
         process.peers[1].close()
         await until(lambda: len(got) == 2 and process.peers)
