--- a/badgerroad/hot_restart/rules.py
+++ b/badgerroad/hot_restart/rules.py
@@ -29,7 +29,7 @@
 HELLO_TIMEOUT_US = 1_500_000
 CLAIM_TIMEOUT_US = 1_000_000
 OFFER_TIMEOUT_US = 8_000_000  # from the offer to the claim; the predecessor accepts meanwhile
-# A successor sends a message every 0.2 s. Without one for so long it is stopped or hangs: the predecessor accepts again.
+# A successor sends a message every 0.2 s. Without one for so long it is stopped or hangs; its predecessor resumes.
 MISSING_HEARTBEAT_US = 2_000_000
 
 
