--- a/badgerroad/hot_restart/actions.py
+++ b/badgerroad/hot_restart/actions.py
@@ -18,7 +18,7 @@
 from badgerroad.load_balancing import state
 from badgerroad.net import logs
 from badgerroad.net.connection import Address
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.timer_wheel import TimerWheel
 
 log = logs.get("badgerroad")
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        wheel: Wheel,
+        wheel: TimerWheel,
         peers: Peers,
         descriptors: DescriptorAccounting,
         transfer: ConnectionTransfer,
@@ -143,7 +143,7 @@
         self._dispatcher.begin(_present(offer, "endpoint_list"))
 
     def _accept(self) -> None:
-        self._dispatcher.frontend.accept()
+        self._dispatcher.frontend.start_accepting()
         self._announce()
         self._descriptors.report_until_alone()
 
@@ -156,15 +156,15 @@
 
     def _resume_accepting(self) -> None:
         self._transfer.stop()
-        self._dispatcher.frontend.take_back()
+        self._dispatcher.frontend.resume_accepting()
         self._announce()  # the name is the peer's, or that of a dead process
         if self._peers.older is not None:
             self._peers.older.send(messages.Superseded(False))
 
     def _drain(self) -> None:
         self._transfer.stop()
-        if self._dispatcher.frontend.heir is not None:
-            self._dispatcher.frontend.take_back()
+        if self._dispatcher.frontend.successor is not None:
+            self._dispatcher.frontend.resume_accepting()
         self._dispatcher.drain()
 
     def _retire(self) -> None:
@@ -173,7 +173,7 @@
 
     def _finish(self) -> None:
         self.finishing = True
-        self._dispatcher.frontend.finish()
+        self._dispatcher.frontend.mark_draining()
 
     def _close_channel(self, peer: PeerProcess) -> None:
         peer.channel.close()
--- a/badgerroad/hot_restart/connection_transfer.py
+++ b/badgerroad/hot_restart/connection_transfer.py
@@ -13,7 +13,7 @@
 from badgerroad.hot_restart.peers import PeerProcess, Peers
 from badgerroad.hot_restart.unmatched_job_events import UnmatchedJobEvents
 from badgerroad.net.connection import Address
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
 RETRY_INTERVAL_US = 20_000  # for what could not be passed on: the channel was busy, or the connection had been read
@@ -25,7 +25,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        wheel: Wheel,
+        wheel: TimerWheel,
         peers: Peers,
         descriptors: DescriptorAccounting,
         attempt_reports: AttemptReports,
@@ -44,19 +44,19 @@
         self._peers.recipient = recipient
         self._descriptors.leave_all_but_used()
         backend = self._dispatcher.backend
-        backend.heir = self._pass_worker_connection
-        backend.pass_on()
+        backend.successor = self._pass_worker_connection
+        backend.pass_connections_on()
         self._pass_clients()
 
     def stop(self) -> None:
         """Pass nothing any more."""
         self._peers.recipient = None
-        self._dispatcher.backend.heir = None
+        self._dispatcher.backend.successor = None
         self._descriptors.take_all_back()
 
     def _pass_clients(self) -> None:
-        if self._dispatcher.frontend.heir is not None:
-            self._dispatcher.frontend.pass_on()
+        if self._dispatcher.frontend.successor is not None:
+            self._dispatcher.frontend.pass_connections_on()
             self._wheel.after(RETRY_INTERVAL_US, self._pass_clients)
 
     def pass_client(self, descriptor: int, connection: dict[str, Any], data: bytes, exchange: Exchange | None) -> bool:
@@ -96,19 +96,19 @@
         body, data = payload[: message.body_length], payload[message.body_length :]
         self._descriptors.take_one_back()
         if request is None:
-            dispatcher.frontend.adopt(sock, message.connection, data, None)
+            dispatcher.frontend.adopt_connection(sock, message.connection, data, None)
             return
         request_id = request["id"].encode("latin-1")
         self._peers.open_requests.discard(request_id)
-        dispatcher.frontend.adopt(
+        dispatcher.frontend.adopt_connection(
             sock,
             message.connection,
             data,
             lambda connection: request_transfer.restore(dispatcher, request, body, connection),
         )
         for event in self._unmatched.of_request(request_id):
-            dispatcher.backend.called_back(event.request_id, event.worker, event.state, event.item)
+            dispatcher.backend.handle_job_event(event.request_id, event.worker, event.state, event.item)
 
     def adopt_worker_connection(self, sock: socket.socket, message: messages.WorkerConnection) -> None:
         """Take over an idle connection to a worker."""
-        self._dispatcher.backend.adopt(sock, message.worker, message.address, message.idle_us)
+        self._dispatcher.backend.adopt_connection(sock, message.worker, message.address, message.idle_us)
--- a/badgerroad/hot_restart/peers.py
+++ b/badgerroad/hot_restart/peers.py
@@ -12,7 +12,7 @@
 from badgerroad.hot_restart.rules import PredecessorState, SuccessorState
 from badgerroad.load_balancing import state
 from badgerroad.load_balancing.policy import DispatchPolicy
-from badgerroad.net.timer_wheel import Timer, Wheel
+from badgerroad.net.timer_wheel import Timer, TimerWheel
 from badgerroad.net.unix_channel import OnMessage, UnixChannel
 
 Report = Callable[[rules.Event], None]  # gives an event to the state machine that a peer belongs to
@@ -47,10 +47,10 @@
         """Send now or not at all; what is not sent stays the caller's."""
         return self.channel.try_send(message.kind, message.to_head(), payload, descriptor)
 
-    def expect_message(self, wheel: Wheel, timeout_us: int, report: Report) -> None:
+    def expect_message(self, wheel: TimerWheel, timeout_us: int, report: Report) -> None:
         """Report TIMED_OUT unless a message is received within the time."""
         self.cancel_timeout()
-        self._reply_timer = wheel.after(timeout_us, lambda: report(rules.Event.TIMED_OUT), patient=True)
+        self._reply_timer = wheel.after(timeout_us, lambda: report(rules.Event.TIMED_OUT), awaits_peer=True)
 
     def cancel_timeout(self) -> None:
         """No message is expected any more."""
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -24,7 +24,7 @@
 from badgerroad.net import logs
 from badgerroad.net.connection import Address
 from badgerroad.net.framing import BadPacketError
-from badgerroad.net.timer_wheel import Wheel
+from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.net.unix_channel import UnixSocketPath
 from badgerroad.requests import OpenRequest
 
@@ -38,7 +38,7 @@
 class HotRestart(DispatcherExtension):
     """This process's part in an upgrade, as an extension of its dispatcher."""
 
-    def __init__(self, dispatcher: Dispatcher, wheel: Wheel, folder: str) -> None:
+    def __init__(self, dispatcher: Dispatcher, wheel: TimerWheel, folder: str) -> None:
         """`folder`: of the Unix sockets. Nothing happens until `begin`."""
         self._dispatcher = dispatcher
         self._wheel = wheel
@@ -200,7 +200,7 @@
         now = self._dispatcher.clock.now()
         match message:
             case messages.JobEvent(request_id, worker, state, item):
-                if self._dispatcher.backend.called_back(request_id, worker, state, item):
+                if self._dispatcher.backend.handle_job_event(request_id, worker, state, item):
                     return
                 self._unmatched.retain(message, now)
             case messages.AttemptSent():
--- a/badgerroad/hot_restart/request_transfer.py
+++ b/badgerroad/hot_restart/request_transfer.py
@@ -67,7 +67,7 @@
         "worker": attempt.worker,
         "sent": attempt.sent_at - now,
         "start": attempt.started_at - now if attempt.started_at else 0,
-        "left": attempt.timeout_timer.due - now if attempt.timeout_timer else 0,
+        "left": attempt.timeout_timer.due_at - now if attempt.timeout_timer else 0,
     }
     for field, attribute in {**_ATTEMPT_FIELDS, **_LATER_ATTEMPT_FIELDS}.items():
         fields[field] = getattr(attempt, attribute)
@@ -77,7 +77,7 @@
 def forget(dispatcher: Dispatcher, request: OpenRequest) -> None:
     """The request is another process's now: drop it without a message to its client or its workers."""
     for attempt in request.attempts:
-        dispatcher.backend.drop(attempt)
+        dispatcher.backend.release_attempt(attempt)
     state.job_gone(dispatcher.decisions, request.number)
     request.exchange.answered = True
     request.open_attempts = 0
@@ -102,7 +102,7 @@
         request.attempts.append(attempt)
         if not attempt.ended:
             request.open_attempts += 1
-            dispatcher.backend.go_on(attempt, attempt_fields["left"])
+            dispatcher.backend.resume_attempt(attempt, attempt_fields["left"])
     dispatcher.enter(request)
     dispatcher.act(state.job_in(dispatcher.decisions, request.number, request_class, fields["job"], now))
 
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -27,7 +27,7 @@
     reader = dispatcher.worker_list.reader
     return messages.Offer(
         version=rules.VERSION,
-        endpoint_list=dispatcher.worker_list.as_told(dispatcher.backend.places()),
+        endpoint_list=dispatcher.worker_list.as_told(dispatcher.backend.addresses()),
         zones=reader.zones,
         machine_types=reader.kinds,
         descriptors_in_use=dispatcher.descriptors.used,
