--- a/badgerroad/hot_restart/attempt_reports.py
+++ b/badgerroad/hot_restart/attempt_reports.py
@@ -9,6 +9,7 @@
 from badgerroad.hot_restart import messages
 from badgerroad.hot_restart.peers import PeerProcess
 from badgerroad.load_balancing import state
+from badgerroad.process_messages import Message
 
 
 class AttemptReports:
@@ -40,7 +41,7 @@
         self._send(peers, messages.AttemptEnded(self.key(attempt.request, attempt.number)))
 
     @staticmethod
-    def _send(peers: list[PeerProcess], message: messages.Message) -> None:
+    def _send(peers: list[PeerProcess], message: Message) -> None:
         for peer in peers:
             peer.send(message)
 
--- a/badgerroad/hot_restart/messages.py
+++ b/badgerroad/hot_restart/messages.py
@@ -1,37 +1,16 @@
-"""The messages between the two processes of an upgrade, and their form in the packets of `net.framing`.
+"""The messages between the two processes of an upgrade.
 
-Each class is one message; `kind` is its name in the packet. Its `to_head` and `from_head` are the only places where the
-names of the packet's fields appear. `from_head` raises KeyError, TypeError, ValueError or AttributeError on a packet
-that is no such message; the channel closes then. Request ids are bytes here and latin-1 text in a packet.
-
-Dataclasses rather than msgspec structs: nothing else of a dispatcher without an operator's file imports msgspec.
+The form that all messages have is described in `badgerroad.process_messages`.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any, ClassVar, Protocol, Self
+from typing import Any, ClassVar, Self
 
 from badgerroad.net.framing import BadPacketError
-
-Head = dict[str, Any]
-
-
-class Message(Protocol):
-    """What can be sent."""
-
-    kind: ClassVar[str]
-
-    def to_head(self) -> Head:
-        """The fields of the packet, in the order in which they are written."""
-
-
-def _to_text(request_id: bytes) -> str:
-    return request_id.decode("latin-1")
-
-
-def _to_id(text: str) -> bytes:
-    return text.encode("latin-1")
+from badgerroad.process_messages import Head, JobEvent, id_from_text, id_to_text
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +28,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls(head["version"], head["name"], head["listen"])
 
 
@@ -76,7 +55,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module. Only the version has to be there."""
+        """See `Message`. Only the version has to be there."""
         return cls(head["version"], head.get("known"), head.get("zones"), head.get("kinds"), head.get("held"))
 
 
@@ -92,7 +71,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls()
 
 
@@ -107,13 +86,13 @@
 
     def to_head(self) -> Head:
         """See `Message`."""
-        open_requests = [_to_text(request_id) for request_id in self.open_requests]
+        open_requests = [id_to_text(request_id) for request_id in self.open_requests]
         return {"state": self.state, "attempts": self.attempts, "open": open_requests}
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
-        return cls(head["state"], head["attempts"], [_to_id(text) for text in head["open"]])
+        """See `Message`."""
+        return cls(head["state"], head["attempts"], [id_from_text(text) for text in head["open"]])
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +107,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls()
 
 
@@ -147,7 +126,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         connection = {name: value for name, value in head.items() if name not in ("job", "body", "kind")}
         return cls(connection, head["job"], head["body"])
 
@@ -167,31 +146,11 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         host, port = head["address"][0], head["address"][1]
         return cls(str(head["host"]), (str(host), int(port)), int(head["idle"]))
 
 
-@dataclass(frozen=True, slots=True)
-class JobEvent:
-    """A worker's event about an attempt that is not known where it arrived."""
-
-    kind: ClassVar[str] = "call back"
-    request_id: bytes
-    worker: str
-    state: str
-    item: dict[str, Any]  # the event's object as the worker sent it
-
-    def to_head(self) -> Head:
-        """See `Message`."""
-        return {"id": _to_text(self.request_id), "host": self.worker, "state": self.state, "item": self.item}
-
-    @classmethod
-    def from_head(cls, head: Head) -> Self:
-        """See the module."""
-        return cls(_to_id(head["id"]), head["host"], head["state"], head["item"])
-
-
 @dataclass(frozen=True, slots=True)
 class AttemptSent:
     """An attempt goes out. Its key is unique among the processes of a dispatcher."""
@@ -215,7 +174,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls(head["attempt"], head["host"], float(head["slots"]), bool(head["long"]), float(head["work"]))
 
 
@@ -232,7 +191,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls(head["attempt"])
 
 
@@ -249,7 +208,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls(head["attempt"])
 
 
@@ -262,12 +221,12 @@
 
     def to_head(self) -> Head:
         """See `Message`."""
-        return {"id": _to_text(self.request_id)}
+        return {"id": id_to_text(self.request_id)}
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
-        return cls(_to_id(head["id"]))
+        """See `Message`."""
+        return cls(id_from_text(head["id"]))
 
 
 @dataclass(frozen=True, slots=True)
@@ -283,7 +242,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls(head["on"])
 
 
@@ -300,7 +259,7 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See the module."""
+        """See `Message`."""
         return cls(int(head["held"]))
 
 
@@ -320,9 +279,9 @@
     | Superseded
     | DescriptorsInUse
 )
-_TYPES: dict[str, type[AnyMessage]] = {
-    message.kind: message
-    for message in (
+_TYPES: Mapping[str, type[AnyMessage]] = {
+    message_type.kind: message_type
+    for message_type in (
         Hello,
         Offer,
         Claim,
@@ -342,7 +301,7 @@
 
 
 def decode(kind: str, head: Head) -> AnyMessage:
-    """The message in a packet's head. Raises BadPacketError on a kind that is none, else see the module."""
+    """The message in a packet's head. Raises KeyError, TypeError, ValueError, AttributeError or BadPacketError."""
     message_type = _TYPES.get(kind)
     if message_type is None:
         raise BadPacketError(f"no such kind of message: {kind}")
--- a/badgerroad/hot_restart/peers.py
+++ b/badgerroad/hot_restart/peers.py
@@ -8,12 +8,13 @@
 import socket
 from collections.abc import Callable
 
-from badgerroad.hot_restart import messages, rules
+from badgerroad.hot_restart import rules
 from badgerroad.hot_restart.rules import PredecessorState, SuccessorState
 from badgerroad.load_balancing import state
 from badgerroad.load_balancing.policy import DispatchPolicy
 from badgerroad.net.timer_wheel import Timer, TimerWheel
 from badgerroad.net.unix_channel import OnMessage, UnixChannel
+from badgerroad.process_messages import Message
 
 Report = Callable[[rules.Event], None]  # gives an event to the state machine that a peer belongs to
 
@@ -39,11 +40,11 @@
         self.open_requests: set[bytes] = set()  # ids that it had when this process accepted first
         self._reply_timer: Timer | None = None
 
-    def send(self, message: messages.Message, descriptor: int | None = None) -> None:
+    def send(self, message: Message, descriptor: int | None = None) -> None:
         """Queue a message. `descriptor` must stay open until it is sent."""
         self.channel.send(message.kind, message.to_head(), descriptor)
 
-    def try_send(self, message: messages.Message, payload: bytes, descriptor: int) -> bool:
+    def try_send(self, message: Message, payload: bytes, descriptor: int) -> bool:
         """Send now or not at all; what is not sent stays the caller's."""
         return self.channel.try_send(message.kind, message.to_head(), payload, descriptor)
 
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -26,6 +26,7 @@
 from badgerroad.net.framing import BadPacketError
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.net.unix_channel import UnixSocketPath
+from badgerroad.process_messages import JobEvent
 from badgerroad.requests import OpenRequest
 
 log = logs.get("badgerroad")
@@ -199,7 +200,7 @@
         """A message about attempts, which the third process of a chain needs too."""
         now = self._dispatcher.clock.now()
         match message:
-            case messages.JobEvent(request_id, worker, state, item):
+            case JobEvent(request_id, worker, state, item):
                 if self._dispatcher.backend.handle_job_event(request_id, worker, state, item):
                     return
                 self._unmatched.retain(message, now)
@@ -240,7 +241,7 @@
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
         """A job event for an attempt that is not known here: another process has it, or it is on its way here."""
-        event = messages.JobEvent(request_id, host, state, item)
+        event = JobEvent(request_id, host, state, item)
         sharing = self.peers.sharing()
         if sharing:
             self._unmatched.retain(event, self._dispatcher.clock.now())
--- a/badgerroad/hot_restart/unmatched_job_events.py
+++ b/badgerroad/hot_restart/unmatched_job_events.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from badgerroad.hot_restart.messages import JobEvent
+from badgerroad.process_messages import JobEvent
 
 # A request is on its way for milliseconds, but the process that receives it may be busy.
 RETENTION_US = 2_000_000
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -1,166 +1,120 @@
-"""One server process: its links to the supervisor and to the others, and the call-backs passed between them."""
+"""One server process: its channels to the supervisor and to the others, and the job events passed between them."""
 
 from __future__ import annotations
 
 import asyncio
 import os
 import socket
-from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any, NamedTuple
+from collections.abc import Callable
+from typing import Any
 
-from badgerroad.config import BadConfig, Config, parse, read, reread
+from badgerroad.config import BadConfig
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.extension import DispatcherExtension
 from badgerroad.multiprocess import messages
+from badgerroad.multiprocess.startup import StartParameters, config_from
 from badgerroad.net import framing, logs
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.net.unix_channel import UnixChannel
 from badgerroad.operator_limits import limit
-
-if TYPE_CHECKING:
-    from badgerroad.operator.schema import Operator
+from badgerroad.process_messages import JobEvent, Message
 
 log = logs.get("badgerroad")
 
-TELL = 200_000  # microseconds between two times that the figures are told: they may be 0.5 s old
-LEAST_SOCKETS = 64  # a server process with fewer could hold no client besides what it needs itself
-# Descriptors of the supervisor: standard streams, the loop's own, the address, its callers'; and a link for
-# each server process.
-KEPT = 32
-
-
-class Part(NamedTuple):
-    """Which of how many."""
-
-    number: int
-    size: int
-
-    def of(self, config: Config) -> Config:
-        """Its own part of the fleet, of the descriptors, of what a cold worker bears. Raises BadConfig."""
-        s = config.settings
-        sockets = (config.sockets - KEPT - self.size) // self.size
-        if sockets < LEAST_SOCKETS:
-            raise BadConfig(f"limits.sockets: {config.sockets} are too few for {self.size} workers: {sockets} each")
-        return config._replace(
-            ops=None,
-            sockets=sockets,
-            seed=config.seed + (self.number << 64),
-            settings=s._replace(
-                dispatcher_count=s.dispatcher_count * self.size,
-                dispatcher_index=s.dispatcher_index * self.size + self.number,
-            ),
-        )
-
-
-class Joined(NamedTuple):
-    """What a process that the supervisor has started is given before anything else."""
-
-    part: Part
-    sock: socket.socket
-    config: Config
-    operator: Operator | None
-
-    @classmethod
-    def with_(cls, environment: Mapping[str, str]) -> Joined:
-        """Waits for it. Raises BadConfig, also where there is no supervisor."""
-        try:
-            number, size, descriptor = map(int, environment[messages.VARIABLE].split("/"))
-            sock = socket.socket(fileno=descriptor)
-            reader, message = framing.Reader(), None
-            while message is None:
-                packet = sock.recv(framing.RECEIVE_BYTES)
-                if not packet:
-                    raise BadConfig(f"{messages.VARIABLE}: the supervisor has gone")
-                message = reader.read(packet)
-        except (ValueError, OSError, framing.BadPacketError) as e:
-            raise BadConfig(f"{messages.VARIABLE}: no supervisor: {e}") from e
-        part, head = Part(number, size), message[1]
-        return cls(part, sock, config_of(head, part, environment, None), messages.heard(head["operator"]))
-
-
-def config_of(head: dict[str, Any], part: Part, environment: Mapping[str, str], present: Config | None) -> Config:
-    """The configuration that the supervisor has told, as this server process's part of it. Raises BadConfig."""
-    environment = {**environment, "PROXY_LISTEN": head["listen"]}
-    data = parse(head["text"].encode(), environment.get("PROXY_CONFIG", ""))
-    if head["reread"]:
-        environment.pop("PROXY_DISCOVERY", None)
-    return part.of(read(data, environment) if present is None else reread(data, environment, present))
+REPORT_INTERVAL_US = 200_000  # between two reports of metrics, which may be 0.5 s old
 
 
 class ServerProcess(DispatcherExtension):
-    def __init__(self, joined: Joined, dispatcher: Dispatcher, wheel: TimerWheel, stop: Callable[[], None]) -> None:
+    """This process's part in a group of server processes, as an extension of its dispatcher."""
+
+    def __init__(
+        self, parameters: StartParameters, dispatcher: Dispatcher, wheel: TimerWheel, stop: Callable[[], None]
+    ) -> None:
         """`stop`: what a SIGTERM does; also the end of the supervisor, which must leave no orphans."""
-        self.part, self.dispatcher, self.wheel = joined.part, dispatcher, wheel
-        self.peers: dict[int, UnixChannel] = {}
-        self.closed = False
-        self.go = asyncio.Event()  # it may listen
-        self.supervisor = UnixChannel(joined.sock, self._told, stop)
+        self.index = parameters.process_index
+        self.may_listen = asyncio.Event()
+        self.peers: dict[int, UnixChannel] = {}  # by the number of the other server process
+        self._dispatcher = dispatcher
+        self._wheel = wheel
+        self._closed = False
+        self._supervisor = UnixChannel(parameters.sock, self._on_supervisor_message, stop)
         dispatcher.set_extension("multiprocess", self)
-        self.supervisor.send(messages.HERE, {"pid": os.getpid()})
-        self._tell()
-
-    def listens(self) -> None:
-        self.supervisor.send(messages.LISTENS, {})
-
-    def _tell(self) -> None:
-        if not self.closed:
-            d = self.dispatcher
-            self.supervisor.send(messages.FIGURES, {"figures": d.figures(), "taking": d.taking})
-            self.wheel.after(TELL, self._tell)
-
-    def _told(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
-        if kind == messages.PEER and descriptor is not None:
-            number = int(head["number"])
-            if number in self.peers:
-                self.peers.pop(number).close()
-            link = UnixChannel(
-                socket.socket(fileno=descriptor), self._told_by_peer, lambda: self._cut_off(number, link)
-            )
-            self.peers[number] = link
-        elif kind == messages.GO and descriptor is None:
-            self.go.set()
-        elif kind == messages.CONFIG and descriptor is None:
-            try:
-                config = config_of(head, self.part, os.environ, self.dispatcher.config)
-            except BadConfig as e:  # the supervisor has read it before; what is left is this server process's part
-                log.error("reload failed; the old configuration stays in force", **e.fields)
-                return
-            operator = messages.heard(head["operator"])
-            if operator is not None:
-                logs.configure(operator.log, process=self.part.number)
-            self.dispatcher.reload(config)
-            limit(self.dispatcher, operator)
-        else:
+        self._send(messages.Started(os.getpid()))
+        self._report_metrics()
+
+    def report_listening(self) -> None:
+        """Report to the supervisor that this process listens."""
+        self._send(messages.Listening())
+
+    def _send(self, message: Message) -> None:
+        self._supervisor.send(message.kind, message.to_head())
+
+    def _report_metrics(self) -> None:
+        if not self._closed:
+            self._send(messages.Metrics(self._dispatcher.figures(), self._dispatcher.taking))
+            self._wheel.after(REPORT_INTERVAL_US, self._report_metrics)
+
+    def _on_supervisor_message(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
+        message_type = messages.FROM_SUPERVISOR.get(kind)
+        takes_descriptor = message_type is messages.PeerChannel
+        if message_type is None or takes_descriptor != (descriptor is not None):
             if descriptor is not None:
                 os.close(descriptor)
-            raise framing.BadPacketError(f"a word not known here: {kind}")
-
-    def _cut_off(self, number: int, link: UnixChannel) -> None:
-        if self.peers.get(number) is link:
+            raise framing.BadPacketError(f"a message that is not expected: {kind}")
+        sock = None if descriptor is None else socket.socket(fileno=descriptor)
+        match message_type.from_head(head):
+            case messages.PeerChannel(number) if sock is not None:
+                self._connect_peer(number, sock)
+            case messages.PeersConnected():
+                self.may_listen.set()
+            case messages.Configuration() as configuration:
+                self._reload(configuration)
+
+    def _connect_peer(self, number: int, sock: socket.socket) -> None:
+        """A channel to another server process, in place of an earlier one to the same."""
+        if number in self.peers:
+            self.peers.pop(number).close()
+        channel = UnixChannel(sock, self._on_peer_message, lambda: self._on_peer_lost(number, channel))
+        self.peers[number] = channel
+
+    def _reload(self, configuration: messages.Configuration) -> None:
+        try:
+            config = config_from(configuration, self.index, os.environ, self._dispatcher.config)
+        except BadConfig as error:  # the supervisor has read it before; what is left is this server process's share
+            log.error("reload_failed", **error.fields)
+            return
+        operator = configuration.operator
+        if operator is not None:
+            logs.configure(operator.log, process=self.index.number)
+        self._dispatcher.reload(config)
+        limit(self._dispatcher, operator)
+
+    def _on_peer_lost(self, number: int, channel: UnixChannel) -> None:
+        if self.peers.get(number) is channel:
             del self.peers[number]
-            self.supervisor.send(messages.CUT_OFF, {"number": number})
+            self._send(messages.PeerLost(number))
 
-    def _told_by_peer(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
+    def _on_peer_message(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
         if descriptor is not None:
             os.close(descriptor)
-        if kind != messages.CALL_BACK:
-            raise framing.BadPacketError(f"a word not known here: {kind}")
-        # It has been to the process that it reached; if it is not known here either, another one holds the attempt, or
-        # none.
-        self.dispatcher.backend.handle_job_event(
-            head["id"].encode("latin-1"), head["host"], head["state"], head["item"]
-        )
+        if kind != JobEvent.kind:
+            raise framing.BadPacketError(f"a message that is not expected: {kind}")
+        # It has been to the process that it reached. If it is not known here either, another one has the attempt, or
+        # none: it is not passed on.
+        event = JobEvent.from_head(head)
+        self._dispatcher.backend.handle_job_event(event.request_id, event.worker, event.state, event.item)
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """A call-back for an attempt that is not known here."""
-        parts = framing.pack(
-            messages.CALL_BACK, {"id": request_id.decode("latin-1"), "host": host, "state": state, "item": item}
-        )
-        for link in list(self.peers.values()):
-            link.send_packed(parts)
+        """Pass a job event for an attempt that is not known here to all others."""
+        event = JobEvent(request_id, host, state, item)
+        packets = framing.pack(event.kind, event.to_head())
+        for channel in list(self.peers.values()):
+            channel.send_packed(packets)
 
     def close(self) -> None:
-        self.closed = True
-        peers, self.peers = self.peers, {}
-        for link in [self.supervisor, *peers.values()]:
-            link.close()
+        """Close all channels."""
+        self._closed = True
+        peers = self.peers
+        self.peers = {}
+        for channel in [self._supervisor, *peers.values()]:
+            channel.close()
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -1,7 +1,7 @@
-"""The process above the server processes: it does what `multiprocess.rules` says, and shows the sums of their figures.
+"""The process above the server processes: it performs what `multiprocess.rules` decides, and serves summed metrics.
 
-It reads and checks the configuration; the server processes get its text over their links, so all have the same
-one, those that start later too. It owns their processes, its ends of the links, and the address, bound and not
+It reads and checks the configuration; the server processes get its text over their channels, so that all have the same
+one, those that start later too. It owns their processes, its ends of the channels, and the address, bound and not
 listened on.
 """
 
@@ -12,7 +12,9 @@
 import signal
 import socket
 import sys
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from functools import partial
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from tornado.ioloop import IOLoop
 
@@ -20,52 +22,102 @@
 from badgerroad.config import BadConfig, Config, parse, reread, text_of
 from badgerroad.errors import CannotListen
 from badgerroad.multiprocess import messages, rules
-from badgerroad.multiprocess.figures import Sums
-from badgerroad.multiprocess.server_process import Part
+from badgerroad.multiprocess.metric_sums import MetricSums
+from badgerroad.multiprocess.startup import ProcessIndex
 from badgerroad.net import logs
-from badgerroad.net.connection import spawn
+from badgerroad.net.connection import Address, spawn
 from badgerroad.net.timer_wheel import Clock, Timer, TimerWheel
 from badgerroad.net.unix_channel import UnixChannel
+from badgerroad.process_messages import Message
 
 if TYPE_CHECKING:
+    from badgerroad.admin.listener import Listener
     from badgerroad.operator.schema import Operator
 
 log = logs.get("badgerroad")
 
+TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+
+
+class SupervisorOptions(NamedTuple):
+    """What the command line and its files say."""
+
+    size: int  # how many server processes
+    config: Config
+    text: bytes  # of the configuration file
+    operator: Operator | None
+    operator_file: str | None
+    verbose: bool
+
 
 class ProcessSlot:
-    """One server process's place: the process that has it now, and this side's end of its link."""
+    """One server process: the operating system's process that is it now, and this side's end of its channel."""
 
     def __init__(self) -> None:
+        """Nothing runs yet."""
         self.process: asyncio.subprocess.Process | None = None
-        self.link: UnixChannel | None = None
-        self.timer: Timer | None = None  # until its next word is overdue
-        self.here = self.taking = False
+        self.channel: UnixChannel | None = None
+        self.started = False
+        self.accepts_clients = False
+        self._message_timer: Timer | None = None
+
+    @property
+    def running(self) -> bool:
+        """Whether the process has been started and its end is not known."""
+        return self.process is not None and self.process.returncode is None
+
+    def send(self, message: Message) -> None:
+        """Queue a message, if there is a channel."""
+        if self.channel is not None:
+            self.channel.send(message.kind, message.to_head())
+
+    def send_socket(self, message: Message, sock: socket.socket) -> None:
+        """Queue a message with a socket, which is closed here then."""
+        if self.channel is None:
+            sock.close()
+        else:
+            self.channel.send_socket(message.kind, message.to_head(), sock)
+
+    def expect_message(self, wheel: TimerWheel, timeout_us: int, overdue: Callable[[], None]) -> None:
+        """Call `overdue` unless this is called again, or `reset`, within the time."""
+        if self._message_timer is not None:
+            self._message_timer.cancel()
+        self._message_timer = wheel.after(timeout_us, overdue, awaits_peer=True)
+
+    def reset(self) -> None:
+        """The process has ended."""
+        if self._message_timer is not None:
+            self._message_timer.cancel()
+        if self.channel is not None:
+            self.channel.close()
+        self.process = self.channel = None
+        self.started = self.accepts_clients = False
 
 
 class Supervisor:
-    def __init__(
-        self,
-        size: int,
-        config: Config,
-        text: bytes,
-        operator: Operator | None,
-        operator_file: str | None,
-        verbose: bool,
-        wheel: TimerWheel,
-    ) -> None:
-        self.config, self.text, self.wheel = config, text, wheel
-        self.operator, self.operator_file, self.verbose = operator, operator_file, verbose
-        self.group, self.sums = rules.ProcessGroup(size), Sums(size)
-        self.sums.know(c.name for c in config.settings.classes)
-        self.slots = [ProcessSlot() for _ in range(size)]
-        self.loaded = self.invalid = 0
-        self.listen = ""
-        self.code: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-
-    def hold(self) -> socket.socket:
-        """The address, bound: it is told to the server processes, whose own it is too, and if it is taken that is known
-        before any of them starts. Raises OSError."""
+    """Starts and ends the server processes, connects them to each other and has their configuration."""
+
+    def __init__(self, options: SupervisorOptions, wheel: TimerWheel) -> None:
+        """Nothing is bound or started until `bind` and `start`."""
+        self.options = options
+        self.config = options.config
+        self.slots = [ProcessSlot() for _ in range(options.size)]
+        self.listen = ""  # host and port, once bound
+        self.exit_code: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self._text = options.text
+        self._operator = options.operator
+        self._wheel = wheel
+        self._group = rules.ProcessGroup(options.size)
+        self._sums = MetricSums(options.size)
+        self._sums.add_classes(request_class.name for request_class in self.config.settings.classes)
+        self._reloads = 0
+        self._failed_reloads = 0
+
+    def bind(self) -> socket.socket:
+        """The address, bound: the server processes get it, and if it is taken that is known before any starts.
+
+        Raises OSError.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -77,174 +129,204 @@
         self.listen = "{}:{}".format(*sock.getsockname())
         return sock
 
-    def begin(self) -> None:
-        self._do(self.group.begin(self.wheel.clock.now()))
-
-    def _do(self, actions: list[rules.Action]) -> None:
-        for a in actions:
-            if isinstance(a, rules.Exit):
-                if not self.code.done():
-                    self.code.set_result(a.code)
-                continue
-            slot = self.slots[a.process]
-            if isinstance(a, rules.Start):
-                spawn(self._run(a.process, slot))
-            elif isinstance(a, rules.StartLater):
-                log.info("worker starts again", process=a.process, pause_ms=a.pause // 1000)
-                self.wheel.after(a.pause, lambda n=a.process: self._do(self.group.due(self.wheel.clock.now(), n)))  # type: ignore[misc]
-            elif slot.process is not None and slot.process.returncode is None:
-                if isinstance(a, rules.Kill):
-                    log.warning("worker is silent", process=a.process, pid=slot.process.pid)
-                    slot.process.kill()
-                else:
-                    slot.process.terminate()
-
-    async def _run(self, number: int, slot: ProcessSlot) -> None:
-        """One life of a server process's process."""
+    def start(self) -> None:
+        """Start all server processes."""
+        self._perform(self._group.start(self._now()))
+
+    def _now(self) -> int:
+        return self._wheel.clock.now()
+
+    def _perform(self, actions: list[rules.Action]) -> None:
+        for action in actions:
+            match action:
+                case rules.Exit(code):
+                    if not self.exit_code.done():
+                        self.exit_code.set_result(code)
+                case rules.Start(number):
+                    spawn(self._run(number))
+                case rules.StartLater(number, delay_us):
+                    log.info("server_process_restart_scheduled", process=number, delay_ms=delay_us // 1000)
+                    self._wheel.after(delay_us, partial(self._start_due, number))
+                case rules.Kill(number):
+                    self._kill(number)
+                case rules.Terminate(number):
+                    self._terminate(number)
+
+    def _start_due(self, number: int) -> None:
+        self._perform(self._group.start_due(self._now(), number))
+
+    def _kill(self, number: int) -> None:
+        slot = self.slots[number]
+        if slot.process is not None and slot.running:
+            log.warning("server_process_silent", process=number, pid=slot.process.pid)
+            slot.process.kill()
+
+    def _terminate(self, number: int) -> None:
+        slot = self.slots[number]
+        if slot.process is not None and slot.running:
+            slot.process.terminate()
+
+    async def _run(self, number: int) -> None:
+        """One run of a server process, from its start to its end."""
+        slot = self.slots[number]
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         code: int | None = None
         try:
-            environment = {k: v for k, v in os.environ.items() if k != "PROXY_OPS"}
-            environment[messages.VARIABLE] = f"{number}/{len(self.slots)}/{theirs.fileno()}"
-            link = slot.link = UnixChannel(ours, lambda *told: self._told(number, slot, *told), lambda: None)
-            link.send(messages.CONFIG, self._config())
-            self._await(number, slot, rules.START_TIME)
-            slot.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "badgerroad",
-                "serve",
-                *["--verbose"] * self.verbose,
-                env=environment,
-                pass_fds=[theirs.fileno()],
-            )
+            slot.channel = UnixChannel(ours, partial(self._on_message, number), lambda: None)
+            slot.send(self._configuration())
+            self._expect_message(number, rules.START_TIMEOUT_US)
+            process = slot.process = await self._spawn(number, theirs)
             theirs.close()
-            if self.group.ending:
-                slot.process.terminate()  # the word came while it was being started
-            code = await slot.process.wait()
-            log.info("worker ended", process=number, pid=slot.process.pid, code=code)
-        except OSError as e:
-            log.error("worker not started", process=number, why=str(e))
+            if self._group.terminating:
+                process.terminate()  # the signal arrived while it was being started
+            code = await process.wait()
+            log.info("server_process_ended", process=number, pid=process.pid, code=code)
+        except OSError as error:
+            log.error("server_process_start_failed", process=number, error=str(error))
         finally:
             theirs.close()
-            if slot.timer:
-                slot.timer.cancel()
-            if slot.link:
-                slot.link.close()
-            slot.process = slot.link = None
-            slot.here = slot.taking = False
-            self.sums.died(number)
-            self._do(self.group.ended(self.wheel.clock.now(), number, code))
-
-    def _await(self, number: int, slot: ProcessSlot, time: int) -> None:
-        if slot.timer:
-            slot.timer.cancel()
-        slot.timer = self.wheel.after(time, lambda: self._do(self.group.silent(number)), awaits_peer=True)
-
-    def _config(self) -> dict[str, Any]:
-        return {
-            "text": self.text.decode(),
-            "reread": self.loaded > 0,
-            "listen": self.listen,
-            "operator": messages.told(self.operator),
-        }
-
-    def _told(
-        self, number: int, slot: ProcessSlot, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None
-    ) -> None:
+            slot.reset()
+            self._sums.ended(number)
+            self._perform(self._group.ended(self._now(), number, code))
+
+    async def _spawn(self, number: int, sock: socket.socket) -> asyncio.subprocess.Process:
+        """Raises OSError."""
+        environment = {name: value for name, value in os.environ.items() if name != "PROXY_OPS"}
+        environment[messages.ENVIRONMENT_VARIABLE] = f"{number}/{len(self.slots)}/{sock.fileno()}"
+        return await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "badgerroad",
+            "serve",
+            *["--verbose"] * self.options.verbose,
+            env=environment,
+            pass_fds=[sock.fileno()],
+        )
+
+    def _expect_message(self, number: int, timeout_us: int) -> None:
+        self.slots[number].expect_message(
+            self._wheel, timeout_us, lambda: self._perform(self._group.message_overdue(number))
+        )
+
+    def _configuration(self) -> messages.Configuration:
+        return messages.Configuration(self._text.decode(), self._reloads > 0, self.listen, self._operator)
+
+    def _on_message(self, number: int, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
         if descriptor is not None:
             os.close(descriptor)
-        self._await(number, slot, rules.SILENCE)
-        if kind == messages.HERE:
-            log.info("worker started", process=number, pid=head["pid"])
-            slot.here = True
-            for other in range(len(self.slots)):
-                self._introduce(number, other)
-            if slot.link is not None:
-                slot.link.send(messages.GO, {})
-        elif kind == messages.LISTENS:
-            self.group.listens(number)
-        elif kind == messages.FIGURES:
-            self.sums.told(number, head["figures"])
-            slot.taking = bool(head["taking"])
-        elif kind == messages.CUT_OFF:
-            self._introduce(number, int(head["number"]))
-
-    def _introduce(self, one: int, two: int) -> None:
-        """A link between two server processes that are here. One that has one already replaces it by the new one."""
-        slots = self.slots[one], self.slots[two]
-        if one == two or not all(s.here and s.link is not None for s in slots):
-            return  # whoever comes next is introduced then
-        pair = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        for slot, number, sock in zip(slots, (two, one), pair, strict=False):
-            if slot.link is not None:
-                slot.link.send_socket(messages.PEER, {"number": number}, sock)
-
-    def reread(self) -> None:
-        """SIGHUP: checked here, whole, and then told to all that run; whoever starts later is told it at its start."""
+        self._expect_message(number, rules.MISSING_HEARTBEAT_US)
+        message_type = messages.FROM_SERVER_PROCESS.get(kind)
+        if message_type is None:
+            return
+        match message_type.from_head(head):
+            case messages.Started(pid):
+                self._on_started(number, pid)
+            case messages.Listening():
+                self._group.listening(number)
+            case messages.Metrics(metrics, accepts_clients):
+                self._sums.report(number, metrics)
+                self.slots[number].accepts_clients = accepts_clients
+            case messages.PeerLost(other):
+                self._connect(number, other)
+
+    def _on_started(self, number: int, pid: int) -> None:
+        log.info("server_process_started", process=number, pid=pid)
+        slot = self.slots[number]
+        slot.started = True
+        for other in range(len(self.slots)):
+            self._connect(number, other)
+        slot.send(messages.PeersConnected())
+
+    def _connect(self, one: int, other: int) -> None:
+        """Give two server processes that run a channel to each other, in place of an earlier one."""
+        slots = self.slots[one], self.slots[other]
+        if one == other or not all(slot.started and slot.channel is not None for slot in slots):
+            return  # whichever starts next is connected then
+        ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        for slot, peer, sock in zip(slots, (other, one), ends, strict=True):
+            slot.send_socket(messages.PeerChannel(peer), sock)
+
+    def reload(self) -> None:
+        """SIGHUP: the files are checked here, completely, and sent to all that run; others get them at their start."""
         try:
-            text, operator = text_of(os.environ), None
+            text = text_of(os.environ)
             config = reread(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ, self.config)
-            Part(0, len(self.slots)).of(config)
-            if self.operator_file is not None:
-                from badgerroad.operator.schema import load as load_operator
-
-                operator = load_operator(self.operator_file)
-        except BadConfig as e:
-            log.error("reload failed; the old configuration stays in force", **e.fields)
-            self.invalid += 1
+            ProcessIndex(0, len(self.slots)).share_of(config)
+            operator = _load_operator(self.options.operator_file)
+        except BadConfig as error:
+            log.error("reload_failed", **error.fields)
+            self._failed_reloads += 1
             return
-        self.config, self.text, self.operator = config, text, operator
-        self.loaded += 1
-        self.sums.know(c.name for c in config.settings.classes)
+        self.config, self._text, self._operator = config, text, operator
+        self._reloads += 1
+        self._sums.add_classes(request_class.name for request_class in config.settings.classes)
         if operator is not None:
             logs.configure(operator.log)
         for slot in self.slots:
-            if slot.link is not None:
-                slot.link.send(messages.CONFIG, self._config())
+            slot.send(self._configuration())
 
-    def term(self) -> None:
-        log.info("stopping: the workers answer what is owed")
-        self._do(self.group.term())
+    def terminate(self) -> None:
+        """SIGTERM: the server processes answer their open requests and exit."""
+        log.info("stopping")
+        self._perform(self._group.terminate())
 
     def ready(self) -> bool:
-        return not self.group.ending and any(slot.taking for slot in self.slots)
+        """Whether some server process accepts clients."""
+        return not self._group.terminating and any(slot.accepts_clients for slot in self.slots)
 
-    def figures(self) -> dict[str, Any]:
-        return {**self.sums.figures(), "conf_loaded": self.loaded, "conf_invalid": self.invalid}
+    def metrics(self) -> dict[str, Any]:
+        """The sums over all server processes."""
+        return {**self._sums.totals(), "conf_loaded": self._reloads, "conf_invalid": self._failed_reloads}
 
 
-async def supervise(
-    size: int, config: Config, text: bytes, operator: Operator | None, operator_file: str | None, verbose: bool
-) -> int:
-    """Until SIGTERM and the server processes' end; returns the exit code."""
-    wheel = TimerWheel(Clock(), IOLoop.current())
-    supervisor, ops = Supervisor(size, config, text, operator, operator_file, verbose, wheel), None
+def _load_operator(path: str | None) -> Operator | None:
+    """Imports nothing of the operator's file where there is none. Raises BadConfig."""
+    if path is None:
+        return None
+    from badgerroad.operator.schema import load
+
+    return load(path)
+
+
+def _listen_for_admin(supervisor: Supervisor, wheel: TimerWheel, address: Address) -> Listener:
+    """The second address. Raises CannotListen."""
+    from badgerroad.admin.listener import Listener
+
+    listener = Listener(wheel, supervisor.ready, supervisor.metrics)
+    try:
+        listener.listen(address)
+    except OSError as error:
+        raise CannotListen("ops", address, error) from error
+    return listener
+
+
+def _handle_signals(supervisor: Supervisor) -> None:
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, supervisor.term)
-    loop.add_signal_handler(signal.SIGHUP, supervisor.reread)
+    for number in TERMINATION_SIGNALS:
+        loop.add_signal_handler(number, supervisor.terminate)
+    loop.add_signal_handler(signal.SIGHUP, supervisor.reload)
     for _ in range(startup_signals.hups):
-        loop.call_soon(supervisor.reread)
-    held: socket.socket | None = None
-    what, address = "ops", config.ops
+        loop.call_soon(supervisor.reload)
+
+
+async def supervise(options: SupervisorOptions) -> int:
+    """Until SIGTERM and the server processes' end; returns the exit code. Raises CannotListen."""
+    config = options.config
+    wheel = TimerWheel(Clock(), IOLoop.current())
+    supervisor = Supervisor(options, wheel)
+    _handle_signals(supervisor)
+    admin = None if config.ops is None else _listen_for_admin(supervisor, wheel, config.ops)
     try:
-        if config.ops is not None:
-            from badgerroad.admin.listener import Listener
-
-            ops = Listener(wheel, supervisor.ready, supervisor.figures)
-            ops.listen(config.ops)
-        what, address = "listen", config.listen
-        held = supervisor.hold()
-    except OSError as e:
-        assert address is not None
-        raise CannotListen(what, address, e) from e
-    log.info("listening", name=config.name, address=supervisor.listen, workers=size)
-    supervisor.begin()
-    code = await supervisor.code
-    signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
-    if ops is not None:
-        ops.close()
-    held.close()
+        bound = supervisor.bind()
+    except OSError as error:
+        raise CannotListen("listen", config.listen, error) from error
+    with bound:
+        log.info("listening", name=config.name, address=supervisor.listen, server_processes=options.size)
+        supervisor.start()
+        code = await supervisor.exit_code
+        # A signal that arrives while the loop ends must not turn the exit into a crash.
+        signal.pthread_sigmask(signal.SIG_BLOCK, (*TERMINATION_SIGNALS, signal.SIGHUP))
+        if admin is not None:
+            admin.close()
     log.info("stopped")
     return code
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -24,7 +24,8 @@
     from badgerroad.admin.listener import Listener
     from badgerroad.fleet.extension import QuotaExtension
     from badgerroad.hot_restart.process import HotRestart
-    from badgerroad.multiprocess.server_process import Joined, ServerProcess
+    from badgerroad.multiprocess.server_process import ServerProcess
+    from badgerroad.multiprocess.startup import StartParameters
 
 log = logs.get("badgerroad")
 
@@ -70,7 +71,7 @@
     return joining.join(dispatcher, operator.fleet, operator_file or OPERATORS_FILE)
 
 
-async def serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None = None) -> int:
+async def serve(config: Config, operator: Any, operator_file: str | None, joined: StartParameters | None = None) -> int:
     """The exit code."""
     return await _to_its_end(_serve(config, operator, operator_file, joined))
 
@@ -83,7 +84,7 @@
         return CANNOT_LISTEN
 
 
-async def _serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None) -> int:
+async def _serve(config: Config, operator: Any, operator_file: str | None, joined: StartParameters | None) -> int:
     """Raises CannotListen."""
     wheel = TimerWheel(Clock(), IOLoop.current())
     dispatcher, ops = assemble(config, wheel, counted=joined is not None)
@@ -162,7 +163,7 @@
         hot_restart = HotRestart(dispatcher, wheel, os.environ.get("TMPDIR") or "/tmp")
     if process is not None:
         await asyncio.wait(
-            [asyncio.ensure_future(process.go.wait()), asyncio.ensure_future(done.wait())],
+            [asyncio.ensure_future(process.may_listen.wait()), asyncio.ensure_future(done.wait())],
             return_when=asyncio.FIRST_COMPLETED,
         )
         if done.is_set():
@@ -179,7 +180,7 @@
         discovery=f"{config.discovery[0]}:{config.discovery[1]}",
     )
     if process is not None:
-        process.listens()
+        process.report_listening()
     await done.wait()
     # The loop's end restores what signals do by themselves: one that comes then must not turn the exit into a crash.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
@@ -198,7 +199,7 @@
 
 def main(check_only: bool, operator_file: str | None, verbose: bool, workers: int = 1) -> int:
     operator: Any = None
-    joined: Joined | None = None
+    joined: StartParameters | None = None
     text = b""
     try:
         if operator_file is not None:
@@ -207,16 +208,16 @@
 
             operator = load_operator(operator_file)
         if PROCESS_VARIABLE in os.environ:
-            from badgerroad.multiprocess.server_process import Joined
+            from badgerroad.multiprocess.startup import StartParameters
 
-            joined = Joined.with_(os.environ)
+            joined = StartParameters.receive(os.environ)
             config, operator = joined.config, joined.operator
         elif workers > 1:
-            from badgerroad.multiprocess.server_process import Part
+            from badgerroad.multiprocess.startup import ProcessIndex
 
             text = text_of(os.environ)
             config = read(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
-            Part(0, workers).of(config)  # is there enough for each?
+            ProcessIndex(0, workers).share_of(config)  # is there enough for each?
         else:
             config = load(os.environ)
         check_fleet(config, operator, operator_file)
@@ -235,12 +236,13 @@
         return OK
     choice = operator.log if operator is not None else logs.LogSettings()
     if joined is not None:
-        logs.configure(choice, debug=verbose, process=joined.part.number)
+        logs.configure(choice, debug=verbose, process=joined.process_index.number)
     else:
         logs.configure(choice, debug=verbose)
     gc.freeze()  # what start-up made stays: the collector need not look at it again
     if workers > 1 and joined is None:
-        from badgerroad.multiprocess.supervisor import supervise
+        from badgerroad.multiprocess.supervisor import SupervisorOptions, supervise
 
-        return asyncio.run(_to_its_end(supervise(workers, config, text, operator, operator_file, verbose)))
+        options = SupervisorOptions(workers, config, text, operator, operator_file, verbose)
+        return asyncio.run(_to_its_end(supervise(options)))
     return asyncio.run(serve(config, operator, operator_file, joined))
--- a/tests/compatibility/test_recorded_messages.py
+++ b/tests/compatibility/test_recorded_messages.py
@@ -10,6 +10,7 @@
 import pytest
 
 from badgerroad.hot_restart import messages as hot_restart_messages
+from badgerroad.multiprocess import messages as multiprocess_messages
 from badgerroad.net import framing
 
 DATA = Path(__file__).parent / "data"
@@ -68,6 +69,20 @@
     assert framing.one(message.kind, message.to_head(), payload) == packet
 
 
+MULTIPROCESS_MESSAGES = {
+    **multiprocess_messages.FROM_SUPERVISOR,
+    **multiprocess_messages.FROM_SERVER_PROCESS,
+    **multiprocess_messages.BETWEEN_SERVER_PROCESSES,
+}
+
+
+@pytest.mark.parametrize("packet", recorded("multiprocess"))
+def test_a_recorded_message_of_server_processes_is_decoded_and_encoded_as_the_same_bytes(packet):
+    kind, head, payload = framing.Reader().read(packet)
+    message = MULTIPROCESS_MESSAGES[kind].from_head(head)
+    assert framing.one(message.kind, message.to_head(), payload) == packet
+
+
 def test_a_long_head_is_sent_in_the_parts_that_the_version_before_wrote():
     head = {"text": "x" * 70_000}
     encoded = json.dumps({**head, "kind": "config"}, separators=(",", ":")).encode()
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -15,9 +15,10 @@
 
 from badgerroad.config import BadConfig, read
 from badgerroad.multiprocess import rules
-from badgerroad.multiprocess.figures import Sums
-from badgerroad.multiprocess.server_process import Joined, Part, ServerProcess
-from badgerroad.multiprocess.supervisor import Supervisor
+from badgerroad.multiprocess.metric_sums import MetricSums
+from badgerroad.multiprocess.server_process import ServerProcess
+from badgerroad.multiprocess.startup import ProcessIndex, StartParameters
+from badgerroad.multiprocess.supervisor import Supervisor, SupervisorOptions
 from badgerroad.net.unix_channel import UnixChannel
 from tests.support.loopback import CLASS, SETTINGS, World, async_test, serve, until
 from tests.support.service import Service
@@ -43,54 +44,54 @@
             if isinstance(a, rules.Start):
                 assert a.process not in running
                 assert not exits
-                assert not multiprocess.ending
+                assert not multiprocess.terminating
                 running.add(a.process)
             elif isinstance(a, rules.StartLater):
                 assert a.process not in running
-                assert 0 <= a.pause <= rules.LONGEST_PAUSE
-                waiting[a.process] = a.pause
+                assert 0 <= a.delay_us <= rules.MAX_BACKOFF_US
+                waiting[a.process] = a.delay_us
             elif isinstance(a, rules.Exit):
                 exits.append(a.code)
             else:
-                assert a.process in running  # End or Kill
-                told.update([a.process] if isinstance(a, rules.End) else [])
+                assert a.process in running  # Terminate or Kill
+                told.update([a.process] if isinstance(a, rules.Terminate) else [])
 
-    do(multiprocess.begin(now))
+    do(multiprocess.start(now))
     assert running == {0, 1, 2}
     for step, n in [*steps, *[("due", n) for n in range(3)], ("term", 0), *[("ended 0", n) for n in range(3)]]:
         if step == "pass":
             now += 4_000_000 * n
         elif step == "term":
-            do(multiprocess.term())
-            assert multiprocess.ending
+            do(multiprocess.terminate())
+            assert multiprocess.terminating
             assert told >= running
         elif step == "due" and waiting.pop(n, None) is not None:
-            do(multiprocess.due(now, n))
-            assert multiprocess.ending or n in running
+            do(multiprocess.start_due(now, n))
+            assert multiprocess.terminating or n in running
         elif step == "listens" and n in running:
-            multiprocess.listens(n)
+            multiprocess.listening(n)
         elif step == "silent":
-            do(multiprocess.silent(n))
+            do(multiprocess.message_overdue(n))
         elif step.startswith("ended") and n in running:
             running.remove(n)
             do(multiprocess.ended(now, n, int(step[6:])))
-            assert multiprocess.ending or n in waiting
+            assert multiprocess.terminating or n in waiting
     assert len(exits) == 1
     assert not running
 
 
 def test_deaths_at_the_start_are_spaced_and_a_configuration_that_never_worked_ends_all():
     multiprocess, pauses = rules.ProcessGroup(1), []
-    multiprocess.begin(0)
-    multiprocess.listens(0)
+    multiprocess.start(0)
+    multiprocess.listening(0)
     for _ in range(8):
-        pauses += [later.pause for later in multiprocess.ended(0, 0, 1)]
-        multiprocess.due(0, 0)
+        pauses += [later.delay_us for later in multiprocess.ended(0, 0, 1)]
+        multiprocess.start_due(0, 0)
     assert pauses == [100_000 << n for n in range(6)] + [5_000_000] * 2
-    assert multiprocess.ended(rules.STEADY, 0, -9) == [rules.StartLater(0, 0)]  # it had lived
+    assert multiprocess.ended(rules.STABLE_RUN_US, 0, -9) == [rules.StartLater(0, 0)]  # it had lived
     fresh = rules.ProcessGroup(2)
-    fresh.begin(0)
-    assert fresh.ended(0, 1, 2) == [rules.End(0)]
+    fresh.start(0)
+    assert fresh.ended(0, 1, 2) == [rules.Terminate(0)]
     assert fresh.ended(0, 0, -15) == [rules.Exit(2)]
 
 
@@ -107,13 +108,13 @@
             **more,
         }
 
-    sums = Sums(2)
-    sums.know(["a", "b"])
+    sums = MetricSums(2)
+    sums.add_classes(["a", "b"])
     for process, n in ((0, 5), (1, 5), (0, 6)):
-        sums.told(process, told(n))
-    sums.died(0)
-    sums.told(0, told(1, answered={"a": 1, "c": 4}))
-    assert sums.figures() == {
+        sums.report(process, told(n))
+    sums.ended(0)
+    sums.report(0, told(1, answered={"a": 1, "c": 4}))
+    assert sums.totals() == {
         "answered": {"a": 12, "b": 0, "c": 4},
         "deferred": {"a": 0, "b": 0},
         "errored": {"a": 3, "b": 0},
@@ -126,14 +127,14 @@
 
 def test_server_processes_share_out_fleet_and_descriptors():
     config = read({**DATA, "ops": "127.0.0.1:3"}, {})
-    parts = [Part(n, 4).of(config) for n in range(4)]
+    parts = [ProcessIndex(n, 4).share_of(config) for n in range(4)]
     assert [(p.settings.dispatcher_count, p.settings.dispatcher_index, p.ops) for p in parts] == [
         (12, 4 + n, None) for n in range(4)
     ]
     assert sum(p.sockets for p in parts) <= config.sockets - 36
     assert len({p.seed for p in parts}) == 4
     with pytest.raises(BadConfig, match="limits.sockets"):
-        Part(0, 8).of(config)
+        ProcessIndex(0, 8).share_of(config)
 
 
 class ProcessGroup(Service):
@@ -163,7 +164,9 @@
 
     async def pids(self, count):
         """Of the server processes, the latest of each."""
-        fields = [dict(f.split("=") for f in ln.split()[4:]) for ln in await self.lines("worker started", count)]
+        fields = [
+            dict(f.split("=") for f in ln.split()[3:]) for ln in await self.lines("server_process_started", count)
+        ]
         return {int(f["process"]): int(f["pid"]) for f in fields}
 
     async def figures(self):
@@ -225,9 +228,9 @@
         good = json.loads((tmp_path / "c.json").read_text())
         (tmp_path / "c.json").write_text("{")
         s.supervisor.send_signal(signal.SIGHUP)
-        assert "c.json" in (await s.lines("reload failed", 1))[0]
+        assert "c.json" in (await s.lines("reload_failed", 1))[0]
         os.kill((await s.pids(3))[2], signal.SIGKILL)
-        await s.lines("worker ended", 1)
+        await s.lines("server_process_ended", 1)
         (tmp_path / "o.toml").write_text("[log]\nformat = 'json'\n")
         good["settings"]["requestClasses"].append({**CLASS, "name": "other"})
         (tmp_path / "c.json").write_text(json.dumps(good))
@@ -255,23 +258,25 @@
 async def test_server_processes_that_lose_their_link_to_each_other_get_a_new_one():
     async with World(serve, ops=True) as w:
         d = w.dispatcher
-        supervisor = Supervisor(2, d.config, b"", None, None, False, d.wheel)
+        supervisor = Supervisor(SupervisorOptions(2, d.config, b"", None, None, False), d.wheel)
         got, ends = [], [socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET) for _ in range(2)]
         for n, slot in enumerate(supervisor.slots):
-            slot.here, slot.link = (
+            slot.started, slot.channel = (
                 True,
-                UnixChannel(ends[n][0], lambda *told: supervisor._told(0, supervisor.slots[0], *told), lambda: None),
+                UnixChannel(ends[n][0], lambda *message: supervisor._on_message(0, *message), lambda: None),
             )
-        process = ServerProcess(Joined(Part(0, 2), ends[0][1], d.config, None), d, d.wheel, lambda: None)
+        process = ServerProcess(
+            StartParameters(ProcessIndex(0, 2), ends[0][1], d.config, None), d, d.wheel, lambda: None
+        )
         other = UnixChannel(
             ends[1][1], lambda kind, head, payload, fd: got.append(socket.socket(fileno=fd)), lambda: None
         )
-        await until(lambda: got and process.peers and process.go.is_set())
+        await until(lambda: got and process.peers and process.may_listen.is_set())
         process.peers[1].close()
         await until(lambda: len(got) == 2 and process.peers)
         process.unknown_job_event(b"r9", "h0", "done", {})
         assert b'"id":"r9"' in got[1].recv(999)
-        for link in (process, other, *(slot.link for slot in supervisor.slots)):
+        for link in (process, other, *(slot.channel for slot in supervisor.slots)):
             link.close()
 
 
