--- a/badgerroad/hot_restart/actions.py
+++ b/badgerroad/hot_restart/actions.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from badgerroad.discovery.reader import BadList
+from badgerroad.discovery.reader import EndpointListError
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.hot_restart import messages, rules, snapshot
 from badgerroad.hot_restart.attempt_reports import AttemptReports
@@ -122,7 +122,7 @@
             self.address.set_exception(error)
             return
         self.address.set_result(address)
-        dispatcher.begin(dispatcher.config.known)
+        dispatcher.start_discovery(dispatcher.config.cached_endpoints)
         self._announce()
 
     def _adopt_listener(self) -> None:
@@ -132,15 +132,15 @@
         self.address.set_result(dispatcher.frontend.adopt_listener(self.received_listener, accept=False))
         try:
             self._use_offer(self._received_offer)
-        except (KeyError, TypeError, ValueError, BadList) as error:
+        except (KeyError, TypeError, ValueError, EndpointListError) as error:
             log.warning("hot_restart_offer_invalid", error=f"{type(error).__name__}: {error}")
-            dispatcher.begin(dispatcher.config.known)
+            dispatcher.start_discovery(dispatcher.config.cached_endpoints)
 
     def _use_offer(self, offer: messages.Offer) -> None:
-        """Raises KeyError, TypeError, ValueError or BadList if it cannot be read."""
+        """Raises KeyError, TypeError, ValueError or EndpointListError if it cannot be read."""
         self._descriptors.leave_to_peer(int(_present(offer, "descriptors_in_use")))
-        self._dispatcher.count_as(_present(offer, "zones"), _present(offer, "machine_types"))
-        self._dispatcher.begin(_present(offer, "endpoint_list"))
+        self._dispatcher.adopt_name_indices(_present(offer, "zones"), _present(offer, "machine_types"))
+        self._dispatcher.start_discovery(_present(offer, "endpoint_list"))
 
     def _accept(self) -> None:
         self._dispatcher.frontend.start_accepting()
--- a/badgerroad/hot_restart/connection_transfer.py
+++ b/badgerroad/hot_restart/connection_transfer.py
@@ -69,7 +69,7 @@
             return False
         if exchange is None:
             return recipient.try_send(messages.ClientConnection(connection, None, 0), data, descriptor)
-        request = self._dispatcher.requests.get(exchange.number)
+        request = self._dispatcher.open_requests.get(exchange.number)
         if request is None or not request_transfer.can_move(request):
             return False
         copy, body = request_transfer.copy(self._dispatcher, request)
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -41,7 +41,7 @@
 
     def __init__(self, dispatcher: Dispatcher, wheel: TimerWheel, folder: str) -> None:
         """`folder`: of the Unix sockets. Nothing happens until `begin`."""
-        self._dispatcher = dispatcher
+        self.dispatcher = dispatcher
         self._wheel = wheel
         host, port = dispatcher.config.listen
         self.socket_path = UnixSocketPath(folder, f"badgerroad-{host}-{port}.sock")
@@ -75,9 +75,7 @@
         """Find out whether there is another process; returns where this one listens. Raises OSError."""
         sock = self.socket_path.connect()
         if sock is not None:
-            self.peers.older = PeerProcess(
-                sock, self._on_older_message, self._on_older_lost, self._dispatcher.decisions
-            )
+            self.peers.older = PeerProcess(sock, self._on_older_message, self._on_older_lost, self.dispatcher.decisions)
         self._handle_as_successor(Event.NO_PEER_FOUND if sock is None else Event.PEER_FOUND)
         address = await self._actions.address
         if self.peers.successor.state is SuccessorState.PREPARING:
@@ -110,7 +108,7 @@
         """Until discovery has answered or failed."""
         if self.peers.successor.state is not SuccessorState.PREPARING:
             return
-        if self._dispatcher.ready:
+        if self.dispatcher.ready:
             self._handle_as_successor(Event.PREPARED)
         else:
             self._wheel.after(PREPARED_CHECK_INTERVAL_US, self._check_prepared)
@@ -126,8 +124,8 @@
         if peers.newer is not None:
             sock.close()  # one at a time; another one listens by itself
             return
-        peers.predecessor = rules.Predecessor(terminating=self._dispatcher.frontend.draining)
-        peers.newer = PeerProcess(sock, self._on_newer_message, self._on_newer_lost, self._dispatcher.decisions)
+        peers.predecessor = rules.Predecessor(terminating=self.dispatcher.frontend.draining)
+        peers.newer = PeerProcess(sock, self._on_newer_message, self._on_newer_lost, self.dispatcher.decisions)
         peers.newer.expect_message(self._wheel, rules.HELLO_TIMEOUT_US, self._handle_as_predecessor)
 
     # Messages.
@@ -149,7 +147,7 @@
         message = messages.decode(kind, head)
         match message:
             case messages.Hello():
-                if not snapshot.is_same_dispatcher(self._dispatcher, message):
+                if not snapshot.is_same_dispatcher(self.dispatcher, message):
                     raise BadPacketError("another dispatcher, or another version")
                 self._handle_as_predecessor(Event.HELLO)
             case messages.Return():
@@ -173,7 +171,7 @@
             case messages.Claim():
                 report(Event.CLAIM)
             case messages.Grant():
-                snapshot.restore(self._dispatcher, message, sender)
+                snapshot.restore(self.dispatcher, message, sender)
                 self.peers.open_requests |= sender.open_requests
                 report(Event.GRANT)
             case messages.DescriptorsInUse(descriptors):
@@ -198,10 +196,10 @@
 
     def _on_attempt_message(self, message: messages.AnyMessage, sender: PeerProcess) -> None:
         """A message about attempts, which the third process of a chain needs too."""
-        now = self._dispatcher.clock.now()
+        now = self.dispatcher.clock.now()
         match message:
             case JobEvent(request_id, worker, state, item):
-                if self._dispatcher.backend.handle_job_event(request_id, worker, state, item):
+                if self.dispatcher.backend.handle_job_event(request_id, worker, state, item):
                     return
                 self._unmatched.retain(message, now)
             case messages.AttemptSent():
@@ -244,7 +242,7 @@
         event = JobEvent(request_id, host, state, item)
         sharing = self.peers.sharing()
         if sharing:
-            self._unmatched.retain(event, self._dispatcher.clock.now())
+            self._unmatched.retain(event, self.dispatcher.clock.now())
         for peer in sharing:
             peer.send(event)
 
--- a/badgerroad/hot_restart/request_transfer.py
+++ b/badgerroad/hot_restart/request_transfer.py
@@ -83,7 +83,7 @@
     request.open_attempts = 0
     if dispatcher.counts:
         dispatcher.counts.current -= 1
-    dispatcher.settle(request)
+    dispatcher.release_if_finished(request)
 
 
 def restore(dispatcher: Dispatcher, fields: dict[str, Any], body: bytes, connection: ClientConnection) -> None:
@@ -92,7 +92,7 @@
     exchange = connection.exchange = Exchange(connection)
     order = _order(fields, body, now)
     request_class = state.class_of(fields["cls"])
-    request = OpenRequest(dispatcher.next_number(), order, exchange, request_class, now + fields["begun"])
+    request = OpenRequest(dispatcher.next_request_number(), order, exchange, request_class, now + fields["begun"])
     exchange.number = request.number
     request.work_hint = fields["hint"]
     request.slots = fields["slots"]
@@ -103,8 +103,8 @@
         if not attempt.ended:
             request.open_attempts += 1
             dispatcher.backend.resume_attempt(attempt, attempt_fields["left"])
-    dispatcher.enter(request)
-    dispatcher.act(state.job_in(dispatcher.decisions, request.number, request_class, fields["job"], now))
+    dispatcher.register_request(request)
+    dispatcher.perform_actions(state.job_in(dispatcher.decisions, request.number, request_class, fields["job"], now))
 
 
 def _order(fields: dict[str, Any], body: bytes, now: int) -> ForwardedRequest:
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -24,12 +24,12 @@
 
 def offer(dispatcher: Dispatcher) -> messages.Offer:
     """The endpoint list, the numbers of zones and machine types in it, and the descriptors in use."""
-    reader = dispatcher.worker_list.reader
+    reader = dispatcher.endpoint_watch.reader
     return messages.Offer(
         version=rules.VERSION,
-        endpoint_list=dispatcher.worker_list.as_told(dispatcher.backend.addresses()),
+        endpoint_list=dispatcher.endpoint_watch.to_wire(dispatcher.backend.addresses()),
         zones=reader.zones,
-        machine_types=reader.kinds,
+        machine_types=reader.machine_types,
         descriptors_in_use=dispatcher.descriptors.used,
     )
 
@@ -40,7 +40,7 @@
     return messages.Grant(
         state=state.copy_out(dispatcher.decisions) if with_state else None,
         attempts=attempts,
-        open_requests=list({*dispatcher.by_id, *open_elsewhere}),
+        open_requests=list({*dispatcher.requests_by_id, *open_elsewhere}),
     )
 
 
@@ -52,4 +52,4 @@
         sender.attempts.sent(attempt, worker, float(slots), bool(long), (0, 0.0))
         if started:
             sender.attempts.started(attempt)
-    sender.open_requests = set(message.open_requests) - dispatcher.by_id.keys()
+    sender.open_requests = set(message.open_requests) - dispatcher.requests_by_id.keys()
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from badgerroad.config import BadConfig
+from badgerroad.config import ConfigError
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.extension import DispatcherExtension
 from badgerroad.multiprocess import messages
@@ -51,7 +51,7 @@
 
     def _report_metrics(self) -> None:
         if not self._closed:
-            self._send(messages.Metrics(self._dispatcher.figures(), self._dispatcher.taking))
+            self._send(messages.Metrics(self._dispatcher.metrics(), self._dispatcher.accepts_clients))
             self._wheel.after(REPORT_INTERVAL_US, self._report_metrics)
 
     def _on_supervisor_message(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
@@ -80,7 +80,7 @@
     def _reload(self, configuration: messages.Configuration) -> None:
         try:
             config = config_from(configuration, self.index, os.environ, self._dispatcher.config)
-        except BadConfig as error:  # the supervisor has read it before; what is left is this server process's share
+        except ConfigError as error:  # the supervisor has read it before; what is left is this server process's share
             log.error("reload_failed", **error.fields)
             return
         operator = configuration.operator
--- a/badgerroad/multiprocess/startup.py
+++ b/badgerroad/multiprocess/startup.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
-from badgerroad.config import BadConfig, Config, parse, read, reread
+from badgerroad.config import Config, ConfigError, parse, read, reread
 from badgerroad.multiprocess import messages
 from badgerroad.net import framing
 from badgerroad.process_messages import Head
@@ -30,15 +30,17 @@
     def share_of(self, config: Config) -> Config:
         """This process's share of the fleet, of the descriptors, and of what a worker that is warming up bears.
 
-        Raises BadConfig if there are too few descriptors for all.
+        Raises ConfigError if there are too few descriptors for all.
         """
         settings = config.settings
-        sockets = (config.sockets - SUPERVISOR_DESCRIPTORS - self.size) // self.size
+        sockets = (config.max_sockets - SUPERVISOR_DESCRIPTORS - self.size) // self.size
         if sockets < MIN_SOCKETS:
-            raise BadConfig(f"limits.sockets: {config.sockets} are too few for {self.size} workers: {sockets} each")
+            raise ConfigError(
+                f"limits.sockets: {config.max_sockets} are too few for {self.size} workers: {sockets} each"
+            )
         return config._replace(
-            ops=None,
-            sockets=sockets,
+            admin=None,
+            max_sockets=sockets,
             seed=config.seed + (self.number << SEED_SHIFT),
             settings=settings._replace(
                 dispatcher_count=settings.dispatcher_count * self.size,
@@ -57,26 +59,26 @@
 
     @classmethod
     def receive(cls, environment: Mapping[str, str]) -> StartParameters:
-        """Wait for the supervisor's first message. Raises BadConfig, also where there is no supervisor."""
+        """Wait for the supervisor's first message. Raises ConfigError, also where there is no supervisor."""
         try:
             number, size, descriptor = map(int, environment[messages.ENVIRONMENT_VARIABLE].split("/"))
             sock = socket.socket(fileno=descriptor)
             head = _receive_head(sock)
         except (ValueError, OSError, framing.BadPacketError) as error:
-            raise BadConfig(f"{messages.ENVIRONMENT_VARIABLE}: no supervisor: {error}") from error
+            raise ConfigError(f"{messages.ENVIRONMENT_VARIABLE}: no supervisor: {error}") from error
         index = ProcessIndex(number, size)
         configuration = messages.Configuration.from_head(head)
         return cls(index, sock, config_from(configuration, index, environment, None), configuration.operator)
 
 
 def _receive_head(sock: socket.socket) -> Head:
-    """Raises OSError or BadPacketError, and BadConfig if the supervisor has gone."""
+    """Raises OSError or BadPacketError, and ConfigError if the supervisor has gone."""
     reader = framing.Reader()
     message = None
     while message is None:
         data = sock.recv(framing.RECEIVE_BYTES)
         if not data:
-            raise BadConfig(f"{messages.ENVIRONMENT_VARIABLE}: the supervisor has gone")
+            raise ConfigError(f"{messages.ENVIRONMENT_VARIABLE}: the supervisor has gone")
         message = reader.read(data)
     return message.head
 
@@ -86,7 +88,7 @@
 ) -> Config:
     """A server process's share of the configuration that the supervisor sent.
 
-    `present`: what is in force, None at the start. Raises BadConfig.
+    `present`: what is in force, None at the start. Raises ConfigError.
     """
     variables = {**environment, "PROXY_LISTEN": configuration.listen}
     data = parse(configuration.text.encode(), variables.get("PROXY_CONFIG", ""))
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -19,8 +19,8 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad import startup_signals
-from badgerroad.config import BadConfig, Config, parse, reread, text_of
-from badgerroad.errors import CannotListen
+from badgerroad.config import Config, ConfigError, parse, reread, text_of
+from badgerroad.errors import ListenError
 from badgerroad.multiprocess import messages, rules
 from badgerroad.multiprocess.metric_sums import MetricSums
 from badgerroad.multiprocess.startup import ProcessIndex
@@ -253,7 +253,7 @@
             config = reread(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ, self.config)
             ProcessIndex(0, len(self.slots)).share_of(config)
             operator = _load_operator(self.options.operator_file)
-        except BadConfig as error:
+        except ConfigError as error:
             log.error("reload_failed", **error.fields)
             self._failed_reloads += 1
             return
@@ -280,7 +280,7 @@
 
 
 def _load_operator(path: str | None) -> Operator | None:
-    """Imports nothing of the operator's file where there is none. Raises BadConfig."""
+    """Imports nothing of the operator's file where there is none. Raises ConfigError."""
     if path is None:
         return None
     from badgerroad.operator.schema import load
@@ -289,14 +289,14 @@
 
 
 def _listen_for_admin(supervisor: Supervisor, wheel: TimerWheel, address: Address) -> Listener:
-    """The second address. Raises CannotListen."""
+    """The second address. Raises ListenError."""
     from badgerroad.admin.listener import Listener
 
     listener = Listener(wheel, supervisor.ready, supervisor.metrics)
     try:
         listener.listen(address)
     except OSError as error:
-        raise CannotListen("ops", address, error) from error
+        raise ListenError("ops", address, error) from error
     return listener
 
 
@@ -305,21 +305,21 @@
     for number in TERMINATION_SIGNALS:
         loop.add_signal_handler(number, supervisor.terminate)
     loop.add_signal_handler(signal.SIGHUP, supervisor.reload)
-    for _ in range(startup_signals.hups):
+    for _ in range(startup_signals.reload_count):
         loop.call_soon(supervisor.reload)
 
 
 async def supervise(options: SupervisorOptions) -> int:
-    """Until SIGTERM and the server processes' end; returns the exit code. Raises CannotListen."""
+    """Until SIGTERM and the server processes' end; returns the exit code. Raises ListenError."""
     config = options.config
     wheel = TimerWheel(Clock(), IOLoop.current())
     supervisor = Supervisor(options, wheel)
     _handle_signals(supervisor)
-    admin = None if config.ops is None else _listen_for_admin(supervisor, wheel, config.ops)
+    admin = None if config.admin is None else _listen_for_admin(supervisor, wheel, config.admin)
     try:
         bound = supervisor.bind()
     except OSError as error:
-        raise CannotListen("listen", config.listen, error) from error
+        raise ListenError("listen", config.listen, error) from error
     with bound:
         log.info("listening", name=config.name, address=supervisor.listen, server_processes=options.size)
         supervisor.start()
--- a/badgerroad/net/framing.py
+++ b/badgerroad/net/framing.py
@@ -9,7 +9,7 @@
 import json
 from typing import Any, NamedTuple
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 
 # A packet has to fit the socket's buffer, 208 KiB by default.
 PART_BYTES = 32 * 1024  # of a head that is sent in parts
@@ -20,7 +20,7 @@
 PART_KIND = "part"  # of a head too long for one packet; `more` is 0 in the last part
 
 
-class BadPacketError(Error):
+class BadPacketError(BadgerroadError):
     """The peer sent bytes that are no packet, or a message that is not expected."""
 
     code = "packet"
