--- a/badgerroad/hot_restart/peer.py
+++ b/badgerroad/hot_restart/peer.py
@@ -13,7 +13,7 @@
 class Peer:
     """The process at the other end of one link."""
 
-    def __init__(self, link: Link, attempts: state.Others) -> None:
+    def __init__(self, link: Link, attempts: state.PeerAttempts) -> None:
         self.link, self.attempts = link, attempts
         self.timer: Timer | None = None  # until its next word is overdue
         self.open: set[bytes] = set()  # the ids of requests that it had when this process took over
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -63,7 +63,7 @@
         if sock is not None:
             self.older = Peer(
                 Link(sock, self._told_by_older, lambda: self._as_successor(rules.LOST)),
-                state.Others(self.dispatcher.decisions),
+                state.PeerAttempts(self.dispatcher.decisions),
             )
         self._as_successor(rules.NOT_FOUND if sock is None else rules.FOUND)
         return await self.begun
@@ -199,7 +199,7 @@
         self.predecessor = rules.Predecessor(self.dispatcher.frontend.draining)
         self.newer = Peer(
             Link(sock, self._told_by_newer, lambda: self._as_predecessor(rules.LOST)),
-            state.Others(self.dispatcher.decisions),
+            state.PeerAttempts(self.dispatcher.decisions),
         )
         self.newer.wait(self.wheel, rules.ASK_TIME, self._as_predecessor)
 
--- a/badgerroad/load_balancing/hedging_budget.py
+++ b/badgerroad/load_balancing/hedging_budget.py
@@ -1,28 +1,33 @@
-"""How many second copies of jobs may be sent. Which job gets one, and where, is decided by the policy."""
+"""How many hedged requests may be sent. Which request is hedged, and where, is decided by the policy."""
 
-LEAST_RATE = 0.1
-"""Copies that each first attempt allows at least, however crowded the workers are."""
-MOST_SAVED = 4.0
-"""Copies saved up at most."""
-BLIND_SHARE = 0.1
-"""A job without a hint allows so many copies for each that another one allows."""
+MIN_TOKENS_PER_REQUEST = 0.1
+"""Hedged requests that each first attempt allows at least, however crowded the workers are."""
+MAX_TOKENS = 4.0
+"""Unused hedged requests that are saved up at most."""
+SHARE_WITHOUT_HINT = 0.1
+"""What a request without a work hint allows, as a part of what another one allows."""
 
 
-class CopyCredit:
-    """Each first attempt allows a part of a copy; a copy takes one whole.
+class HedgingBudget:
+    """A token bucket: each first attempt adds a part of a token; a hedged request takes a whole one.
 
-    Not every worker drops what is cancelled, which nothing tells: where most jobs wait, copies may be why, and are made
-    rarer.
+    Not every worker drops what is cancelled, and nothing reports it: where most requests wait, hedging may be the
+    cause, and is made rarer.
     """
 
     def __init__(self) -> None:
-        self.rate = 1.0  # copies that each first attempt allows
-        self.saved = MOST_SAVED  # copies allowed by now
+        """The bucket starts full."""
+        self.tokens_per_request = 1.0
+        self.tokens = MAX_TOKENS
 
-    def earn(self, blind: bool) -> None:
-        """A first attempt goes out; `blind`: its job came without a hint."""
-        self.saved = min(self.saved + self.rate * (BLIND_SHARE if blind else 1), MOST_SAVED)
+    def add_request(self, without_hint: bool) -> None:
+        """A first attempt goes out; `without_hint`: its request has no work hint."""
+        earned = self.tokens_per_request * (SHARE_WITHOUT_HINT if without_hint else 1)
+        self.tokens = min(self.tokens + earned, MAX_TOKENS)
 
     def adapt(self, crowded: bool) -> None:
-        """A job was looked at for a copy, while most jobs wait (crowded) or not."""
-        self.rate = max(self.rate * 0.8, LEAST_RATE) if crowded else min(self.rate + 0.02, 1.0)
+        """A request was considered for hedging while most requests wait (crowded) or not."""
+        if crowded:
+            self.tokens_per_request = max(self.tokens_per_request * 0.8, MIN_TOKENS_PER_REQUEST)
+        else:
+            self.tokens_per_request = min(self.tokens_per_request + 0.02, 1.0)
--- a/badgerroad/load_balancing/hint_statistics.py
+++ b/badgerroad/load_balancing/hint_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of cost hints and of clients' waits. They choose nothing."""
+"""Statistics of work hints and of clients' waits. They choose nothing."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,53 +7,57 @@
 
 LONG_SHARE = 0.03
 """The largest 3 percent of the hints seen are long, as in the LC* paper."""
-SAMPLE = 512
+SAMPLE_SIZE = 512
 """Hints kept for the cutoff."""
 RENEW_EVERY = 64
 """Cutoff and mean are computed anew after so many hints; after each of the first ones."""
 
 
 class HintStatistics:
-    """Cutoff between short and long, and mean, of the hints (microseconds) of the last jobs that a worker ran."""
+    """Cutoff between short and long, and mean, of the hints (microseconds) of the last requests that a worker ran."""
 
     def __init__(self, classes: tuple[interface.RequestClass, ...]) -> None:
-        """The mean of the classes' aims stands in until the first hint."""
-        self.sample: deque[int] = deque(maxlen=SAMPLE)
-        self.seen = 0
+        """The mean of the classes' latency objectives stands in until the first hint."""
+        self.sample: deque[int] = deque(maxlen=SAMPLE_SIZE)
+        self.count = 0
         self.cutoff = 0
-        self.mean = sum(cls.latency_objective for cls in classes) / max(len(classes), 1)
+        self.mean = sum(request_class.latency_objective for request_class in classes) / max(len(classes), 1)
 
     def add(self, hint: int) -> None:
+        """Count the hint of a request that a worker ran."""
         self.sample.append(hint)
-        if self.seen % RENEW_EVERY == 0 or self.seen < RENEW_EVERY:
+        if self.count % RENEW_EVERY == 0 or self.count < RENEW_EVERY:
             self.cutoff = sorted(self.sample)[int(len(self.sample) * (1 - LONG_SHARE))]
             self.mean = sum(self.sample) / len(self.sample)
-        self.seen += 1
+        self.count += 1
 
     def is_long(self, hint: int) -> bool:
+        """Is it beyond the cutoff? Never before the first hint."""
         return hint > self.cutoff > 0
 
 
 class ClientPatience:
-    """How long clients of each class wait in all, as their first tries show."""
+    """How long clients of each class wait in all, as their first tries show (microseconds)."""
 
     def __init__(self) -> None:
-        self.longest_of: dict[str, int] = {}
+        """Nothing is known of any class."""
+        self.longest_wait: dict[str, int] = {}
 
     def keep(self, class_names: Iterable[str]) -> None:
         """Forget all classes but these."""
         names = set(class_names)
-        self.longest_of = {name: longest for name, longest in self.longest_of.items() if name in names}
+        self.longest_wait = {name: longest for name, longest in self.longest_wait.items() if name in names}
 
-    def waited(self, request: interface.Request, cls: interface.RequestClass, marks_retry: bool) -> int:
-        """How long ago the first try of this request was: its aim counts from then.
+    def waited(self, request: interface.Request, request_class: interface.RequestClass, marks_retry: bool) -> int:
+        """How long ago the client first sent this request: its latency objective counts from then.
 
-        Where clients mark their repeats, a request without the mark has not waited.
+        Where clients mark their retries, a request without the mark has not waited.
         """
-        first = min(request.time_left, cls.deadline)
+        name = request_class.name
+        first = min(request.time_left, request_class.deadline)
         if not marks_retry:
-            first = max(self.longest_of.get(cls.name, 0), first)
+            first = max(self.longest_wait.get(name, 0), first)
         elif request.client_retry:
-            first = self.longest_of.get(cls.name, first)
-        self.longest_of[cls.name] = first
+            first = self.longest_wait.get(name, first)
+        self.longest_wait[name] = first
         return max(first - request.time_left, 0)
--- a/badgerroad/load_balancing/load_reports.py
+++ b/badgerroad/load_balancing/load_reports.py
@@ -1,13 +1,13 @@
-"""Reads the workers' load reports. Pure."""
+"""Reads the workers' load reports."""
 
 from . import interface
 
-FREE_SLOTS = "x0"
-"""The name under which a report tells free slots."""
+FREE_SLOTS_FIELD = "x0"
+"""The name under which a report gives free slots."""
 
 
-def free_slots(event: interface.AttemptEnded | interface.HealthCheckResult, names: tuple[str, ...]) -> float | None:
-    """The free slots that the event's report tells, by the names of its values in order; None: it tells none."""
-    if not event.load_report or FREE_SLOTS not in names:
+def free_slots(event: interface.AttemptEnded | interface.HealthCheckResult, fields: tuple[str, ...]) -> float | None:
+    """The free slots in the event's report, whose values have the names `fields` in order; None: it gives none."""
+    if not event.load_report or FREE_SLOTS_FIELD not in fields:
         return None
-    return event.load_report[names.index(FREE_SLOTS)]
+    return event.load_report[fields.index(FREE_SLOTS_FIELD)]
--- a/badgerroad/load_balancing/policy/__init__.py
+++ b/badgerroad/load_balancing/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions on workers: which one gets a job, whether it is tried again, what is refused (docs/design.md)."""
+"""The decisions on workers: which one gets a request, whether it is retried, what is rejected (docs/design.md)."""
 
 from .dispatch import DispatchPolicy
 
--- a/badgerroad/load_balancing/policy/retries.py
+++ b/badgerroad/load_balancing/policy/retries.py
@@ -1,32 +1,35 @@
 """Rule 2: what the class of a request allows after an attempt that may have run."""
 
 from .. import interface
-from ..jobs import Job
+from ..pending_requests import PendingRequest
 from ..workers import Worker
 
+IDEMPOTENT = interface.RetrySemantics.IDEMPOTENT
+IDEMPOTENCY_KEY = interface.RetrySemantics.IDEMPOTENCY_KEY
+NON_IDEMPOTENT = interface.RetrySemantics.NON_IDEMPOTENT
+SCOPE_ALL = interface.DeduplicationScope.ALL
+SCOPE_ZONE = interface.DeduplicationScope.ZONE
 
-def may_repeat(job: Job, worker: Worker | None, now: int) -> bool:
-    """May it run once more on the worker (None: on some worker)?"""
-    first, cls = job.maybe, job.cls
-    if first is None or cls.semantics == interface.RetrySemantics.IDEMPOTENT:
+
+def may_repeat(request: PendingRequest, worker: Worker | None, now: int) -> bool:
+    """May it run once more on the worker (None: on some worker) at `now` (microseconds)?"""
+    first = request.first_possibly_run
+    request_class = request.request_class
+    if first is None or request_class.semantics == IDEMPOTENT:
         return True
-    if cls.semantics == interface.RetrySemantics.NON_IDEMPOTENT or now >= first.sent + cls.deduplication_window:
+    if request_class.semantics == NON_IDEMPOTENT or now >= first.sent_at + request_class.deduplication_window:
         return False
-    if worker is None or cls.deduplication_scope == interface.DeduplicationScope.ALL:
+    scope = request_class.deduplication_scope
+    if worker is None or scope == SCOPE_ALL:
         return True
-    there, here = first.worker.info, worker.info
-    return (
-        here.zone == there.zone
-        if cls.deduplication_scope == interface.DeduplicationScope.ZONE
-        else here.cell == there.cell
-    )
+    if scope == SCOPE_ZONE:
+        return worker.info.zone == first.worker.info.zone
+    return worker.info.cell == first.worker.info.cell
 
 
-def may_refuse(job: Job) -> bool:
+def may_reject(request: PendingRequest) -> bool:
     """Is it harmless if the client asks again?"""
-    if job.maybe is None or job.cls.semantics == interface.RetrySemantics.IDEMPOTENT:
+    request_class = request.request_class
+    if request.first_possibly_run is None or request_class.semantics == IDEMPOTENT:
         return True
-    return (
-        job.cls.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY
-        and job.cls.deduplication_scope == interface.DeduplicationScope.ALL
-    )
+    return request_class.semantics == IDEMPOTENCY_KEY and request_class.deduplication_scope == SCOPE_ALL
--- a/badgerroad/load_balancing/state.py
+++ b/badgerroad/load_balancing/state.py
@@ -1,229 +1,387 @@
 """Copies the decisions' state out and in, for the operators' figures and for another process of the same dispatcher.
 
 Nothing is decided here. Times are microseconds of the clock that comes with the events; both processes read the same.
+The names and the order of values in what is copied belong to the messages between processes: they are mapped to the
+names of the decisions here and nowhere else.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable
+from dataclasses import dataclass
 from typing import Any
 
 from . import interface
-from .jobs import Attempt, Job
+from .pending_requests import Attempt, PendingRequest
 from .policy import DispatchPolicy
-from .workers import Kind, Worker
+from .workers import MachineType, Worker
+
+GONE = interface.WorkerState.GONE
+READY = interface.WorkerState.READY
 
 
 def avoided(decisions: DispatchPolicy, now: int) -> int:
-    """Workers in the list to which nothing is sent now: they drain, or are left alone after bad endings."""
+    """How many workers of the list are sent nothing now: they are draining, or ejected after faults."""
     return sum(
-        w.info.state != interface.WorkerState.GONE and (w.info.state != interface.WorkerState.READY or w.until > now)
-        for w in decisions.workers.values()
+        worker.info.state != GONE and (worker.info.state != READY or worker.ejected_until > now)
+        for worker in decisions.workers.values()
     )
 
 
-# The order in which the values of a kind and of a worker are told.
-_KIND = ("work", "took", "most", "slots", "tested")
-_WORKER = ("strikes", "until", "work", "took", "seen", "queue", "heard")
-_PACE = ("work", "took")
+# What has been learned.
 
 
 def copy_out(decisions: DispatchPolicy) -> dict[str, Any]:
-    """What has been learned, as JSON can hold it. Workers' names must be text. Attempts out are not part of it."""
-    d = decisions
+    """What has been learned, as JSON can hold it. Worker ids must be text. Attempts in flight are not part of it."""
+    hints = decisions.hints
+    estimates = decisions.estimates
+    shares = estimates.queueing_share
     return {
-        "patience": d.patience.longest_of,
-        "seen": d.hints.seen,
-        "cutoff": d.hints.cutoff,
-        "mean": d.hints.mean,
-        "soon": d.soon,
-        "runs": d.runs.mean_of,
-        "hints": list(d.hints.sample),
-        "busy": [d.queueing_share[False], d.queueing_share[True]],
-        "quota": [[tenant, left, at] for tenant, (left, at) in d.quota.buckets.items()],
+        "patience": decisions.client_patience.longest_wait,
+        "seen": hints.count,
+        "cutoff": hints.cutoff,
+        "mean": hints.mean,
+        "soon": estimates.fastest_start,
+        "runs": estimates.class_runs.mean_of,
+        "hints": list(hints.sample),
+        "busy": [shares[False], shares[True]],
+        "quota": [[tenant, tokens, at] for tenant, (tokens, at) in decisions.quota.buckets.items()],
         "kinds": [
-            [number, _values(kind, _KIND), [[ahead, took, at] for ahead, (took, at) in kind.delays.by_ahead.items()]]
-            for number, kind in d.kinds.items()
+            [number, _machine_type_values(machine_type), _start_delay_rows(machine_type)]
+            for number, machine_type in decisions.subsets.roster.machine_types.items()
         ],
         "workers": [
-            [w.id, w.info.started_at, _values(w, _WORKER), list(w.sent)]
-            for w in d.workers.values()
-            if w.seen or w.heard or w.strikes or w.sent
+            [worker.id, worker.info.started_at, _worker_values(worker), list(worker.slow_start_sends)]
+            for worker in decisions.workers.values()
+            if worker.last_run_at or worker.last_report_at or worker.consecutive_failures or worker.slow_start_sends
         ],
     }
 
 
-def _values(record: Kind | Worker, names: tuple[str, ...]) -> list[Any]:
-    return [getattr(record.pace if name in _PACE else record, name) for name in names]
+def _machine_type_values(machine_type: MachineType) -> list[Any]:
+    return [
+        machine_type.throughput.work,
+        machine_type.throughput.elapsed,
+        machine_type.max_slots_seen,
+        machine_type.slots,
+        machine_type.delayed_excess_sends,
+    ]
+
+
+def _start_delay_rows(machine_type: MachineType) -> list[list[Any]]:
+    by_in_flight = machine_type.start_delays.by_in_flight
+    return [[in_flight, delay, at] for in_flight, (delay, at) in by_in_flight.items()]
 
 
-def _set_values(record: Kind | Worker, values: dict[str, Any]) -> None:
-    for name, value in values.items():
-        setattr(record.pace if name in _PACE else record, name, value)
+def _worker_values(worker: Worker) -> list[Any]:
+    return [
+        worker.consecutive_failures,
+        worker.ejected_until,
+        worker.throughput.work,
+        worker.throughput.elapsed,
+        worker.last_run_at,
+        worker.queue_level,
+        worker.last_report_at,
+    ]
+
+
+@dataclass(frozen=True)
+class _MachineTypeState:
+    """What another process has learned of a machine type."""
+
+    number: int
+    work: float
+    elapsed: float
+    max_slots_seen: float
+    slots: float
+    delayed_excess_sends: int
+    start_delays: dict[int, tuple[float, int]]
+
+    @classmethod
+    def read(cls, row: list[Any]) -> _MachineTypeState:
+        """Raises TypeError or ValueError on another number of values."""
+        number, (work, elapsed, max_slots_seen, slots, delayed_excess_sends), delay_rows = row
+        delays = {int(in_flight): (float(delay), int(at)) for in_flight, delay, at in delay_rows}
+        return cls(int(number), work, elapsed, max_slots_seen, slots, delayed_excess_sends, delays)
+
+    def apply(self, machine_type: MachineType) -> None:
+        """Let it take the place of what is known."""
+        machine_type.throughput.work = self.work
+        machine_type.throughput.elapsed = self.elapsed
+        machine_type.max_slots_seen = self.max_slots_seen
+        machine_type.slots = self.slots
+        machine_type.delayed_excess_sends = self.delayed_excess_sends
+        machine_type.start_delays.by_in_flight = self.start_delays
+
+
+@dataclass(frozen=True)
+class _WorkerState:
+    """What another process has learned of one run of a worker."""
+
+    worker: interface.WorkerId
+    started_at: int
+    consecutive_failures: int
+    ejected_until: int
+    work: float
+    elapsed: float
+    last_run_at: int
+    queue_level: float
+    last_report_at: int
+    slow_start_sends: list[tuple[int, float]]
+
+    @classmethod
+    def read(cls, row: list[Any]) -> _WorkerState:
+        """Raises TypeError or ValueError on another number of values."""
+        worker, started_at, values, sends = row
+        consecutive_failures, ejected_until, work, elapsed, last_run_at, queue_level, last_report_at = values
+        return cls(
+            worker,
+            started_at,
+            consecutive_failures,
+            ejected_until,
+            work,
+            elapsed,
+            last_run_at,
+            queue_level,
+            last_report_at,
+            [(int(at), float(sent_work)) for at, sent_work in sends],
+        )
+
+    def apply(self, worker: Worker) -> None:
+        """Let it take the place of what is known; sends of the rolling window are added."""
+        worker.consecutive_failures = self.consecutive_failures
+        worker.ejected_until = self.ejected_until
+        worker.throughput.work = self.work
+        worker.throughput.elapsed = self.elapsed
+        worker.last_run_at = self.last_run_at
+        worker.queue_level = self.queue_level
+        worker.last_report_at = self.last_report_at
+        worker.slow_start_sends.extendleft(reversed(self.slow_start_sends))
 
 
 def copy_in(decisions: DispatchPolicy, state: dict[str, Any]) -> None:
-    """What another process of this dispatcher has learned takes the place of what this one has; of a worker, only if
-    it is the same run of it. Raises KeyError, TypeError or ValueError on what is no such state, with nothing done."""
-    d = decisions
-    patience, seen, cutoff, mean, soon = (state[name] for name in ("patience", "seen", "cutoff", "mean", "soon"))
-    runs = state.get("runs", d.runs.mean_of)  # not told by older versions
-    kinds = {
-        int(n): (dict(zip(_KIND, values, strict=True)), {int(a): (float(t), int(at)) for a, t, at in delays})
-        for n, values, delays in state["kinds"]
-    }
-    workers = {
-        (name, since): (dict(zip(_WORKER, values, strict=True)), [(int(at), float(work)) for at, work in sent])
-        for name, since, values, sent in state["workers"]
-    }
-    quota = {str(t): (float(left), int(at)) for t, left, at in state["quota"]}
-    hints, (home, away) = [int(h) for h in state["hints"]], state["busy"]
-    d.patience.longest_of, d.runs.mean_of, d.soon = patience, runs, soon
-    d.hints.seen, d.hints.cutoff, d.hints.mean = seen, cutoff, mean
-    d.hints.sample.extend(hints)
-    d.queueing_share, d.quota.buckets = {False: home, True: away}, quota
-    for n, (values, delays) in kinds.items():
-        kind = d.kinds.setdefault(n, Kind())
-        _set_values(kind, values)
-        kind.delays.by_ahead = delays
-    for w in d.workers.values():
-        values, sent = workers.get((w.id, w.info.started_at), ({}, []))
-        _set_values(w, values)
-        w.sent.extendleft(reversed(sent))
-    d.roster.pace.reset(d.fleet)
-
-
-class Others:
-    """The attempts that the other process has out. At their workers they count as own ones: in the tallies, as the long
-    job of which a worker has one, and in a cold worker's budget."""
+    """Let what another process of this dispatcher has learned take the place of what this one has.
+
+    Of a worker, only if it is the same run of it. Raises KeyError, TypeError or ValueError on what is no such state,
+    with nothing done.
+    """
+    hints = decisions.hints
+    estimates = decisions.estimates
+    patience, count, cutoff, mean, fastest_start = (
+        state[name] for name in ("patience", "seen", "cutoff", "mean", "soon")
+    )
+    class_runs = state.get("runs", estimates.class_runs.mean_of)  # older versions do not send it
+    machine_types = [_MachineTypeState.read(row) for row in state["kinds"]]
+    workers = [_WorkerState.read(row) for row in state["workers"]]
+    by_run = {(learned.worker, learned.started_at): learned for learned in workers}
+    quota = {str(tenant): (float(tokens), int(at)) for tenant, tokens, at in state["quota"]}
+    sample = [int(hint) for hint in state["hints"]]
+    local_share, remote_share = state["busy"]
+
+    decisions.client_patience.longest_wait = patience
+    decisions.quota.buckets = quota
+    estimates.class_runs.mean_of = class_runs
+    estimates.fastest_start = fastest_start
+    estimates.queueing_share = {False: local_share, True: remote_share}
+    hints.count = count
+    hints.cutoff = cutoff
+    hints.mean = mean
+    hints.sample.extend(sample)
+    roster = decisions.subsets.roster
+    for learned_of_type in machine_types:
+        learned_of_type.apply(roster.machine_types.setdefault(learned_of_type.number, MachineType()))
+    for worker in roster.workers.values():
+        learned = by_run.get((worker.id, worker.info.started_at))
+        if learned:
+            learned.apply(worker)
+    roster.capacity.reset(roster.ready)
+
+
+# Attempts of the other process.
+
+
+@dataclass
+class _PeerAttempt:
+    worker: Worker
+    slots: float
+    is_long: bool
+    started: bool = False
+
+
+class PeerAttempts:
+    """The attempts that the other process has in flight.
+
+    At their workers they count as own ones: in the slots in flight, as the long request of which a worker has one, and
+    in the slow start's budget.
+    """
 
     def __init__(self, decisions: DispatchPolicy) -> None:
+        """`decisions` knows the workers."""
         self._decisions = decisions
-        self._attempts: dict[Hashable, tuple[Worker, float, bool, bool]] = {}
+        self._attempts: dict[Hashable, _PeerAttempt] = {}
 
     def listed(self) -> list[Any]:
         """As `attempts_out` lists own ones."""
         return [
-            [attempt, worker.id, slots, long, started]
-            for attempt, (worker, slots, long, started) in self._attempts.items()
+            [key, attempt.worker.id, attempt.slots, attempt.is_long, attempt.started]
+            for key, attempt in self._attempts.items()
         ]
 
     def sent(
-        self, attempt: Hashable, worker: interface.WorkerId, slots: float, long: bool, spent: tuple[int, float]
+        self, key: Hashable, worker_id: interface.WorkerId, slots: float, is_long: bool, spent: tuple[int, float]
     ) -> None:
-        """`spent`: when, and the work, for a cold worker's budget; (0, 0.0) if that is counted already."""
-        w = self._decisions.workers.get(worker)
-        if w is None or attempt in self._attempts:
+        """Count an attempt.
+
+        `spent`: when, and the work, for the slow start's budget; (0, 0.0) if that is counted already.
+        """
+        worker = self._decisions.workers.get(worker_id)
+        if worker is None or key in self._attempts:
             return
-        self._attempts[attempt] = w, slots, long, False
-        w.count(slots, long)
-        if spent[0] and w.info.started_at:
-            w.sent.append(spent)
-
-    def started(self, attempt: Hashable) -> None:
-        w, slots, long, started = self._attempts.get(attempt, (None, 0.0, False, True))
-        if w is not None and not started:
-            self._attempts[attempt] = w, slots, long, True
-            w.running += slots
-
-    def over(self, attempt: Hashable) -> None:
-        w, slots, long, started = self._attempts.pop(attempt, (None, 0.0, False, False))
-        if w is not None:
-            w.uncount(slots, long, started)
+        self._attempts[key] = _PeerAttempt(worker, slots, is_long)
+        worker.add_attempt(slots, is_long)
+        if spent[0] and worker.info.started_at:
+            worker.slow_start_sends.append(spent)
+
+    def started(self, key: Hashable) -> None:
+        """The attempt has started at its worker."""
+        attempt = self._attempts.get(key)
+        if attempt is not None and not attempt.started:
+            attempt.started = True
+            attempt.worker.running_slots += attempt.slots
+
+    def over(self, key: Hashable) -> None:
+        """The attempt has ended."""
+        attempt = self._attempts.pop(key, None)
+        if attempt is not None:
+            attempt.worker.remove_attempt(attempt.slots, attempt.is_long, attempt.started)
 
     def clear(self) -> None:
-        for attempt in list(self._attempts):
-            self.over(attempt)
+        """All attempts have ended."""
+        for key in list(self._attempts):
+            self.over(key)
 
 
-def cost_of(decisions: DispatchPolicy, request: int) -> tuple[float, bool, float]:
-    """What an attempt of an open request weighs at its worker: slots, whether it is long, work."""
-    job = decisions.jobs[request]
-    return job.slots, job.long, float(max(job.hint, decisions.hints.mean))
+def cost_of(decisions: DispatchPolicy, request_number: int) -> tuple[float, bool, float]:
+    """What an attempt of an open request costs its worker: slots, whether it is long, work (microseconds)."""
+    request = decisions.requests[request_number]
+    return request.slots, request.is_long, float(max(request.expected_work, decisions.hints.mean))
 
 
-def attempts_out(decisions: DispatchPolicy, name: Callable[[int, int], str]) -> list[Any]:
-    """All attempts that are out: name, worker, slots, long, started."""
+def attempts_out(decisions: DispatchPolicy, key_of: Callable[[int, int], str]) -> list[Any]:
+    """All attempts in flight: key (by request and attempt number), worker, slots, long, started."""
     return [
-        [name(job.id, n), a.worker.id, job.slots, job.long, bool(a.started)]
-        for job in decisions.jobs.values()
-        for n, a in enumerate(job.attempts)
-        if not a.end
+        [key_of(request.id, number), attempt.worker.id, request.slots, request.is_long, bool(attempt.started_at)]
+        for request in decisions.requests.values()
+        for number, attempt in enumerate(request.attempts)
+        if not attempt.result
     ]
 
 
-# An open job, from one process to another. Times are told as differences from now.
-
-_JOB = ("hint", "slots", "long", "away", "believed")
+# An open request, from one process to another. Its times are differences from now.
 
 
 def class_of(values: list[Any]) -> interface.RequestClass:
-    """A class as JSON holds it: the job keeps the one that it was taken with."""
+    """A class as JSON holds it: the request keeps the one that it was accepted with."""
     return interface.RequestClass(*values)
 
 
-def job_out(decisions: DispatchPolicy, request: int, now: int) -> dict[str, Any]:
-    job = decisions.jobs[request]
-    attempts = [
-        [list(a.worker.info), a.sent - now, a.started and a.started - now, a.told - now, a.ahead, not a.end]
-        for a in job.attempts
-    ]
+def job_out(decisions: DispatchPolicy, request_number: int, now: int) -> dict[str, Any]:
+    """An open request and its attempts, as JSON can hold it."""
+    request = decisions.requests[request_number]
+    first = request.first_possibly_run
     return {
-        **{name: getattr(job, name) for name in _JOB},
-        "due": job.due - now,
-        "start_by": job.start_by - now,
-        "deadline": job.deadline - now,
-        "attempts": attempts,
-        "blind": job.blind,
-        "ends": [a.end for a in job.attempts],
-        "maybe": next((n for n, a in enumerate(job.attempts) if a is job.maybe), -1),
+        "hint": request.expected_work,
+        "slots": request.slots,
+        "long": request.is_long,
+        "away": request.prefers_remote,
+        "believed": request.work_confirmed,
+        "due": request.objective_deadline - now,
+        "start_by": request.latest_start - now,
+        "deadline": request.deadline - now,
+        "attempts": [_attempt_values(attempt, now) for attempt in request.attempts],
+        "blind": request.without_hint,
+        "ends": [attempt.result for attempt in request.attempts],
+        "maybe": next((number for number, attempt in enumerate(request.attempts) if attempt is first), -1),
     }
 
 
-def job_gone(decisions: DispatchPolicy, request: int) -> None:
-    """It is open elsewhere: off the tallies, without an action."""
-    job = decisions.jobs.get(request)
-    if job is None:
+def _attempt_values(attempt: Attempt, now: int) -> list[Any]:
+    return [
+        list(attempt.worker.info),
+        attempt.sent_at - now,
+        attempt.started_at and attempt.started_at - now,
+        attempt.last_report_at - now,
+        attempt.in_flight_before,
+        not attempt.result,
+    ]
+
+
+def job_gone(decisions: DispatchPolicy, request_number: int) -> None:
+    """The request is open elsewhere: its attempts count no longer, without an action."""
+    request = decisions.requests.get(request_number)
+    if request is None:
         return
-    for a in job.attempts:
-        if not a.end:
-            a.worker.uncount(job.slots, job.long, bool(a.started))
-            a.end = interface.AttemptResult.NOT_NEEDED
-    job.open = 0
-    decisions._finish(job)
+    for attempt in request.attempts:
+        if not attempt.result:
+            attempt.worker.remove_attempt(request.slots, request.is_long, bool(attempt.started_at))
+            attempt.result = interface.AttemptResult.NOT_NEEDED
+    request.attempts_in_flight = 0
+    decisions.withdraw(request)
 
 
 def job_in(
-    decisions: DispatchPolicy, request: int, cls: interface.RequestClass, told: dict[str, Any], now: int
+    decisions: DispatchPolicy,
+    request_number: int,
+    request_class: interface.RequestClass,
+    state: dict[str, Any],
+    now: int,
 ) -> list[interface.Action]:
-    """Goes on with it as if it had come here; returns what is to be done now."""
-    d, d.now = decisions, now
-    job = Job(interface.Request(request, slots=told["slots"]), cls, told["long"], now + told["deadline"], told["hint"])
-    for name in _JOB:
-        setattr(job, name, told[name])
-    job.blind = bool(told.get("blind", False))  # not told by older versions
-    job.due, job.start_by = now + told["due"], now + told["start_by"]
-    # An older version tells no ends: what is over may have run, but for what is told of the first that may have.
-    ends = told.get("ends") or ["" if a[-1] else interface.AttemptResult.CANCELLED for a in told["attempts"]]
-    for (info, sent, started, heard, ahead, _), end in zip(told["attempts"], ends, strict=True):
-        known = d.workers.get(info[0])
-        if known is None or known.info.started_at != info[2]:  # gone, or not that run of it: it only bears this attempt
-            where = interface.Endpoint(*info)._replace(state=interface.WorkerState.GONE)
-            known = Worker(where, d.kinds.setdefault(where.machine_type, Kind()))
-        a = Attempt(known, now + sent)
-        a.started, a.told, a.ahead, a.end = started and now + started, now + heard, ahead, str(end)
-        job.attempts.append(a)
-        job.made += end != interface.AttemptResult.NOT_SENT
-        if not a.end:
-            job.open += 1
-            known.count(job.slots, job.long)
-            known.running += job.slots if a.started else 0.0
-    job.maybe = job.attempts[told["maybe"]] if told["maybe"] >= 0 else None
-    d.jobs.add(job)
-    d._answer_by_deadline(job)
-    for a in job.attempts:
-        if not a.end and a.started:
-            d._watch(job, a)
-    if not job.open:
-        d._place_or_hold(job)
-    return d._take_actions()
+    """Go on with what `job_out` gave as if it had come here; return what is to be done now."""
+    event = interface.Request(request_number, slots=state["slots"])
+    request = PendingRequest(event, request_class, state["long"], now + state["deadline"], state["hint"])
+    request.prefers_remote = state["away"]
+    request.work_confirmed = state["believed"]
+    request.without_hint = bool(state.get("blind", False))  # older versions do not send it
+    request.objective_deadline = now + state["due"]
+    request.latest_start = now + state["start_by"]
+    for values, result in zip(state["attempts"], _results(state), strict=True):
+        _restore_attempt(decisions, request, values, result, now)
+    first = state["maybe"]
+    request.first_possibly_run = request.attempts[first] if first >= 0 else None
+    return decisions.resume(now, request)
+
+
+def _results(state: dict[str, Any]) -> list[str]:
+    """The results of the attempts, "" for those in flight.
+
+    An older version sends none: all attempts that have ended may have run, but for what it says of the first that may.
+    """
+    sent: list[str] = state.get("ends") or []
+    return sent or ["" if values[-1] else interface.AttemptResult.CANCELLED for values in state["attempts"]]
+
+
+def _restore_attempt(
+    decisions: DispatchPolicy, request: PendingRequest, values: list[Any], result: str, now: int
+) -> None:
+    info, sent, started, last_report, in_flight_before, _ = values
+    worker = _worker_of(decisions, interface.Endpoint(*info))
+    attempt = Attempt(worker, now + sent)
+    attempt.started_at = started and now + started
+    attempt.last_report_at = now + last_report
+    attempt.in_flight_before = in_flight_before
+    attempt.result = str(result)
+    request.attempts.append(attempt)
+    request.attempt_count += result != interface.AttemptResult.NOT_SENT
+    if not attempt.result:
+        request.attempts_in_flight += 1
+        worker.add_attempt(request.slots, request.is_long)
+        worker.running_slots += request.slots if attempt.started_at else 0.0
+
+
+def _worker_of(decisions: DispatchPolicy, info: interface.Endpoint) -> Worker:
+    """The same run of the worker; if it is gone, a record that is in no list."""
+    known = decisions.workers.get(info.worker)
+    if known is not None and known.info.started_at == info.started_at:
+        return known
+    machine_type = decisions.subsets.roster.machine_types.setdefault(info.machine_type, MachineType())
+    return Worker(info._replace(state=GONE), machine_type)
--- a/badgerroad/load_balancing/workers.py
+++ b/badgerroad/load_balancing/workers.py
@@ -1,89 +1,108 @@
-"""What is known of workers and their kinds. Records and statistics: the policy chooses."""
+"""What is known of workers and their machine types. Records and statistics: the policy chooses."""
 
 from collections import deque
 from zlib import crc32
 
 from . import interface
-from .run_statistics import FORGET, Pace, StartDelays
+from .run_statistics import FORGET_AFTER_US, StartDelays, Throughput
 
 RUN_FADE = 0.8
-"""What of the weight of a worker's older runs stays with each run."""
-FREE = 0.5
-"""Free slots, as a load report tells them, below which none is."""
+"""Part of the weight of a worker's older runs that stays with each run."""
+MIN_FREE_SLOTS = 0.5
+"""Free slots in a load report below which none is free."""
+READY = interface.WorkerState.READY
 
 
-class Kind:
-    """What has been learned of all workers of one kind."""
+class MachineType:
+    """What has been learned of all workers of one machine type."""
 
     def __init__(self) -> None:
-        self.pace = Pace()  # warm
-        self.most = 1.0  # slots ever seen, free or with own jobs
-        self.delays = StartDelays()
-        self.slots = 1.0  # most own slots seen running on one
-        self.tested = 0  # sends beyond that that waited
+        """Nothing is known yet: one slot at speed 1."""
+        self.throughput = Throughput()
+        """Of workers that are not warming up."""
+        self.max_slots_seen = 1.0
+        """Slots ever seen on one, free or with own requests."""
+        self.start_delays = StartDelays()
+        self.slots = 1.0
+        """Most own slots seen running on one."""
+        self.delayed_excess_sends = 0
+        """Sends beyond `slots` that had to wait."""
 
     def speed(self) -> float:
-        return self.pace.speed()
+        """Work per run time."""
+        return self.throughput.speed()
 
 
 class Worker:
-    """One run of a worker's process; old attempts count for the old one."""
+    """One run of a worker's process; attempts from before a restart count for the earlier run. Times: microseconds."""
 
-    def __init__(self, info: interface.Endpoint, kind: Kind, number: int = 0) -> None:
-        """`number`: of its id in the order in which ids were first listed."""
+    def __init__(self, info: interface.Endpoint, machine_type: MachineType, listing_number: int = 0) -> None:
+        """`listing_number`: of its id in the order in which ids were first listed."""
         self.info = info
         self.id = info.worker
-        self.kind = kind
-        self.size = 1.0  # its weight in draws
-        self.number = number
-        # In the order of the fleet: cells together, each in any order that is the same for all dispatchers.
-        self.place = crc32(repr(info.cell).encode()), crc32(repr(info.worker).encode()), number
-        self.start = crc32(repr((info.worker, info.started_at)).encode())  # this start, the same number everywhere
-        self.tally = 0.0  # slots of own jobs in flight
-        self.longs = 0  # own long jobs in flight
-        self.running = 0.0  # slots of own jobs that have started
-        self.pace = Pace()
-        self.seen = 0  # when an own run last ended
-        self.queue = 0.0  # how far from a free slot it was when last heard of; from 0, with one, to 1
-        self.heard = 0  # when that was
-        self.strikes = 0  # bad endings in a row
-        self.until = 0  # nothing is sent before this
-        self.sent: deque[tuple[int, float]] = deque()  # while cold: (time, work) in the rolling window
+        self.machine_type = machine_type
+        self.draw_weight = 1.0
+        self.listing_number = listing_number
+        self.sort_key = crc32(repr(info.cell).encode()), crc32(repr(info.worker).encode()), listing_number
+        """Its position in the fleet: cells together, each in any order that is the same for all dispatchers."""
+        self.start_hash = crc32(repr((info.worker, info.started_at)).encode())
+        """Stands for this start of it, the same number at each dispatcher."""
+        self.in_flight_slots = 0.0
+        """Slots of own requests in flight."""
+        self.long_in_flight = 0
+        """Own long requests in flight."""
+        self.running_slots = 0.0
+        """Slots of own requests that have started."""
+        self.throughput = Throughput()
+        self.last_run_at = 0
+        """When an own run last ended."""
+        self.queue_level = 0.0
+        """How far from a free slot it was at its last report; from 0, with one, to 1."""
+        self.last_report_at = 0
+        self.consecutive_failures = 0
+        self.ejected_until = 0
+        """Nothing is sent before this."""
+        self.slow_start_sends: deque[tuple[int, float]] = deque()
+        """While it is warming up: time and work of each send in the rolling window."""
 
     def is_ready(self) -> bool:
-        return self.info.state == interface.WorkerState.READY
+        """Does the endpoint list say so?"""
+        return self.info.state == READY
 
-    def count(self, slots: float, long: bool) -> None:
-        """An own attempt goes there."""
-        self.tally += slots
-        self.longs += long
+    def add_attempt(self, slots: float, is_long: bool) -> None:
+        """An own attempt is in flight there."""
+        self.in_flight_slots += slots
+        self.long_in_flight += is_long
 
-    def uncount(self, slots: float, long: bool, started: bool) -> None:
-        """An own attempt there is over."""
-        self.tally -= slots
-        self.longs -= long
-        self.running -= slots if started else 0.0
+    def remove_attempt(self, slots: float, is_long: bool, started: bool) -> None:
+        """An own attempt there has ended."""
+        self.in_flight_slots -= slots
+        self.long_in_flight -= is_long
+        self.running_slots -= slots if started else 0.0
 
     def speed(self, now: int, prior: float) -> float:
-        """Its own pace of late and, the less that says, its kind's, by which `prior` microseconds count."""
-        fade = max(1 - (now - self.seen) / FORGET, 0.0)
-        return self.pace.speed_beside(self.kind.pace, fade, prior)
-
-    def learn_run(self, work: float, took: float, now: int) -> None:
-        self.pace.add(work, took, RUN_FADE)
-        self.seen = now
-
-    def hear(self, queue: float, now: int) -> None:
-        self.queue = queue
-        self.heard = now
-
-    def learn_report(self, free: float, with_answer: bool, now: int) -> None:
-        """A load report told its free slots. One with an answer is older than one asked for: it counts half."""
-        full = free < FREE
-        self.kind.most = max(self.kind.most, float(round(free)))
-        old = self.queue if with_answer else float(full)
-        self.hear((old + full) / 2, now)
-
-
-def place_of(worker: Worker) -> tuple[int, int, int]:
-    return worker.place
+        """Its own speed of late and, the less that says, its machine type's, by which `prior` microseconds count."""
+        share = max(1 - (now - self.last_run_at) / FORGET_AFTER_US, 0.0)
+        return self.throughput.blended_speed(self.machine_type.throughput, share, prior)
+
+    def learn_run(self, work: float, elapsed: float, now: int) -> None:
+        """An own run has ended there; work and run time in microseconds."""
+        self.throughput.add(work, elapsed, RUN_FADE)
+        self.last_run_at = now
+
+    def set_queue_level(self, level: float, now: int) -> None:
+        """Note how far it is from a free slot, by what was received at `now`."""
+        self.queue_level = level
+        self.last_report_at = now
+
+    def learn_load_report(self, free: float, with_answer: bool, now: int) -> None:
+        """A load report gave its free slots. One with an answer is older than one asked for: it counts half."""
+        is_full = free < MIN_FREE_SLOTS
+        self.machine_type.max_slots_seen = max(self.machine_type.max_slots_seen, float(round(free)))
+        old = self.queue_level if with_answer else float(is_full)
+        self.set_queue_level((old + is_full) / 2, now)
+
+
+def sort_key_of(worker: Worker) -> tuple[int, int, int]:
+    """The key that gives the one order of workers that all dispatchers share."""
+    return worker.sort_key
--- a/benchmarks/policy_history.py
+++ b/benchmarks/policy_history.py
@@ -6,7 +6,7 @@
 import json
 import random
 
-from policy_vocabulary import describe, present_name
+from policy_vocabulary import describe, pending_requests, present_name
 
 MS, SEC = 1_000, 1_000_000
 
@@ -207,7 +207,7 @@
 
     def may_begin(self, key):
         """The host's last look before the first byte; what may not go any more ends unsent."""
-        if key[0] in self.decisions.jobs and self.rng.random() < 0.5:
+        if key[0] in pending_requests(self.decisions) and self.rng.random() < 0.5:
             allowed = self.decisions.may_begin(self.now, *key)
             self.note(f"may begin {key}: {allowed}")
             if not allowed:
@@ -346,11 +346,13 @@
     def move_jobs(self):
         """Some open jobs leave and come back, as between two processes of one dispatcher."""
         state, decisions = self.package.state, self.decisions
-        self.note(repr(state.cost_of(decisions, next(iter(decisions.jobs)))) if decisions.jobs else "no jobs")
-        for request in [r for r in decisions.jobs if self.rng.random() < 0.3]:
-            if decisions.jobs[request].done:
+        pending = pending_requests(decisions)
+        self.note(repr(state.cost_of(decisions, next(iter(pending)))) if pending else "no jobs")
+        for request in [number for number in pending if self.rng.random() < 0.3]:
+            finished, request_class = pending_requests(decisions)[request]
+            if finished:
                 continue
-            cls = state.class_of(json.loads(json.dumps(decisions.jobs[request].cls)))
+            cls = state.class_of(json.loads(json.dumps(request_class)))
             told = json.loads(json.dumps(state.job_out(decisions, request, self.now)))
             self.note(json.dumps(told, sort_keys=True))
             state.job_gone(decisions, request)
--- a/benchmarks/policy_vocabulary.py
+++ b/benchmarks/policy_vocabulary.py
@@ -112,3 +112,10 @@
     """The present name of the class of an event or action of either version."""
     name = type(value).__name__
     return next((present for present, earlier in EARLIER_CLASSES.items() if earlier == name), name)
+
+
+def pending_requests(decisions):
+    """By number, what either version of the decisions has pending: whether it is finished, and its class."""
+    if hasattr(decisions, "jobs"):  # the earlier version
+        return {number: (job.done, job.cls) for number, job in decisions.requests.items()}
+    return {number: (request.finished, request.request_class) for number, request in decisions.requests.items()}
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -63,7 +63,7 @@
         assert (status, body) == (200, b"early")
         assert await w.call_back("r1", "failed") == 200
         (worker,) = w.dispatcher.decisions.workers.values()
-        assert worker.tally == worker.running == 0
+        assert worker.in_flight_slots == worker.running_slots == 0
 
 
 @pytest.mark.parametrize(
@@ -105,8 +105,8 @@
         assert (await w.ask(job()))[0] == 404
         assert sum(len(h.got) for h in w.hosts) == 1
         assert not w.dispatcher.requests
-        assert [x.strikes for x in w.dispatcher.decisions.fleet] == [0, 0]
-        assert not w.dispatcher.decisions.jobs
+        assert [x.consecutive_failures for x in w.dispatcher.decisions.subsets.ready] == [0, 0]
+        assert not w.dispatcher.decisions.requests
 
 
 @async_test
@@ -121,7 +121,7 @@
     async with World(deaf_at_first, deaf_at_first) as w:
         assert (await w.ask(job()))[0] == 200
         assert sorted(len(h.got) for h in w.hosts) == [1, 1]
-        assert sorted(x.strikes for x in w.dispatcher.decisions.fleet) == [0, 1]
+        assert sorted(x.consecutive_failures for x in w.dispatcher.decisions.subsets.ready) == [0, 1]
 
 
 @async_test
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -32,7 +32,7 @@
         w.lists.put_nowait({"seq": 4, "whole": True, "hosts": [w.entries[0]]})  # h1 is absent: gone
         await until(lambda: len(scopes) >= 4)
         assert scopes[2:4] == [interface.ListScope.COMPLETE, interface.ListScope.FAILED]
-        assert [x.id for x in w.dispatcher.decisions.fleet] == ["h0"]
+        assert [x.id for x in w.dispatcher.decisions.subsets.ready] == ["h0"]
         index = [h.split(b" ")[1].split(b"&")[0] for h, _ in w.discovery.got]
         assert index[1:4] == [b"/api/targets?index=2", b"/api/targets?index=3", b"/api/targets?index=4"]
 
@@ -87,6 +87,6 @@
         assert not w.dispatcher.ready
         await until(lambda: w.dispatcher.ready)
         subscription = w.dispatcher.decisions.subscription
-        assert subscription.ask_at
+        assert subscription.poll_at
         assert not subscription.confirmed
         assert (await w.ask(job()))[0] == 200
--- a/tests/discovery/test_stale_watches.py
+++ b/tests/discovery/test_stale_watches.py
@@ -62,7 +62,7 @@
         if second_look == "answered":
             await until(lambda: scopes and scopes[-1] == interface.ListScope.COMPLETE)
             assert interface.ListScope.FAILED not in scopes
-            assert not w.dispatcher.decisions.fleet
+            assert not w.dispatcher.decisions.subsets.ready
             await until(lambda: b"index=3&wait=" in w.discovery.got[-1][0])  # a watch again
         else:
             await until(lambda: scopes and scopes[-1] == interface.ListScope.FAILED)
@@ -80,7 +80,7 @@
     """Nothing asks for it in the settings' sense: such a dispatcher never asked, and was never ready."""
     async with World(serve, discovery=lambda head, _body: listed(w, 5, "draining"), **PUSHED) as w:
         await until(lambda: w.dispatcher.ready)
-        assert not w.dispatcher.decisions.fleet
+        assert not w.dispatcher.decisions.subsets.ready
         assert (await w.ask(job(timeout=300)))[0] == 503
         assert not w.hosts[0].got
 
@@ -102,7 +102,7 @@
         await until(lambda: len(w.discovery.got) > 9)  # the module alone would have asked again after some 20 s
         out.clear()
         w.lists.put_nowait(listed(w, 3, "draining"))
-        await until(lambda: not w.dispatcher.decisions.fleet)
+        await until(lambda: not w.dispatcher.decisions.subsets.ready)
 
 
 @async_test
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -37,11 +37,11 @@
         await w.__aenter__()
         await until(lambda: w.dispatcher.ready)
         d = w.dispatcher
-        d.decisions.workers["h1"].until = d.clock.now() + SEC  # so h0 is the first
+        d.decisions.workers["h1"].ejected_until = d.clock.now() + SEC  # so h0 is the first
         self.sock = socket.create_connection(("127.0.0.1", w.port))
         self.sock.sendall(job("r1", self.cls, 5000))
         await until(lambda: d.requests and d.requests[1].attempts and d.requests[1].attempts[0].accepted)
-        d.decisions.workers["h1"].until = 0
+        d.decisions.workers["h1"].ejected_until = 0
         d.backend.cancel(d.requests[1].attempts[0])
         await until(lambda: len(d.requests[1].attempts) == 3)
         self.attempt, self.connections = d.requests[1].attempts[2], len(w.hosts[0].writers)
@@ -81,8 +81,8 @@
         # The start of another process at h0 leaves it a host that the module may choose anew, by what it knows then.
         assert await s.open_gate() == (["r1", "r1"] if change == "another start" else ["r1"])
         assert s.attempt.not_sent
-        assert w.dispatcher.decisions.workers["h1"].strikes == 1
-        assert change == "another start" or w.dispatcher.decisions.jobs[1].made <= 3
+        assert w.dispatcher.decisions.workers["h1"].consecutive_failures == 1
+        assert change == "another start" or w.dispatcher.decisions.requests[1].attempt_count <= 3
         if change == "draining":
             assert len(w.hosts[0].writers) == s.connections  # the connection is kept for others
 
@@ -219,7 +219,9 @@
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1", timeout=5000)))
         await until(lambda: w.dispatcher.requests and w.dispatcher.requests[1].attempts[0].ended)
-        w.dispatcher.decisions.workers["h0"].until = w.dispatcher.decisions.workers["h0"].strikes = 0
+        w.dispatcher.decisions.workers["h0"].ejected_until = w.dispatcher.decisions.workers[
+            "h0"
+        ].consecutive_failures = 0
         w.begin(w.ask(job("r2")))
         await until(lambda: posts(w.hosts[0])[-1] == "r2")
         attempt = w.dispatcher.by_id[b"r2"].attempts[0]
@@ -299,12 +301,12 @@
         await until(lambda: w.dispatcher.worker_list.seq == 3)
         d, decisions = w.dispatcher, w.dispatcher.decisions
         for name in ("h1", "h2"):
-            decisions.workers[name].until = d.clock.now() + SEC  # so h0 is the first
+            decisions.workers[name].ejected_until = d.clock.now() + SEC  # so h0 is the first
         answer = w.begin(w.ask(job("r1", "bundle", 1500)))
         await until(lambda: w.hosts[0].got)
-        decisions.workers["h2"].until = 0
-        decisions._send(decisions.jobs[1], decisions.workers["h1"])
-        out, decisions.out = decisions.out, []
+        decisions.workers["h2"].ejected_until = 0
+        decisions.placement.send(decisions.requests[1], decisions.workers["h1"])
+        out = decisions.context.take_actions()
         d.act(out)
         await until(lambda: d.requests[1].attempts[1].ended)  # reset: it may have run
         gate.set()
@@ -334,7 +336,7 @@
         await asyncio.sleep(1.2)
         out.clear()
         w.returned, back = True, w.dispatcher.clock.now()
-        await until(lambda: not w.dispatcher.decisions.fleet)
+        await until(lambda: not w.dispatcher.decisions.subsets.ready)
         assert w.dispatcher.clock.now() - back <= SETTINGS["obligations"]["stopSendingWithinUs"]
 
 
@@ -386,7 +388,7 @@
 async def test_a_new_address_of_a_host_is_not_reached_by_connections_to_the_old_one():
     async with World(serve, serve) as w:
         await until(lambda: w.dispatcher.ready)
-        w.dispatcher.decisions.workers["h1"].until = w.dispatcher.clock.now() + 60 * SEC
+        w.dispatcher.decisions.workers["h1"].ejected_until = w.dispatcher.clock.now() + 60 * SEC
         assert (await w.ask(job("r1")))[0] == 200
         worker = w.dispatcher.backend.hosts["h0"]
         ((connection, timer),) = worker.idle
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -72,14 +72,14 @@
             settings(interface.RequestClass("s", interface.RetrySemantics.NON_IDEMPOTENT), attempts=1)
         ),
     )
-    assert d.jobs[1].cls == keyed
-    assert d.jobs[2].cls.semantics == interface.RetrySemantics.IDEMPOTENT
+    assert d.requests[1].request_class == keyed
+    assert d.requests[2].request_class.semantics == interface.RetrySemantics.IDEMPOTENT
     for n in (1, 2):
         actions = d.handle(3, interface.AttemptEnded(n, 0, sent[n].worker, interface.AttemptResult.ERROR))
         assert not [a for a in actions if isinstance(a, interface.Send)]
         assert [a for a in actions if isinstance(a, interface.Reject | interface.Fail)]
     d.handle(4, interface.Request(3, 0, time_left=5_000_000))
-    assert d.jobs[3].cls.semantics == interface.RetrySemantics.NON_IDEMPOTENT
+    assert d.requests[3].request_class.semantics == interface.RetrySemantics.NON_IDEMPOTENT
 
 
 @given(
@@ -111,7 +111,7 @@
                 out.append((a.request, sent[a.request], a.worker))
                 sent[a.request] += 1
                 assert sent[a.request] <= d.settings.max_attempts
-        assert all(job.cls == own[number] for number, job in d.jobs.items())
+        assert all(request.request_class == own[number] for number, request in d.requests.items())
 
 
 def test_the_workers_to_keep_to_follow_the_settings():
@@ -120,9 +120,9 @@
         0,
         interface.EndpointList(interface.ListScope.COMPLETE, 1, tuple(interface.Endpoint(f"w{n}") for n in range(60))),
     )
-    assert len(d.subset) == 60
+    assert len(d.subsets.local) == 60
     d.handle(1, interface.SettingsChanged(settings(interface.RequestClass("s"), dispatcher_count=40)))
-    assert len(d.subset) == 6
+    assert len(d.subsets.local) == 6
 
 
 def test_what_clients_of_a_changed_class_waited_is_not_held_against_its_new_jobs():
@@ -141,7 +141,7 @@
         ),
     )
     d.handle(3, interface.Request(2, time_left=2_000_000))
-    assert d.jobs[2].due == 3 + 1_000_000
+    assert d.requests[2].objective_deadline == 3 + 1_000_000
 
 
 DATA = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETTINGS}
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -204,7 +204,7 @@
         status, head, _ = await w.ask(job(), client)
         assert status == 503
         assert b"Retry-After" in head
-        assert [x.strikes for x in w.dispatcher.decisions.fleet] == [0, 0]
+        assert [x.consecutive_failures for x in w.dispatcher.decisions.subsets.ready] == [0, 0]
         assert not w.hosts[0].got + w.hosts[1].got
 
 
--- a/tests/frontend/test_client_requests.py
+++ b/tests/frontend/test_client_requests.py
@@ -150,4 +150,4 @@
         assert head.startswith(b"HTTP/1.1 400 ")
         assert b"Connection: close" in head
         assert await reader.read() == b""
-        await until(lambda: not w.dispatcher.requests and not w.dispatcher.decisions.jobs)
+        await until(lambda: not w.dispatcher.requests and not w.dispatcher.decisions.requests)
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -79,7 +79,7 @@
                 assert (head.split()[1], body) == (b"200", b"made")
             ran = Counter(id_of(head) for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST"))
             assert ran == {f"r{n}": 1 for n in range(60)} | {"first": 1, "second": 1}
-            assert not any(x.tally or x.running for x in second.dispatcher.decisions.workers.values())
+            assert not any(x.in_flight_slots or x.running_slots for x in second.dispatcher.decisions.workers.values())
 
 
 @async_test
@@ -153,7 +153,7 @@
     monkeypatch.setattr(transfer, "movable", lambda request: False)  # open jobs stay: each has attempts out
 
     def tallies(d):
-        return {n: (x.tally, x.running) for n, x in d.decisions.workers.items()}
+        return {n: (x.in_flight_slots, x.running_slots) for n, x in d.decisions.workers.items()}
 
     async with World(
         *[lambda w, head, body: reply(202)] * 3, ops=True, familyInfo={"tellsStart": True, "classKind": [-1, 0]}
@@ -169,7 +169,7 @@
         answer, attempt = await stuck(w)
         silent = await w.connect()
         await w.call_back("r1", "started", attempt.worker)
-        old.decisions.workers[attempt.worker].strikes = 3
+        old.decisions.workers[attempt.worker].consecutive_failures = 3
         told = {"zones": ["far", "a"], "kinds": ["big", "m2"], "known": {"seq": 0, "whole": True, "hosts": []}}
         async with with_second_process(w, tmp_path, **told) as (first, second):
             new = second.dispatcher
@@ -179,10 +179,10 @@
             }
             assert new.settings.zone == 1
             assert [c.machine_type for c in new.settings.classes] == [-1, 1]
-            assert new.decisions.workers[attempt.worker].strikes == 3
+            assert new.decisions.workers[attempt.worker].consecutive_failures == 3
             assert list(new.decisions.hints.sample) == list(old.decisions.hints.sample)
             assert new.decisions.hints.sample[0] == 300_000
-            assert new.decisions.runs.mean_of == old.decisions.runs.mean_of != {}
+            assert new.decisions.estimates.class_runs.mean_of == old.decisions.estimates.class_runs.mean_of != {}
             assert tallies(new)[attempt.worker] == (1, 1)
             assert any(h.idle for h in new.backend.hosts.values())
             assert not any(h.idle for h in old.backend.hosts.values())
--- a/tests/hot_restart/test_upgrade_rules.py
+++ b/tests/hot_restart/test_upgrade_rules.py
@@ -179,7 +179,7 @@
 
 def test_what_was_learned_and_an_open_job_go_on_in_another_module():
     old, new = fleet(), fleet(2)
-    old.workers["c"].sent.append((150, 7.0))  # of its cold budget
+    old.workers["c"].slow_start_sends.append((150, 7.0))  # of its cold budget
     for n in range(1, 9):
         send = [
             a
@@ -199,24 +199,26 @@
                 ),
             )
     state.copy_in(new, json.loads(json.dumps(state.copy_out(old))))
-    assert (vars(new.hints), new.soon) == (vars(old.hints), old.soon)
+    assert (vars(new.hints), new.estimates.fastest_start) == (vars(old.hints), old.estimates.fastest_start)
     for w in "abc":
         a, b = old.workers[w], new.workers[w]
-        assert (a.strikes, a.until, vars(a.pace), list(a.sent)) == (
-            b.strikes,
-            b.until,
-            vars(b.pace),
-            [tuple(x) for x in b.sent],
+        assert (a.consecutive_failures, a.ejected_until, vars(a.throughput), list(a.slow_start_sends)) == (
+            b.consecutive_failures,
+            b.ejected_until,
+            vars(b.throughput),
+            [tuple(x) for x in b.slow_start_sends],
         )
     job = json.loads(json.dumps(state.job_out(old, 8, 5000)))
     state.job_gone(old, 8)
-    assert not old.jobs
-    assert all(w.tally == w.running == 0 for w in old.workers.values())
-    struck = new.workers[send.worker].strikes
+    assert not old.requests
+    assert all(w.in_flight_slots == w.running_slots == 0 for w in old.workers.values())
+    struck = new.workers[send.worker].consecutive_failures
     state.job_in(new, 1, old.settings.classes[0], job, 6000)
-    assert new.jobs[1].deadline == 208 + 9_000_000 + 1000
-    assert new.workers[send.worker].running == 1
-    assert new.workers[send.worker].strikes > struck  # it has told nothing of the job for long: that is still watched
+    assert new.requests[1].deadline == 208 + 9_000_000 + 1000
+    assert new.workers[send.worker].running_slots == 1
+    assert (
+        new.workers[send.worker].consecutive_failures > struck
+    )  # it has told nothing of the job for long: that is still watched
     again_sent = [
         a
         for a in new.handle(7000, interface.AttemptEnded(1, 0, send.worker, interface.AttemptResult.ERROR))
@@ -224,19 +226,19 @@
     ]
     assert len(again_sent) == 1
     assert again_sent[0].worker != send.worker
-    assert len(new.jobs[1].attempts) == 2
+    assert len(new.requests[1].attempts) == 2
 
 
 def test_attempts_of_the_other_process_count_until_they_are_over():
     d = fleet()
-    others = state.Others(d)
+    others = state.PeerAttempts(d)
     others.sent("x", "a", 2.0, True, (150, 5.0))
     others.sent("y", "c", 1.0, False, (150, 5.0))
     others.sent("y", "c", 1.0, False, (150, 5.0))  # told twice
     others.started("x")
     a, c = d.workers["a"], d.workers["c"]
-    assert (a.tally, a.longs, a.running, list(a.sent)) == (2.0, 1, 2.0, [])
-    assert (c.tally, list(c.sent)) == (1.0, [(150, 5.0)])
+    assert (a.in_flight_slots, a.long_in_flight, a.running_slots, list(a.slow_start_sends)) == (2.0, 1, 2.0, [])
+    assert (c.in_flight_slots, list(c.slow_start_sends)) == (1.0, [(150, 5.0)])
     others.over("x")
     others.clear()
-    assert a.tally == a.longs == a.running == c.tally == 0
+    assert a.in_flight_slots == a.long_in_flight == a.running_slots == c.in_flight_slots == 0
--- a/tests/load_balancing/test_deployment_settings.py
+++ b/tests/load_balancing/test_deployment_settings.py
@@ -43,8 +43,8 @@
     d.later(800 * MS)
     d.end(1, 0, w)
     d.ask(2, hint=0)
-    assert d.d.jobs[2].hint == 800 * MS
-    assert d.d.jobs[2].due == d.now + 400 * MS + 2 * 800 * MS  # aim, and its stretch of that
+    assert d.d.requests[2].expected_work == 800 * MS
+    assert d.d.requests[2].objective_deadline == d.now + 400 * MS + 2 * 800 * MS  # aim, and its stretch of that
 
 
 @pytest.mark.parametrize("dispatcher_count", [2, 20, 30, 200])
@@ -58,7 +58,7 @@
             d.ask = lambda rid, hint, ask=d.ask: ask(rid, 0)
     g.run(4, per_second=400 / dispatcher_count)
     # What a worker can do is what one was seen to do: here each runs whatever comes.
-    slots = max(max(k.most, k.slots) for d in g.ds for k in d.d.kinds.values())
+    slots = max(max(k.max_slots_seen, k.slots) for d in g.ds for k in d.d.subsets.roster.machine_types.values())
     assert slots <= 4
     assert g.most_of_the_bound(slots, g.ds[0].d.settings) <= 1.0
     assert dispatcher_count < 5 or any(started_at for _, _, started_at, _ in g.log)  # few have warm workers enough
@@ -69,7 +69,7 @@
     for number in range(100):
         d = many(number, fleet=fleet, overload_window=3 * SEC)
         assert not sends(d.ask(1))
-        assert d.d.began == d.now
+        assert d.d.context.first_event_at == d.now
 
 
 def test_where_most_jobs_wait_on_both_sides_copies_become_rare_and_then_more_again():
@@ -80,7 +80,7 @@
         d.ask(rid)
         made.append(len(sends(d.later(SEC))) - 1)
         d.feed(interface.ClientDisconnected(rid))
-        for n, a in enumerate(d.d.jobs[rid].attempts):
+        for n, a in enumerate(d.d.requests[rid].attempts):
             d.end(rid, n, a.worker.id, interface.AttemptResult.CANCELLED)
     assert sum(made[:10]) > 10
     assert sum(made[-30:]) <= 6
@@ -90,16 +90,16 @@
             d.start(rid, 0, w)
             d.later(100 * MS)
             d.end(rid, 0, w)
-    assert d.d.copy_credit.rate > 0.5
+    assert d.d.hedging.budget.tokens_per_request > 0.5
 
 
 def test_a_job_whose_cost_nobody_tells_allows_fewer_copies():
     made = []
     for hint in (10 * MS, 0):
         d = many(cls=KEYED, hedging_allowed=True, cancel_allowed=True, seed=4)
-        d.d.copy_credit.saved, d.d.copy_credit.rate = 0.0, 1.0
+        d.d.hedging.budget.tokens, d.d.hedging.budget.tokens_per_request = 0.0, 1.0
         for rid in range(1, 21):
             d.ask(rid, hint=hint)
-            d.d.queueing_share = {False: 0.5, True: 0.5}
+            d.d.estimates.queueing_share = {False: 0.5, True: 0.5}
             made.append((hint, len(sends(d.later(SEC)))))
     assert sum(n for h, n in made if not h) * 3 < sum(n for h, n in made if h)
--- a/tests/load_balancing/test_dispatch_policy.py
+++ b/tests/load_balancing/test_dispatch_policy.py
@@ -14,8 +14,8 @@
     d.ask(1, hint=0)
     out = d.later(7 * SEC)
     assert finals(out) == [interface.Reject(1)]
-    assert not d.d.jobs
-    assert not d.d.held
+    assert not d.d.requests
+    assert not d.d.queue
 
 
 def test_job_past_hope_is_refused_before_it_is_late():
@@ -46,8 +46,8 @@
     assert not finals(d.feed(interface.ClientDisconnected(1)))
     d.end(1, 0, "w0", interface.AttemptResult.OK)
     d.feed(interface.ClientDisconnected(1))
-    assert not d.d.jobs
-    assert d.d.workers["w0"].tally == 0
+    assert not d.d.requests
+    assert d.d.workers["w0"].in_flight_slots == 0
 
 
 def test_outcome_after_the_final_answer():
@@ -55,12 +55,12 @@
     d.ask(1, left=SEC)
     assert finals(d.later(2 * SEC)) == [interface.Fail(1)]
     assert not finals(d.end(1, 0, "w0", interface.AttemptResult.TIMEOUT, False))
-    assert not d.d.jobs
+    assert not d.d.requests
 
 
 def test_unknown_things_are_ignored():
     d = Driver(workers=1)
-    before = len(d.d.timers)
+    before = len(d.d.context.timers)
     out = d.feed(
         interface.AttemptStarted(7, 0, "x"),
         interface.AttemptProgressed(7, 0, "x", 0.5),
@@ -72,8 +72,8 @@
         interface.Timer(12345),
     )
     assert out == []
-    assert not d.d.jobs
-    assert len(d.d.timers) == before
+    assert not d.d.requests
+    assert len(d.d.context.timers) == before
 
 
 @pytest.mark.parametrize(
@@ -101,9 +101,9 @@
             d.end(n, 0, w)
         d.later(MS)
     d.later(10 * SEC)
-    assert not d.d.jobs
-    assert not d.d.held
-    assert len(d.d.timers) < 50
+    assert not d.d.requests
+    assert not d.d.queue
+    assert len(d.d.context.timers) < 50
 
 
 def test_a_repeat_is_late_by_what_its_client_has_waited():
@@ -178,8 +178,8 @@
         d.ask(1)
         assert d.feed(interface.ClientDisconnected(1)) == ([interface.Cancel(1, 0)] if allowed else [])
         d.end(1, 0, "w0", interface.AttemptResult.CANCELLED, finished=True)
-        assert not d.d.jobs
-        assert d.d.workers["w0"].tally == 0
+        assert not d.d.requests
+        assert d.d.workers["w0"].in_flight_slots == 0
 
 
 def test_a_worker_that_tells_nothing_more_of_a_running_job_is_left_and_one_that_does_is_not():
@@ -195,7 +195,7 @@
     for _ in range(4):
         said += d.later(SEC) + d.feed(interface.AttemptProgressed(2, 0, other, 0.1))
     assert [a for a in said if isinstance(a, interface.Cancel)] == [interface.Cancel(1, 0)]
-    assert d.d.workers[silent].strikes == 1
-    assert d.d.workers[other].strikes == 0
+    assert d.d.workers[silent].consecutive_failures == 1
+    assert d.d.workers[other].consecutive_failures == 0
     d.end(2, 0, other)
     assert sends(d.end(1, 0, silent, interface.AttemptResult.CANCELLED)) == [(1, other)]
--- a/tests/load_balancing/test_large_fleets.py
+++ b/tests/load_balancing/test_large_fleets.py
@@ -7,7 +7,7 @@
 import pytest
 
 from badgerroad.load_balancing import interface
-from badgerroad.load_balancing.policy import DispatchPolicy
+from badgerroad.load_balancing.policy.selection import WorkerSelection
 from tests.support.fleets import KEYED, Group, infos, many
 from tests.support.policy_driver import MS, SEC, Driver, finals, sends
 
@@ -58,7 +58,7 @@
 def test_workers_are_spread_evenly_over_dispatchers():
     uses = {}
     for n in range(100):
-        near = many(n).d.subset
+        near = many(n).d.subsets.local
         assert 3 <= len(near) <= 4
         for w in near:
             uses[w.id] = uses.get(w.id, 0) + 1
@@ -67,24 +67,24 @@
 
 
 def test_the_near_workers_move_little_when_one_comes_or_goes():
-    before = [{w.id for w in many(n).d.subset} for n in range(0, 100, 9)]
+    before = [{w.id for w in many(n).d.subsets.local} for n in range(0, 100, 9)]
     for workers in (59, 61):
-        after = [{w.id for w in many(n, workers=workers).d.subset} for n in range(0, 100, 9)]
+        after = [{w.id for w in many(n, workers=workers).d.subsets.local} for n in range(0, 100, 9)]
         assert max(len(b - a) for b, a in zip(before, after, strict=False)) <= 2
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 2, 3])
 def test_few_dispatchers_choose_from_all(dispatcher_count):
     d = many(dispatcher_count - 1, dispatcher_count, workers=15)
-    assert d.d.uses_whole_fleet
-    assert len(d.d.subset) == 15
+    assert d.d.subsets.uses_whole_fleet
+    assert len(d.d.subsets.local) == 15
 
 
 def test_choices_do_not_hang_on_the_process():
     code = (
         "import sys; from tests.support.fleets import *; from tests.support.policy_driver import *; d = many(7, fleet=tuple(w._replace("
         "worker=w.worker.encode()) for w in infos(60, started_at=99 * SEC)));"
-        "print([w.id for w in d.d.subset], [d.d._cold_turn(w) for w in d.d.subset], d.ask(1))"
+        "print([w.id for w in d.d.subsets.local], [d.d.warm_up.dispatcher_rank(w) for w in d.d.subsets.local], d.ask(1))"
     )
     outs = {
         subprocess.run(
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("trouble", ["silent", "draining", "gone", "error", "full"])
 def test_jobs_go_elsewhere_when_all_near_workers_fail(trouble):
     d = many()
-    near = [w.id for w in d.d.subset]
+    near = [w.id for w in d.d.subsets.local]
     if trouble in ("draining", "gone"):
         state = interface.WorkerState.DRAINING if trouble == "draining" else interface.WorkerState.GONE
         d.feed(
@@ -183,8 +183,8 @@
 def test_the_workers_looked_at_for_a_job_do_not_grow_with_the_fleet(workers, monkeypatch):
     # Ranking all workers for each request once had large fleets cut off for their CPU.
     looked = []
-    plain = DispatchPolicy._is_open
-    monkeypatch.setattr(DispatchPolicy, "_is_open", lambda self, w: looked.append(w) or plain(self, w))
+    plain = WorkerSelection.is_available
+    monkeypatch.setattr(WorkerSelection, "is_available", lambda self, w: looked.append(w) or plain(self, w))
     d = many(dispatcher_count=workers * 2, workers=workers)
     looked.clear()
     for rid in range(50):
@@ -207,8 +207,8 @@
             d.end(request, 0, worker, interface.AttemptResult.TIMEOUT)
     d.later(20 * SEC)
     assert len(d.d.workers) <= 20 * 12
-    assert len(d.d.jobs) <= 20
-    assert len(d.d.timers) < 50
+    assert len(d.d.requests) <= 20
+    assert len(d.d.context.timers) < 50
 
 
 def test_failed_subscriptions_are_not_retried_in_step_and_within_the_interval():
@@ -242,7 +242,7 @@
             d.start(request, 0, worker)
             d.end(request, 0, worker)
         d.later(5 * SEC)
-    assert {w for _, w in sends(d.said)} >= {w.id for w in d.d.subset}
+    assert {w for _, w in sends(d.said)} >= {w.id for w in d.d.subsets.local}
 
 
 def report(d, rid, worker, free):
@@ -252,7 +252,7 @@
 
 def test_reported_free_slots_settle_ties_until_stale():
     d = many(load_report_fields=("x0",), seed=4)
-    near = [w.id for w in d.d.subset]
+    near = [w.id for w in d.d.subsets.local]
     for n in range(300):
         out = sends(d.ask(n))
         report(d, n, out[0][1], 1.0 if out[0][1] == near[1] else 0.0)
@@ -302,4 +302,4 @@
         ((_, w),) = sends(d.ask(1))
         d.later(200 * MS)
         d.start(1, 0, w)
-        assert d.d.kinds[0].delays.by_ahead[0][0] == part * 200 * MS
+        assert d.d.subsets.roster.machine_types[0].start_delays.by_in_flight[0][0] == part * 200 * MS
--- a/tests/load_balancing/test_retries.py
+++ b/tests/load_balancing/test_retries.py
@@ -128,15 +128,15 @@
     ((_, w),) = sends(d.ask(1, hint=10 * MS))
     d.now += 450 * MS  # more than its aim and its work allow
     assert finals(d.end(1, 0, w, interface.AttemptResult.ERROR)) == [interface.Fail(1)]
-    assert not d.d.held
-    assert not d.d.jobs
+    assert not d.d.queue
+    assert not d.d.requests
 
 
 def test_an_attempt_given_up_before_its_time_strikes_the_worker():
     d = Driver(workers=2, cls=SAFE)
     ((_, w),) = sends(d.ask(1))
     assert sends(d.end(1, 0, w, interface.AttemptResult.TIMEOUT))
-    assert d.d.workers[w].strikes == 1
+    assert d.d.workers[w].consecutive_failures == 1
 
 
 def test_a_silent_worker_keeps_what_no_other_may_take():
@@ -150,4 +150,4 @@
     ((_, w),) = sends(d.ask(1, hint=3 * SEC))
     d.start(1, 0, w)
     assert not [a for a in d.later(5 * SEC) if isinstance(a, interface.Cancel)]
-    assert d.d.workers[w].strikes == 1
+    assert d.d.workers[w].consecutive_failures == 1
--- a/tests/load_balancing/test_retry_after.py
+++ b/tests/load_balancing/test_retry_after.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from badgerroad.load_balancing import interface
-from badgerroad.load_balancing.jobs import Job, OpenJobs
+from badgerroad.load_balancing.pending_requests import PendingRequest, PendingRequests
 from badgerroad.load_balancing.retry_after import Backlog
 from tests.support.policy_driver import MS, SEC, Driver, sends
 
@@ -14,10 +14,11 @@
 
 def plain_sums(policy):
     """The answer by its definition: a look at each open job and each ready worker."""
-    mean, now = policy.hints.mean, policy.now
-    work = sum(max(job.hint, mean) for job in policy.jobs.values() if not job.done)
+    mean, now = policy.hints.mean, policy.context.now
+    work = sum(max(job.expected_work, mean) for job in policy.requests.values() if not job.finished)
     pace = (
-        sum(w.kind.slots * policy._speed(w) for w in policy.fleet if w.until <= now) / policy.settings.dispatcher_count
+        sum(w.machine_type.slots * policy.estimates.speed(w) for w in policy.subsets.ready if w.ejected_until <= now)
+        / policy.settings.dispatcher_count
     )
     most = policy.settings.max_retry_after
     return int(min(max(work / pace, 50_000), most)) if pace else most
@@ -56,17 +57,17 @@
                     (interface.AttemptResult.OK, interface.AttemptResult.OK, interface.AttemptResult.ERROR)
                 ),
             )
-        assert d.d._retry_after() == plain_sums(d.d)
+        assert d.d.answers.retry_after() == plain_sums(d.d)
 
 
 @given(st.lists(st.tuples(st.integers(0, 10**7), st.booleans()), max_size=40), st.floats(1.0, 1e7))
 def test_the_work_of_open_jobs_is_that_of_each_together(history, mean):
-    jobs = OpenJobs()
+    jobs = PendingRequests()
     for number, (hint, ends) in enumerate(history):
-        jobs.add(Job(interface.Request(number), CLASS, False, 0, hint))
+        jobs.add(PendingRequest(interface.Request(number), CLASS, False, 0, hint))
         if ends:
             jobs.finish(jobs[next(iter(jobs))])
-    assert jobs.work(mean) == pytest.approx(sum(max(job.hint, mean) for job in jobs.values()), rel=1e-12)
+    assert jobs.total_work(mean) == pytest.approx(sum(max(job.expected_work, mean) for job in jobs.values()), rel=1e-12)
 
 
 def test_a_time_close_to_a_whole_microsecond_is_not_certain():
--- a/tests/load_balancing/test_roster.py
+++ b/tests/load_balancing/test_roster.py
@@ -8,7 +8,7 @@
 
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing import workers as workers_module
-from badgerroad.load_balancing.roster import Roster
+from badgerroad.load_balancing.endpoint_roster import EndpointRoster
 
 STATES = st.sampled_from(
     [
@@ -58,16 +58,18 @@
     def is_remote(worker):
         return worker.info.zone == 1
 
-    roster = Roster(is_remote, is_cold)
+    roster = EndpointRoster(is_remote, is_cold)
     for number, (scope, entries, passed) in enumerate(lists):
         now += passed
         roster.update(interface.EndpointList(scope, number, tuple(entries)))
         listed = roster.workers.values()
-        ready = sorted((w for w in listed if w.is_ready()), key=lambda w: w.place[:2])  # equal ones as they were listed
+        ready = sorted(
+            (w for w in listed if w.is_ready()), key=lambda w: w.sort_key[:2]
+        )  # equal ones as they were listed
         assert roster.ready == ready
-        assert roster.home == [w for w in ready if not is_remote(w)]
+        assert roster.local == [w for w in ready if not is_remote(w)]
         assert roster.remote == [w for w in ready if is_remote(w)]
-        assert roster.cold == [w for w in ready if is_cold(w)]
+        assert roster.warming_up == [w for w in ready if is_cold(w)]
         assert all(w.info.state != interface.WorkerState.GONE or is_cold(w) for w in listed)
 
 
@@ -78,7 +80,7 @@
         looked.append(worker.id)
         return False
 
-    roster = Roster(is_remote, lambda worker: False)
+    roster = EndpointRoster(is_remote, lambda worker: False)
     roster.update(
         interface.EndpointList(interface.ListScope.COMPLETE, 1, tuple(interface.Endpoint(f"w{n}") for n in range(500)))
     )
--- a/tests/load_balancing/test_worker_selection.py
+++ b/tests/load_balancing/test_worker_selection.py
@@ -26,7 +26,7 @@
         d.ask(n, hint=5000 * SEC if n % 2 else MS)
         d.end(n, 0, "w0", interface.AttemptResult.INVALID_REQUEST, finished=True)
     assert (d.d.hints.cutoff, d.d.hints.mean) == known
-    assert not d.d.jobs
+    assert not d.d.requests
 
 
 def test_short_job_to_the_fewest_in_flight():
@@ -72,7 +72,7 @@
     for n in range(1, 4):
         d.ask(n, hint=200 * MS)
     d.ask(9, hint=300 * MS, left=6 * SEC)
-    d.d.kinds[0].delays.by_ahead[1] = 325.0 * MS, d.now
+    d.d.subsets.roster.machine_types[0].start_delays.by_in_flight[1] = 325.0 * MS, d.now
     assert sends(d.start(0, 0, "w0")) == [(9, "w0")]
 
 
@@ -93,10 +93,10 @@
         )
     )
     assert list(d.d.workers) == ["w0"]
-    assert d.d.workers["w0"].tally == 0
+    assert d.d.workers["w0"].in_flight_slots == 0
     d.end(1, 0, d.said[-1].worker if isinstance(d.said[-1], interface.Send) else "w0")
     d.end(2, 0, "w1")
-    assert d.d.workers["w0"].tally == 0
+    assert d.d.workers["w0"].in_flight_slots == 0
 
 
 def test_cold_worker_gets_no_more_than_its_budget():
@@ -115,7 +115,7 @@
             count += 1
             d.start(n, 0, "new")
             d.end(n, 0, "new")
-    capacity = d.d.kinds[0].slots * d.d.kinds[0].speed() * 0.2
+    capacity = d.d.subsets.roster.machine_types[0].slots * d.d.subsets.roster.machine_types[0].speed() * 0.2
     assert count * 100 * MS <= 3.0 * capacity * SEC / 2 + 1
 
 
@@ -145,13 +145,15 @@
     for seed in range(8):
         d = Driver(workers=3, cls=SAFE, seed=seed)
         for w in d.d.workers.values():
-            w.kind.slots = 4.0
-        d.d.workers["w0"].strikes = 1
-        d.d.workers["w1"].tally = d.d.workers["w1"].running = d.d.workers["w2"].tally = d.d.workers["w2"].running = 2.0
+            w.machine_type.slots = 4.0
+        d.d.workers["w0"].consecutive_failures = 1
+        d.d.workers["w1"].in_flight_slots = d.d.workers["w1"].running_slots = d.d.workers[
+            "w2"
+        ].in_flight_slots = d.d.workers["w2"].running_slots = 2.0
         ((_, first),) = sends(d.ask(1))
         assert first == "w0"  # the trial that it needs
         ((_, second),) = sends(d.end(1, 0, "w0", interface.AttemptResult.ERROR))
-        d.d.workers["w0"].until = 0  # it may be tried again
+        d.d.workers["w0"].ejected_until = 0  # it may be tried again
         ((_, third),) = sends(d.end(1, 1, second, interface.AttemptResult.ERROR))
         assert {second, third} == {"w1", "w2"}
 
@@ -160,9 +162,9 @@
     def pick(own, hint=10 * MS):
         d = Driver(infos=(interface.Endpoint("fast", machine_type=0), interface.Endpoint("slow", machine_type=1)))
         for n, pace in enumerate((1.0, 0.4)):
-            kind = d.d.kinds[n]
-            kind.slots, kind.pace.work, kind.pace.took = 4.0, pace * SEC, SEC
-        d.d.workers["fast"].tally = d.d.workers["fast"].running = own
+            kind = d.d.subsets.roster.machine_types[n]
+            kind.slots, kind.throughput.work, kind.throughput.elapsed = 4.0, pace * SEC, SEC
+        d.d.workers["fast"].in_flight_slots = d.d.workers["fast"].running_slots = own
         return sends(d.ask(1, hint=hint))[0][1]
 
     assert pick(own=0.0) == "fast"
--- a/tests/load_balancing/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -54,7 +54,7 @@
         d.later(slow * 2 * SEC)
         d.end(rid, 0, worker)
     assert sends([*d.ask(9, 3 * SEC, 20 * SEC), *d.later(50 * MS)])  # aim 4 s and twice its hint
-    assert min(k.speed() for k in d.d.kinds.values()) > 0.5
+    assert min(k.speed() for k in d.d.subsets.roster.machine_types.values()) > 0.5
 
 
 def test_where_own_traffic_is_not_thin_a_long_run_counts_in_full():
@@ -66,17 +66,17 @@
     d.start(1, 0, worker)
     d.later(40 * SEC)
     d.end(1, 0, worker)
-    assert d.d.uses_whole_fleet
-    assert d.d.kinds[0].speed() == pytest.approx(0.05)
+    assert d.d.subsets.uses_whole_fleet
+    assert d.d.subsets.roster.machine_types[0].speed() == pytest.approx(0.05)
 
 
 def test_one_join_moves_few_of_the_hosts_that_dispatchers_keep_to():
     moved = []
     for n in range(40):
         d = zoned(dispatcher_index=n)
-        before = {w.id for w in d.d.subset + d.d.remote_subset}
+        before = {w.id for w in d.d.subsets.local + d.d.subsets.remote}
         d.feed(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (interface.Endpoint("new", zone=0, cell=3),)))
-        moved.append(len({w.id for w in d.d.subset + d.d.remote_subset} - before))
+        moved.append(len({w.id for w in d.d.subsets.local + d.d.subsets.remote} - before))
     assert max(moved) <= 3
     assert sum(moved) <= 100
 
@@ -102,8 +102,8 @@
 )
 def test_the_part_that_leaves_home_grows_with_the_difference_and_has_a_cap(home, away, least, most):
     d = zoned()
-    d.d.queueing_share = {False: home, True: away}
-    assert least <= sum(d.d._leaves() for _ in range(2000)) / 2000 <= most
+    d.d.estimates.queueing_share = {False: home, True: away}
+    assert least <= sum(d.d.selection.goes_remote() for _ in range(2000)) / 2000 <= most
 
 
 def test_copies_leave_home_too_when_jobs_start_only_away():
@@ -137,7 +137,7 @@
         d.ask(rid)
         sent = sends(d.later(110 * MS))
         copies += len(sent) - 1
-        new += sum(not d.d.workers[w].heard for _, w in sent[1:])
+        new += sum(not d.d.workers[w].last_report_at for _, w in sent[1:])
         d.start(rid, 0, sent[0][1])
         for n, (_, worker) in enumerate(sent):
             d.end(rid, n, worker, interface.AttemptResult.CANCELLED if n else interface.AttemptResult.OK)
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -47,9 +47,9 @@
     def later(self, us):
         """Time passes; the timer that is out is delivered when due."""
         end, out = self.now + us, []
-        while self.d.timers.wake and self.d.timers.wake <= end:
-            self.now = self.d.timers.wake
-            out += self.feed(interface.Timer(self.d.timers.wake))
+        while self.d.context.timers.fires_at and self.d.context.timers.fires_at <= end:
+            self.now = self.d.context.timers.fires_at
+            out += self.feed(interface.Timer(self.d.context.timers.fires_at))
         self.now = end
         return out
 
