--- a/tests/load_balancing/test_roster.py
+++ b/tests/load_balancing/test_endpoint_roster.py
@@ -49,7 +49,7 @@
 
 
 @given(st.lists(LISTS, max_size=25))
-def test_each_order_is_that_of_all_listed_workers_sorted_anew(lists):
+def test_incremental_orders_equal_a_full_sort(lists):
     now = 0
 
     def is_cold(worker):
@@ -73,7 +73,7 @@
         assert all(w.info.state != interface.WorkerState.GONE or is_cold(w) for w in listed)
 
 
-def test_a_change_looks_at_no_other_worker():
+def test_incremental_change_examines_no_other_worker():
     looked = []
 
     def is_remote(worker):
--- a/tests/load_balancing/test_large_fleets.py
+++ b/tests/load_balancing/test_large_fleets.py
@@ -8,57 +8,57 @@
 
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy.selection import WorkerSelection
-from tests.support.fleets import KEYED, Group, infos, many
+from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Group, infos, many
 from tests.support.policy_driver import MS, SEC, Driver, finals, sends
 
 
 @pytest.mark.parametrize("cold", [1, 50])
-def test_all_dispatchers_together_keep_a_cold_workers_budget_and_use_it(cold):
+def test_all_dispatchers_together_keep_the_slow_start_budget_and_use_it(cold):
     # A hundredth of a budget is less than one job: cold workers once got nothing until they were warm.
     start = 100 * SEC
     fleet = tuple(w._replace(started_at=start) if n < cold else w for n, w in enumerate(infos(60)))
-    g = Group(100, 5, fleet, [5 * MS, 20 * MS, 20 * MS, 40 * MS, 300 * MS])
-    s = g.ds[0].d.settings
-    g.run(3)
+    group = Group(100, 5, fleet, [5 * MS, 20 * MS, 20 * MS, 40 * MS, 300 * MS])
+    s = group.drivers[0].policy.settings
+    group.run(3)
     # A restart under the same id, told to each at another time; and one that is gone and comes back.
-    again = fleet[0]._replace(started_at=g.ds[0].now)
-    g.started_at["w0"] = again.started_at
-    for n, d in enumerate(g.ds):
-        g.tell(d, (again,))
+    again = fleet[0]._replace(started_at=group.drivers[0].now)
+    group.started_at["w0"] = again.started_at
+    for n, driver in enumerate(group.drivers):
+        group.notify(driver, (again,))
         if n % 3 == 0:
-            g.tell(d, (again._replace(state=interface.WorkerState.GONE),))
-            g.tell(d, (again,))
-    g.run(3)
-    assert 0.4 < g.most_of_the_bound(1.0, s) <= 1.0  # a worker does at least what one slot at speed 1 does
-    cold_sends = [w for _, w, started_at, _ in g.log if started_at]
+            group.notify(driver, (again._replace(state=interface.WorkerState.GONE),))
+            group.notify(driver, (again,))
+    group.run(3)
+    assert 0.4 < group.most_of_the_bound(1.0, s) <= 1.0  # a worker does at least what one slot at speed 1 does
+    cold_sends = [w for _, w, started_at, _ in group.log if started_at]
     assert len({*cold_sends}) == cold
     assert len(cold_sends) > 5 * cold
 
 
-def test_a_worker_listed_again_has_no_new_budget():
-    d = many(dispatcher_count=1, workers=1, fleet=infos(1, started_at=99 * SEC), max_attempts=9)
+def test_worker_listed_again_has_no_new_slow_start_budget():
+    driver = many(dispatcher_count=1, workers=1, fleet=infos(1, started_at=99 * SEC), max_attempts=9)
     n = 0
     for _ in range(30):
         n += 1
-        out = d.ask(n, 100 * MS)
+        out = driver.request(n, 100 * MS)
         for request, worker in sends(out):
-            d.start(request, 0, worker)
-            d.end(request, 0, worker)
-        d.feed(
+            driver.start(request, 0, worker)
+            driver.end(request, 0, worker)
+        driver.handle(
             interface.EndpointList(
                 interface.ListScope.INCREMENTAL,
                 2,
-                (d.d.workers["w0"].info._replace(state=interface.WorkerState.GONE, started_at=0),),
+                (driver.policy.workers["w0"].info._replace(state=interface.WorkerState.GONE, started_at=0),),
             )
         )
-        d.feed(interface.EndpointList(interface.ListScope.INCREMENTAL, 3, infos(1, started_at=99 * SEC)))
-    assert 0 < len(sends(d.said)) <= 3.0 * (0.2 + 0.8 * 0.1) * SEC / (100 * MS)
+        driver.handle(interface.EndpointList(interface.ListScope.INCREMENTAL, 3, infos(1, started_at=99 * SEC)))
+    assert 0 < len(sends(driver.actions)) <= 3.0 * (0.2 + 0.8 * 0.1) * SEC / (100 * MS)
 
 
-def test_workers_are_spread_evenly_over_dispatchers():
+def test_subsets_spread_workers_evenly_over_dispatchers():
     uses = {}
     for n in range(100):
-        near = many(n).d.subsets.local
+        near = many(n).policy.subsets.local
         assert 3 <= len(near) <= 4
         for w in near:
             uses[w.id] = uses.get(w.id, 0) + 1
@@ -66,25 +66,25 @@
     assert max(uses.values()) - min(uses.values()) <= 2
 
 
-def test_the_near_workers_move_little_when_one_comes_or_goes():
-    before = [{w.id for w in many(n).d.subsets.local} for n in range(0, 100, 9)]
+def test_subset_changes_little_when_one_worker_joins_or_leaves():
+    before = [{w.id for w in many(n).policy.subsets.local} for n in range(0, 100, 9)]
     for workers in (59, 61):
-        after = [{w.id for w in many(n, workers=workers).d.subsets.local} for n in range(0, 100, 9)]
+        after = [{w.id for w in many(n, workers=workers).policy.subsets.local} for n in range(0, 100, 9)]
         assert max(len(b - a) for b, a in zip(before, after, strict=False)) <= 2
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 2, 3])
-def test_few_dispatchers_choose_from_all(dispatcher_count):
-    d = many(dispatcher_count - 1, dispatcher_count, workers=15)
-    assert d.d.subsets.uses_whole_fleet
-    assert len(d.d.subsets.local) == 15
+def test_few_dispatchers_use_the_whole_fleet(dispatcher_count):
+    driver = many(dispatcher_count - 1, dispatcher_count, workers=15)
+    assert driver.policy.subsets.uses_whole_fleet
+    assert len(driver.policy.subsets.local) == 15
 
 
-def test_choices_do_not_hang_on_the_process():
+def test_choices_do_not_depend_on_the_hash_seed_of_the_process():
     code = (
-        "import sys; from tests.support.fleets import *; from tests.support.policy_driver import *; d = many(7, fleet=tuple(w._replace("
+        "import sys; from tests.support.fleets import *; from tests.support.policy_driver import *; driver = many(7, fleet=tuple(w._replace("
         "worker=w.worker.encode()) for w in infos(60, started_at=99 * SEC)));"
-        "print([w.id for w in d.d.subsets.local], [d.d.warm_up.dispatcher_rank(w) for w in d.d.subsets.local], d.ask(1))"
+        "print([w.id for w in driver.policy.subsets.local], [driver.policy.warm_up.dispatcher_rank(w) for w in driver.policy.subsets.local], driver.request(1))"
     )
     outs = {
         subprocess.run(
@@ -101,12 +101,12 @@
 
 
 @pytest.mark.parametrize("trouble", ["silent", "draining", "gone", "error", "full"])
-def test_jobs_go_elsewhere_when_all_near_workers_fail(trouble):
-    d = many()
-    near = [w.id for w in d.d.subsets.local]
+def test_requests_go_beyond_the_subset_when_all_its_workers_fail(trouble):
+    driver = many()
+    near = [w.id for w in driver.policy.subsets.local]
     if trouble in ("draining", "gone"):
         state = interface.WorkerState.DRAINING if trouble == "draining" else interface.WorkerState.GONE
-        d.feed(
+        driver.handle(
             interface.EndpointList(
                 interface.ListScope.INCREMENTAL,
                 2,
@@ -116,190 +116,193 @@
     late, rid = [], 0
     for _ in range(80):
         rid += 1
-        for request, worker in sends(d.ask(rid)):
+        for request, worker in sends(driver.request(rid)):
             if worker not in near:
                 late.append(request)
-                d.start(request, 0, worker)
-                d.end(request, 0, worker)
+                driver.start(request, 0, worker)
+                driver.end(request, 0, worker)
             elif trouble in ("error", "full"):
-                d.end(
+                driver.end(
                     request,
                     0,
                     worker,
                     interface.AttemptResult.ERROR if trouble == "error" else interface.AttemptResult.QUEUE_FULL,
                 )
-        d.later(20 * MS)
+        driver.advance(20 * MS)
     assert len(late) > 40, "jobs stuck to workers that do not serve"
     if trouble in ("draining", "gone"):
-        assert not any(w in near for _, w in sends(d.said))
-    d.later(7 * SEC)
-    answered = {a.request for a in finals(d.said)} | set(late)
+        assert not any(w in near for _, w in sends(driver.actions))
+    driver.advance(7 * SEC)
+    answered = {a.request for a in finals(driver.actions)} | set(late)
     assert answered == set(range(1, rid + 1)), "a job without an answer"
 
 
 def started_copy(**over):
-    d = many(cls=KEYED, hedging_allowed=True, cancel_allowed=True, **over)
-    ((_, first),) = sends(d.ask(1))
-    out = d.later(50 * MS)
-    return d, first, sends(out)
+    driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, **over)
+    ((_, first),) = sends(driver.request(1))
+    out = driver.advance(50 * MS)
+    return driver, first, sends(out)
 
 
-def test_a_keyed_job_that_does_not_start_gets_a_copy_in_its_cell_and_the_rest_is_cancelled():
-    d, first, copies = started_copy()
+def test_waiting_request_with_an_idempotency_key_is_hedged_in_its_cell_and_the_rest_is_cancelled():
+    driver, first, copies = started_copy()
     cell = {w.worker: w.cell for w in infos(60)}
     assert copies
     assert all(cell[w] == cell[first] and w != first for _, w in copies)
-    assert interface.Cancel(1, 0) in d.start(1, 1, copies[0][1])
+    assert interface.Cancel(1, 0) in driver.start(1, 1, copies[0][1])
 
 
-def test_a_job_that_has_started_gets_no_copy():
-    d = many(cls=KEYED, hedging_allowed=True, cancel_allowed=True)
-    ((_, first),) = sends(d.ask(1))
-    d.start(1, 0, first)
-    assert not sends(d.later(SEC))
+def test_started_request_is_not_hedged():
+    driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True)
+    ((_, first),) = sends(driver.request(1))
+    driver.start(1, 0, first)
+    assert not sends(driver.advance(SEC))
 
 
 @pytest.mark.parametrize("over", [dict(dispatcher_count=1), dict(cancel_allowed=False), dict(reports_start=False)])
-def test_no_copies_without_their_condition(over):
-    d = many(**{**dict(cls=KEYED, hedging_allowed=True, cancel_allowed=True), **over})
-    d.ask(1)
-    assert not sends(d.later(SEC))
+def test_no_hedging_without_its_conditions(over):
+    driver = many(**{**dict(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True), **over})
+    driver.request(1)
+    assert not sends(driver.advance(SEC))
 
 
-def test_no_copies_where_jobs_that_may_not_be_copied_would_pay():
-    d = Driver(
+def test_no_hedging_where_a_class_is_not_idempotent():
+    driver = Driver(
         infos=infos(60),
         dispatcher_count=100,
         hedging_allowed=True,
         cancel_allowed=True,
         reports_start=True,
-        classes=(KEYED, interface.RequestClass("u", interface.RetrySemantics.NON_IDEMPOTENT, 400 * MS, 6 * SEC)),
+        classes=(
+            WITH_IDEMPOTENCY_KEY,
+            interface.RequestClass("u", interface.RetrySemantics.NON_IDEMPOTENT, 400 * MS, 6 * SEC),
+        ),
     )
-    d.ask(1)
-    assert not sends(d.later(SEC))
+    driver.request(1)
+    assert not sends(driver.advance(SEC))
 
 
 @pytest.mark.parametrize("workers", [60, 600])
-def test_the_workers_looked_at_for_a_job_do_not_grow_with_the_fleet(workers, monkeypatch):
+def test_workers_examined_for_a_request_do_not_grow_with_the_fleet(workers, monkeypatch):
     # Ranking all workers for each request once had large fleets cut off for their CPU.
     looked = []
     plain = WorkerSelection.is_available
     monkeypatch.setattr(WorkerSelection, "is_available", lambda self, w: looked.append(w) or plain(self, w))
-    d = many(dispatcher_count=workers * 2, workers=workers)
+    driver = many(dispatcher_count=workers * 2, workers=workers)
     looked.clear()
     for rid in range(50):
-        for request, worker in sends(d.ask(rid)):
-            d.start(request, 0, worker)
-            d.end(request, 0, worker)
+        for request, worker in sends(driver.request(rid)):
+            driver.start(request, 0, worker)
+            driver.end(request, 0, worker)
     assert 0 < len(looked) <= 50 * 20
 
 
-def test_memory_stays_bounded_while_workers_come_and_go():
-    d = many(workers=20)
+def test_state_stays_bounded_while_workers_come_and_go():
+    driver = many(workers=20)
     for n in range(400):
-        d.later(SEC)
+        driver.advance(SEC)
         fresh = tuple(
-            interface.Endpoint(f"n{n}-{k}", interface.WorkerState.READY, d.now, 0, 0, k // 4) for k in range(20)
+            interface.Endpoint(f"n{n}-{k}", interface.WorkerState.READY, driver.now, 0, 0, k // 4) for k in range(20)
         )
-        d.feed(interface.EndpointList(interface.ListScope.COMPLETE, n + 2, fresh))
-        for request, worker in sends(d.ask(n, left=SEC)):
-            d.later(2 * SEC)
-            d.end(request, 0, worker, interface.AttemptResult.TIMEOUT)
-    d.later(20 * SEC)
-    assert len(d.d.workers) <= 20 * 12
-    assert len(d.d.requests) <= 20
-    assert len(d.d.context.timers) < 50
+        driver.handle(interface.EndpointList(interface.ListScope.COMPLETE, n + 2, fresh))
+        for request, worker in sends(driver.request(n, left=SEC)):
+            driver.advance(2 * SEC)
+            driver.end(request, 0, worker, interface.AttemptResult.TIMEOUT)
+    driver.advance(20 * SEC)
+    assert len(driver.policy.workers) <= 20 * 12
+    assert len(driver.policy.requests) <= 20
+    assert len(driver.policy.context.timers) < 50
 
 
-def test_failed_subscriptions_are_not_retried_in_step_and_within_the_interval():
+def test_failed_subscriptions_are_retried_out_of_step_and_within_the_interval():
     times = set()
     for n in range(60):
-        d = many(n, seed=1000 + n)
-        d.feed(interface.EndpointList(interface.ListScope.FAILED))
-        last = began = d.now
+        driver = many(n, seed=1000 + n)
+        driver.handle(interface.EndpointList(interface.ListScope.FAILED))
+        last = began = driver.now
         for _ in range(6):
-            while not any(isinstance(a, interface.Subscribe) for a in d.later(5 * MS)):
-                assert d.now - last < 4 * 10 * SEC
-            last = d.now
-            d.feed(interface.EndpointList(interface.ListScope.FAILED))
-        times.add((d.now - began) // (50 * MS))
+            while not any(isinstance(a, interface.Subscribe) for a in driver.advance(5 * MS)):
+                assert driver.now - last < 4 * 10 * SEC
+            last = driver.now
+            driver.handle(interface.EndpointList(interface.ListScope.FAILED))
+        times.add((driver.now - began) // (50 * MS))
     assert len(times) > 30
 
 
 @pytest.mark.parametrize("weight", [1.0, 0.0, "live"])
-def test_any_kind_of_weight_leaves_all_near_workers_in_use(weight):
-    d, r = many(), random.Random(3)
+def test_any_weights_leave_all_workers_of_the_subset_in_use(weight):
+    driver, r = many(), random.Random(3)
     for n in range(200):
         if n % 10 == 0:
-            d.feed(
+            driver.handle(
                 interface.EndpointList(
                     interface.ListScope.COMPLETE,
                     n + 2,
                     tuple(w._replace(weight=r.random() * 4 if weight == "live" else weight) for w in infos(60)),
                 )
             )
-        for request, worker in sends(d.ask(n)):
-            d.start(request, 0, worker)
-            d.end(request, 0, worker)
-        d.later(5 * SEC)
-    assert {w for _, w in sends(d.said)} >= {w.id for w in d.d.subsets.local}
+        for request, worker in sends(driver.request(n)):
+            driver.start(request, 0, worker)
+            driver.end(request, 0, worker)
+        driver.advance(5 * SEC)
+    assert {w for _, w in sends(driver.actions)} >= {w.id for w in driver.policy.subsets.local}
 
 
-def report(d, rid, worker, free):
-    d.start(rid, 0, worker)
-    d.feed(interface.AttemptEnded(rid, 0, worker, interface.AttemptResult.OK, 0, True, (free,)))
+def report(driver, rid, worker, free):
+    driver.start(rid, 0, worker)
+    driver.handle(interface.AttemptEnded(rid, 0, worker, interface.AttemptResult.OK, 0, True, (free,)))
 
 
 def test_reported_free_slots_settle_ties_until_stale():
-    d = many(load_report_fields=("x0",), seed=4)
-    near = [w.id for w in d.d.subsets.local]
+    driver = many(load_report_fields=("x0",), seed=4)
+    near = [w.id for w in driver.policy.subsets.local]
     for n in range(300):
-        out = sends(d.ask(n))
-        report(d, n, out[0][1], 1.0 if out[0][1] == near[1] else 0.0)
-    picks = [sends(d.ask(1000))[0][1]]
+        out = sends(driver.request(n))
+        report(driver, n, out[0][1], 1.0 if out[0][1] == near[1] else 0.0)
+    picks = [sends(driver.request(1000))[0][1]]
     assert picks == [near[1]], "a worker with a free slot comes first"
-    report(d, 1000, near[1], 1.0)
+    report(driver, 1000, near[1], 1.0)
     seen = set()
     for n in range(2000, 2100):
-        d.later(10 * SEC)  # all reports are stale each time
-        out = sends(d.ask(n))
+        driver.advance(10 * SEC)  # all reports are stale each time
+        out = sends(driver.request(n))
         seen.add(out[0][1])
-        report(d, n, out[0][1], 0.0)
+        report(driver, n, out[0][1], 0.0)
     assert seen == set(near)
 
 
-def test_workers_are_probed_only_where_allowed_and_own_traffic_is_small():
+def test_health_checks_only_where_allowed_and_own_traffic_is_small():
     for probe, dispatcher_count, expected in ((True, 100, 2), (True, 1, 0), (False, 100, 0)):
-        d = many(dispatcher_count=dispatcher_count, health_checks_allowed=probe, load_report_fields=("x0",))
-        out = d.ask(1)
+        driver = many(dispatcher_count=dispatcher_count, health_checks_allowed=probe, load_report_fields=("x0",))
+        out = driver.request(1)
         probed = [a.worker for a in out if isinstance(a, interface.HealthCheck)]
         assert len(probed) == expected
         if probe and dispatcher_count == 100:
-            d.feed(
+            driver.handle(
                 interface.HealthCheckResult(probed[0], interface.AttemptResult.OK, 900, (2.0,)),
                 interface.HealthCheckResult("unknown", interface.AttemptResult.OK, 900, (2.0,)),
             )
-            assert sends(d.later(50 * MS)) == [(1, probed[0])]
+            assert sends(driver.advance(50 * MS)) == [(1, probed[0])]
 
 
-def test_a_worker_whose_last_start_was_late_comes_last_at_ties():
-    d = many(seed=8)
-    ((_, slow),) = sends(d.ask(1))
-    d.later(300 * MS)
-    d.start(1, 0, slow)
-    d.end(1, 0, slow)
+def test_worker_whose_last_start_was_late_comes_last_at_ties():
+    driver = many(seed=8)
+    ((_, slow),) = sends(driver.request(1))
+    driver.advance(300 * MS)
+    driver.start(1, 0, slow)
+    driver.end(1, 0, slow)
     for n in range(2, 200):
-        ((_, w),) = sends(d.ask(n))
+        ((_, w),) = sends(driver.request(n))
         assert w != slow
-        d.start(n, 0, w)
-        d.end(n, 0, w)
+        driver.start(n, 0, w)
+        driver.end(n, 0, w)
 
 
-def test_a_wait_is_learned_from_few_starts_where_own_traffic_is_small():
+def test_start_delay_is_learned_from_few_starts_where_own_traffic_is_small():
     # Each dispatcher of many sees few starts: at a tenth a start it sent on into full queues for seconds.
     for dispatcher_count, part in ((100, 0.25), (1, 0.1)):
-        d = many(dispatcher_count=dispatcher_count)
-        ((_, w),) = sends(d.ask(1))
-        d.later(200 * MS)
-        d.start(1, 0, w)
-        assert d.d.subsets.roster.machine_types[0].start_delays.by_in_flight[0][0] == part * 200 * MS
+        driver = many(dispatcher_count=dispatcher_count)
+        ((_, w),) = sends(driver.request(1))
+        driver.advance(200 * MS)
+        driver.start(1, 0, w)
+        assert driver.policy.subsets.roster.machine_types[0].start_delays.by_in_flight[0][0] == part * 200 * MS
--- a/tests/load_balancing/test_quota.py
+++ b/tests/load_balancing/test_quota.py
@@ -25,7 +25,7 @@
 
 
 @given(st.integers(1, 8), QUOTAS, st.lists(st.tuples(GAPS, st.integers(0, 7)), max_size=60))
-def test_all_dispatchers_together_let_no_more_through_in_any_window_than_the_bound(dispatcher_count, quota, traffic):
+def test_all_dispatchers_together_admit_no_more_than_the_bound_in_any_window(dispatcher_count, quota, traffic):
     tier = [QuotaBuckets() for _ in range(dispatcher_count)]
     now, within = SEC, []
     for gap, place in traffic:
@@ -39,7 +39,7 @@
 
 
 @given(QUOTAS, st.lists(GAPS, max_size=60))
-def test_requests_as_far_apart_as_the_part_allows_are_never_over(quota, more):
+def test_requests_as_far_apart_as_the_quota_share_allows_are_never_over(quota, more):
     buckets, now = QuotaBuckets(), SEC
     for gap in more:
         assert not buckets.is_over(with_quota(3, quota), ASK, now)
@@ -47,14 +47,14 @@
 
 
 @given(QUOTAS, st.integers(2, 40), st.integers(30, 200))
-def test_a_steady_excess_does_not_keep_the_quota_from_a_team(quota, times, count):
+def test_steady_excess_does_not_use_up_the_quota(quota, times, count):
     """Requests over the quota once took the rest of the bucket with them: a steady excess got nothing at all."""
     buckets, gap = QuotaBuckets(), max(int(SEC / quota / times), 1)
     over = sum(buckets.is_over(with_quota(1, quota), ASK, SEC + n * gap) for n in range(count))
     assert count - over >= count // (times + 1)  # one flows in during `times` gaps, or just after where these are cut
 
 
-def test_a_bucket_starts_full_with_one_whole_request_where_the_part_is_less():
+def test_bucket_starts_full_and_holds_at_least_one_request():
     buckets = QuotaBuckets()
     asked = [buckets.is_over(with_quota(200, 20.0), ASK, at) for at in (SEC, 2 * SEC, 10 * SEC, 11 * SEC + 1)]
     assert asked == [False, True, True, False]
@@ -65,16 +65,18 @@
     assert share_over(dispatcher_count, quota, at=dispatcher_count, seed=1) == pytest.approx(1 / 3, abs=0.03)
 
 
-def test_where_a_part_is_more_than_one_request_a_second_fewer_are_over():
+def test_fewer_are_over_where_the_share_exceeds_one_request_a_second():
     assert share_over(200, 450.0, at=200, seed=1) < 0.2
 
 
-def test_what_was_decided_outside_holds_instead_of_the_bucket():
+def test_external_quota_decision_replaces_the_bucket():
     def answers(decided, priority_weight=0.1):
-        d = Driver(workers=1, tenants=(interface.Tenant("team", 1.0),), over_quota_priority=priority_weight)
-        d.ask(1, tenant=9)
-        d.ask(2, tenant=9)  # held: who is over now yields
-        return [bool(finals(d.ask(n, tenant=0, over_quota=decided))) for n in (3, 4)], d.d.quota.buckets
+        driver = Driver(workers=1, tenants=(interface.Tenant("team", 1.0),), over_quota_priority=priority_weight)
+        driver.request(1, tenant=9)
+        driver.request(2, tenant=9)  # held: who is over now yields
+        return [
+            bool(finals(driver.request(n, tenant=0, over_quota=decided))) for n in (3, 4)
+        ], driver.policy.quota.buckets
 
     assert answers(None)[0] == [False, True]
     assert answers(True) == ([True, True], {})
--- a/tests/load_balancing/test_random_histories.py
+++ b/tests/load_balancing/test_random_histories.py
@@ -29,7 +29,7 @@
     def __init__(self, seed, copies):
         self.r = random.Random(seed)
         self.s = settings(hedging_allowed=copies, cancel_allowed=True, dispatcher_count=2)._replace(classes=CLASSES)
-        self.d, self.now, self.next = DispatchPolicy(self.s, seed), 50 * SEC, 0
+        self.policy, self.now, self.next = DispatchPolicy(self.s, seed), 50 * SEC, 0
         self.info = {
             n: interface.Endpoint(n, interface.WorkerState.READY, 0, n % 2, n % 2, n % 4, 1.0) for n in range(6)
         }
@@ -37,7 +37,7 @@
         self.give(interface.EndpointList(interface.ListScope.CACHED, 1, tuple(self.info.values())))
 
     def give(self, event):
-        for a in self.d.handle(self.now, event):
+        for a in self.policy.handle(self.now, event):
             self.check(a)
 
     def check(self, a):
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("copies", [False, True])
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_on_a_random_feed(seed, copies):
+def test_rules_hold_in_a_random_history(seed, copies):
     feed = Feed(seed, copies)
     for _ in range(2500):
         feed.step()
--- a/tests/load_balancing/test_retry_after.py
+++ b/tests/load_balancing/test_retry_after.py
@@ -25,11 +25,11 @@
 
 
 @given(st.randoms(use_true_random=False))
-def test_it_is_that_of_sums_over_each_job_and_worker_at_any_moment(rng):
+def test_retry_after_equals_sums_over_each_request_and_worker(rng):
     infos = tuple(
         interface.Endpoint(f"w{n}", machine_type=n % 2, started_at=rng.choice((0, 95 * SEC))) for n in range(12)
     )
-    d = Driver(
+    driver = Driver(
         infos=infos,
         cls=CLASS,
         retry_after_allowed=True,
@@ -39,29 +39,31 @@
     )
     open_attempts = []
     for number in range(60):
-        open_attempts += [(r, 0, w) for r, w in sends(d.ask(number, hint=rng.choice((0, 7, 100)) * MS, left=100 * SEC))]
+        open_attempts += [
+            (r, 0, w) for r, w in sends(driver.request(number, hint=rng.choice((0, 7, 100)) * MS, left=100 * SEC))
+        ]
         if rng.random() < 0.2:
             info = rng.choice(infos)._replace(
                 state=rng.choice(
                     (interface.WorkerState.READY, interface.WorkerState.DRAINING, interface.WorkerState.GONE)
                 )
             )
-            d.feed(interface.EndpointList(interface.ListScope.INCREMENTAL, number, (info,)))
+            driver.handle(interface.EndpointList(interface.ListScope.INCREMENTAL, number, (info,)))
         if open_attempts and rng.random() < 0.7:
             attempt = open_attempts.pop(rng.randrange(len(open_attempts)))
-            d.start(*attempt)
-            d.later(rng.choice((1, 30 * MS, 2 * SEC)))
-            d.end(
+            driver.start(*attempt)
+            driver.advance(rng.choice((1, 30 * MS, 2 * SEC)))
+            driver.end(
                 *attempt,
                 result=rng.choice(
                     (interface.AttemptResult.OK, interface.AttemptResult.OK, interface.AttemptResult.ERROR)
                 ),
             )
-        assert d.d.answers.retry_after() == plain_sums(d.d)
+        assert driver.policy.answers.retry_after() == plain_sums(driver.policy)
 
 
 @given(st.lists(st.tuples(st.integers(0, 10**7), st.booleans()), max_size=40), st.floats(1.0, 1e7))
-def test_the_work_of_open_jobs_is_that_of_each_together(history, mean):
+def test_total_work_equals_the_sum_over_pending_requests(history, mean):
     jobs = PendingRequests()
     for number, (hint, ends) in enumerate(history):
         jobs.add(PendingRequest(interface.Request(number), CLASS, False, 0, hint))
--- a/tests/support/fleets.py
+++ b/tests/support/fleets.py
@@ -5,7 +5,7 @@
 from badgerroad.load_balancing import interface
 from tests.support.policy_driver import MS, SEC, Driver, sends
 
-KEYED = interface.RequestClass(
+WITH_IDEMPOTENCY_KEY = interface.RequestClass(
     "k", interface.RetrySemantics.IDEMPOTENCY_KEY, 400 * MS, 6 * SEC, 2.0, interface.DeduplicationScope.CELL, 5 * SEC
 )
 
@@ -31,36 +31,39 @@
     """All dispatchers of a deployment and a log of their sends: (time, worker, start, work)."""
 
     def __init__(self, dispatcher_count, seed, fleet, hints, **over):
-        self.r = random.Random(seed)
-        self.ds = [many(n, dispatcher_count, seed=seed + n, fleet=fleet, **over) for n in range(dispatcher_count)]
+        self.rng = random.Random(seed)
+        self.drivers = [many(n, dispatcher_count, seed=seed + n, fleet=fleet, **over) for n in range(dispatcher_count)]
         self.started_at = {w.worker: w.started_at for w in fleet}
-        self.hints, self.log, self.next, self.due = hints, [], 0, []
+        self.hints, self.log, self.next, self.outcomes = hints, [], 0, []
 
-    def tell(self, d, entries):
-        self.note(d, d.feed(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, entries)))
+    def notify(self, driver, entries):
+        self.record(driver, driver.handle(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, entries)))
 
-    def note(self, d, actions):
+    def record(self, driver, actions):
         for request, worker in sends(actions):
-            self.log.append((d.now, worker, self.started_at[worker], self.work[request]))
-            self.due += [(d.now, request, worker, d.start), (d.now + self.work[request], request, worker, d.end)]
+            self.log.append((driver.now, worker, self.started_at[worker], self.work[request]))
+            self.outcomes += [
+                (driver.now, request, worker, driver.start),
+                (driver.now + self.work[request], request, worker, driver.end),
+            ]
 
     def run(self, seconds, per_second=8):
         self.work = getattr(self, "work", {})
         step = 20 * MS
         for _ in range(int(seconds * SEC / step)):
-            for d in self.ds:
-                self.note(d, d.later(step))
-                if self.r.random() < per_second * step / SEC:
+            for driver in self.drivers:
+                self.record(driver, driver.advance(step))
+                if self.rng.random() < per_second * step / SEC:
                     self.next += 1
-                    self.work[self.next] = self.r.choice(self.hints)
-                    self.note(d, d.ask(self.next, self.work[self.next]))
-            now, rest = self.ds[0].now, []
-            for when, request, worker, happens in self.due:
+                    self.work[self.next] = self.rng.choice(self.hints)
+                    self.record(driver, driver.request(self.next, self.work[self.next]))
+            now, rest = self.drivers[0].now, []
+            for when, request, worker, happens in self.outcomes:
                 if when > now:
                     rest.append((when, request, worker, happens))
                 else:
-                    self.note(happens.__self__, happens(request, 0, worker))
-            self.due = rest
+                    self.record(happens.__self__, happens(request, 0, worker))
+            self.outcomes = rest
 
     def most_of_the_bound(self, capacity, s):
         """The greatest share that any start of a worker was sent in any window of what it bears: in jobs of mean work,
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -31,37 +31,38 @@
     """Feeds one dispatcher and keeps what it says."""
 
     def __init__(self, workers=2, seed=1, infos=None, **over):
-        self.d = DispatchPolicy(settings(**over), seed)
-        self.now, self.said = 100 * SEC, []
+        self.policy = DispatchPolicy(settings(**over), seed)
+        self.now = 100 * SEC
+        self.actions = []
         if infos is None:
             infos = tuple(interface.Endpoint(f"w{n}") for n in range(workers))
-        self.feed(interface.EndpointList(interface.ListScope.CACHED, 1, infos))
+        self.handle(interface.EndpointList(interface.ListScope.CACHED, 1, infos))
 
-    def feed(self, *given):
+    def handle(self, *given):
         out = []
-        for e in given:
-            out += self.d.handle(self.now, e)
-        self.said += out
+        for event in given:
+            out += self.policy.handle(self.now, event)
+        self.actions += out
         return out
 
-    def later(self, us):
+    def advance(self, us):
         """Time passes; the timer that is out is delivered when due."""
         end, out = self.now + us, []
-        while self.d.context.timers.fires_at and self.d.context.timers.fires_at <= end:
-            self.now = self.d.context.timers.fires_at
-            out += self.feed(interface.Timer(self.d.context.timers.fires_at))
+        while self.policy.context.timers.fires_at and self.policy.context.timers.fires_at <= end:
+            self.now = self.policy.context.timers.fires_at
+            out += self.handle(interface.Timer(self.policy.context.timers.fires_at))
         self.now = end
         return out
 
-    def ask(self, rid, hint=10 * MS, left=6 * SEC, **more):
-        return self.feed(interface.Request(rid, time_left=left, work_hint=hint, **more))
+    def request(self, rid, hint=10 * MS, left=6 * SEC, **more):
+        return self.handle(interface.Request(rid, time_left=left, work_hint=hint, **more))
 
     def start(self, rid, attempt, worker):
-        return self.feed(interface.AttemptStarted(rid, attempt, worker))
+        return self.handle(interface.AttemptStarted(rid, attempt, worker))
 
     def end(self, rid, attempt, worker, result=interface.AttemptResult.OK, finished=None):
         done = result == interface.AttemptResult.OK if finished is None else finished
-        return self.feed(interface.AttemptEnded(rid, attempt, worker, result, 0, done))
+        return self.handle(interface.AttemptEnded(rid, attempt, worker, result, 0, done))
 
 
 def sends(actions):
