--- a/badgerroad/load_balancing/hedging_budget.py
+++ b/badgerroad/load_balancing/hedging_budget.py
@@ -4,6 +4,8 @@
 """Hedged requests that each first attempt allows at least, however crowded the workers are."""
 MAX_TOKENS = 4.0
 """Unused hedged requests that are saved up at most."""
+CROWDED_FACTOR = 0.8
+RECOVERY_STEP = 0.02
 SHARE_WITHOUT_HINT = 0.1
 """What a request without a work hint allows, as a part of what another one allows."""
 
@@ -28,6 +30,6 @@
     def adapt(self, crowded: bool) -> None:
         """A request was considered for hedging while most requests wait (crowded) or not."""
         if crowded:
-            self.tokens_per_request = max(self.tokens_per_request * 0.8, MIN_TOKENS_PER_REQUEST)
+            self.tokens_per_request = max(self.tokens_per_request * CROWDED_FACTOR, MIN_TOKENS_PER_REQUEST)
         else:
-            self.tokens_per_request = min(self.tokens_per_request + 0.02, 1.0)
+            self.tokens_per_request = min(self.tokens_per_request + RECOVERY_STEP, 1.0)
--- a/badgerroad/load_balancing/policy/estimates.py
+++ b/badgerroad/load_balancing/policy/estimates.py
@@ -19,6 +19,14 @@
 EJECTION_US = 100_000
 """How long a worker is ejected after a fault; doubled with each consecutive one, up to FORGET_AFTER_US."""
 DEFAULT_CONNECT_TIMEOUT_US = 100_000
+START_DELAY_WEIGHT = 0.1
+"""Weight of the newest start delay where the whole fleet is used,"""
+START_DELAY_WEIGHT_IN_SUBSET = 0.25
+"""and where own traffic is thin and few starts are seen."""
+QUEUEING_WEIGHT = 0.1
+"""Weight of the newest start, in time or not, in the share of requests that wait."""
+FASTEST_START_DRIFT = 1.02
+"""The fastest start rises by this factor with each slower one, as it may not be reached any more."""
 QUEUE_FULL = interface.AttemptResult.QUEUE_FULL
 TIMEOUT = interface.AttemptResult.TIMEOUT
 FAULTS = frozenset(
@@ -82,7 +90,7 @@
         delay = now - attempt.sent_at
         worker.running_slots += request.slots
         worker.set_queue_level(min(delay / (self.start_patience() + request.expected_work), 1.0), now)
-        self.fastest_start = min(delay, self.fastest_start * 1.02)
+        self.fastest_start = min(delay, self.fastest_start * FASTEST_START_DRIFT)
         self._learn_start_delay(attempt, delay)
         machine_type.max_slots_seen = max(machine_type.max_slots_seen, worker.running_slots)
         if worker.running_slots > machine_type.slots and self._subsets.uses_whole_fleet:
@@ -93,7 +101,7 @@
 
     def _learn_start_delay(self, attempt: Attempt, delay: float) -> None:
         """An attempt started `delay` microseconds after it was sent, or would have waited that long."""
-        weight = 0.1 if self._subsets.uses_whole_fleet else 0.25
+        weight = START_DELAY_WEIGHT if self._subsets.uses_whole_fleet else START_DELAY_WEIGHT_IN_SUBSET
         delays = attempt.worker.machine_type.start_delays
         delays.add(attempt.in_flight_before, delay, weight, self._context.now)
 
@@ -101,7 +109,7 @@
         """Note whether an attempt has started by the time when an idle worker would have reported it."""
         is_remote = self._subsets.is_remote(attempt.worker)
         shares = self.queueing_share
-        shares[is_remote] += (float(not attempt.started_at) - shares[is_remote]) * 0.1
+        shares[is_remote] += (float(not attempt.started_at) - shares[is_remote]) * QUEUEING_WEIGHT
 
     def learn_success(self, request: PendingRequest, attempt: Attempt) -> None:
         """An attempt has ended with an answer now."""
--- a/badgerroad/load_balancing/policy/selection.py
+++ b/badgerroad/load_balancing/policy/selection.py
@@ -31,7 +31,10 @@
 """Cost of a gamble on the objective deadline, in the same unit."""
 TRIAL_COST = 5.0
 """Cost of a worker whose last attempt failed, for a request that has failed before, in the same unit."""
+SPEED_COST = 0.05
+"""Cost of a worker at speed 1, the less the faster it is, in the same unit."""
 MAX_DELAYED_EXCESS_SENDS = 3
+"""Sends beyond the known slots that had to wait, after which a machine type gets no more of them."""
 
 Rank = tuple[float, float]
 
@@ -167,7 +170,7 @@
         tight = TIGHT_COST * (expected_time > SAFE_SHARE * time_left)
         trial = TRIAL_COST if worker.consecutive_failures and request.attempts else 0.0
         in_flight = worker.in_flight_slots + REMOTE_REQUESTS_COST * self._subsets.is_remote(worker)
-        return in_flight / worker.machine_type.slots + 0.05 / speed + tight + trial
+        return in_flight / worker.machine_type.slots + SPEED_COST / speed + tight + trial
 
     def _rank_by_queue(self, request: PendingRequest, worker: Worker) -> float:
         """Where own requests say little: the worker's queue as last reported."""
--- a/benchmarks/policy_pauses.py
+++ b/benchmarks/policy_pauses.py
@@ -1,9 +1,9 @@
-"""How long a dispatcher's decisions hold up everything else: a change of one worker, and a refusal.
+"""How long a dispatcher's decisions hold up everything else: a change of one worker, and a rejection.
 
     python -m benchmarks.policy_pauses [--workers 15 200 1000 3300 6600] [--jobs 1000] [--repeat 60]
 
-Virtual time, no sockets; 200 dispatchers. The change: one worker drains, is ready again, or starts anew. The refusal: a
-job past hope while many are open, with the time to come back. Milliseconds: median and the most of the repeats.
+Virtual time, no sockets; 200 dispatchers. The change: one worker drains, is ready again, or starts anew. The rejection: a
+request that cannot meet its objective while many are pending, with a Retry-After. Milliseconds: median and the most of the repeats.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 
 def served(workers, jobs):
-    """A dispatcher of 200 with the workers listed and some jobs open, most of them held."""
+    """A dispatcher of 200 with the workers listed and some requests pending, most of them queued."""
     settings = events.Settings(
         (events.RequestClass("c", latency_objective=3_600 * SEC, deadline=7_200 * SEC),),
         dispatcher_count=200,
@@ -44,10 +44,11 @@
     return policy, infos, now
 
 
-def timed(act):
+def timed(policy, now, event):
+    """The actions and how long they took to decide (milliseconds)."""
     begin = time.perf_counter()
-    act()
-    return (time.perf_counter() - begin) * 1e3
+    actions = policy.handle(now, event)
+    return actions, (time.perf_counter() - begin) * 1e3
 
 
 def changes(workers, repeat):
@@ -56,20 +57,24 @@
     for n in range(repeat):
         now += 1_000
         info = infos[(n * 7919) % workers]
-        for changed in (info._replace(state=events.WorkerState.DRAINING), info, info._replace(since=now - 60 * SEC)):
+        for changed in (
+            info._replace(state=events.WorkerState.DRAINING),
+            info,
+            info._replace(started_at=now - 60 * SEC),
+        ):
             event = events.EndpointList(events.ListScope.INCREMENTAL, n, (changed,))
-            took.append(timed(lambda: policy.handle(now, event)))
+            took.append(timed(policy, now, event)[1])
     return took
 
 
-def refusals(workers, jobs, repeat):
+def rejections(workers, jobs, repeat):
     policy, _, now = served(workers, jobs)
     took = []
     for n in range(repeat):
         event = events.Request(jobs + n, time_left=1, work_hint=3_000 * SEC)
-        answers = []
-        took.append(timed(lambda: answers.extend(policy.handle(now, event))))
-        assert any(isinstance(a, events.Reject) for a in answers), answers
+        actions, milliseconds = timed(policy, now, event)
+        took.append(milliseconds)
+        assert any(isinstance(action, events.Reject) for action in actions), actions
     return took
 
 
@@ -79,11 +84,11 @@
     parser.add_argument("--jobs", type=int, default=1000)
     parser.add_argument("--repeat", type=int, default=60)
     options = parser.parse_args()
-    print(f"| workers | change of one, median | most | refusal with {options.jobs} open jobs, median | most |")
+    print(f"| workers | change of one, median | most | rejection with {options.jobs} pending requests, median | most |")
     print("| --- | --- | --- | --- | --- |")
     for workers in options.workers:
         cells = []
-        for took in (changes(workers, options.repeat), refusals(workers, options.jobs, options.repeat)):
+        for took in (changes(workers, options.repeat), rejections(workers, options.jobs, options.repeat)):
             cells += [f"{median(took):.3f}", f"{max(took):.3f}"]
         print(f"| {workers} | " + " | ".join(cells) + " |", flush=True)
 
--- a/benchmarks/policy_traces.py
+++ b/benchmarks/policy_traces.py
@@ -2,9 +2,10 @@
 
     python benchmarks/policy_traces.py OLD NEW [--seeds 400] [--first 0] [--events 1200] [--jobs 2]
 
-OLD and NEW are checkouts; a version from before `badgerroad.load_balancing` is found by its earlier name. A history is a legal sequence of events with settings, workers,
-clock, outcomes and timers drawn from its seed alone; at some points learned state and open jobs go out and come back in,
-as in a handover. What each copy answers is compared event by event. Exit code 1 and the first difference if any differs.
+OLD and NEW are checkouts; a version from before `badgerroad.load_balancing` is found by its earlier name. A history is a
+legal sequence of events with settings, workers, clock, results and timers drawn from its seed alone; at some points
+learned state and open requests go out and come back in, as in a hot restart. What each copy answers is compared event by
+event. Exit code 1 and the first difference if any differs.
 """
 
 import argparse
--- a/benchmarks/policy_vocabulary.py
+++ b/benchmarks/policy_vocabulary.py
@@ -117,5 +117,5 @@
 def pending_requests(decisions):
     """By number, what either version of the decisions has pending: whether it is finished, and its class."""
     if hasattr(decisions, "jobs"):  # the earlier version
-        return {number: (job.done, job.cls) for number, job in decisions.requests.items()}
+        return {number: (job.done, job.cls) for number, job in decisions.jobs.items()}
     return {number: (request.finished, request.request_class) for number, request in decisions.requests.items()}
