--- a/tests/load_balancing/test_deployment_settings.py
+++ b/tests/load_balancing/test_deployment_settings.py
@@ -1,11 +1,11 @@
-"""Settings of other customers: tenants that move, jobs without hints, cancels that stop nothing, any number of dispatchers."""
+"""Effects of settings: tenants that move, requests without hints, cancels that stop nothing, numbers of dispatchers."""
 
 import random
 
 import pytest
 
 from badgerroad.load_balancing import interface
-from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Group, infos, many, zoned
+from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Deployment, infos, many, zoned
 from tests.support.policy_driver import MS, SEC, Driver, finals, sends
 
 TENANTS = (interface.Tenant("a", 4.0, 0.5), interface.Tenant("b", 4.0, 0.3), interface.Tenant("c", 4.0, 0.2))
@@ -28,7 +28,7 @@
         driver.handle(interface.SettingsChanged(driver.policy.settings._replace(tenants=tuple(tenants))))
         rid += 1
         over = driver.request(rid, tenant=names.index(spent))
-        assert [a.request for a in finals(over)] == [rid]  # it yields while others are held
+        assert [a.request for a in finals(over)] == [rid]  # it is rejected while others are queued
         for n, name in enumerate(names):
             if name != spent and name not in driver.policy.quota.buckets:
                 rid += 1
@@ -36,7 +36,7 @@
 
 
 def test_request_without_hint_counts_as_the_recent_run_time_of_its_class():
-    """It weighed nothing: all that could not start within its aim was hopeless, and cold workers bore any number."""
+    """It counted nothing: what could not start within its objective was rejected, and slow start had no limit."""
     driver = Driver(workers=1)
     ((_, w),) = sends(driver.request(1, hint=0))
     driver.start(1, 0, w)
@@ -46,28 +46,30 @@
     assert driver.policy.requests[2].expected_work == 800 * MS
     assert (
         driver.policy.requests[2].objective_deadline == driver.now + 400 * MS + 2 * 800 * MS
-    )  # aim, and its stretch of that
+    )  # objective, and its part in proportion to work
 
 
 @pytest.mark.parametrize("dispatcher_count", [2, 20, 30, 200])
-@pytest.mark.parametrize("hinted", [True, False])
+@pytest.mark.parametrize("hinted", [True, False], ids=["with_hints", "without_hints"])
 def test_all_dispatchers_together_keep_the_slow_start_budget_however_many_they_are(dispatcher_count, hinted):
     start = 100 * SEC
     fleet = tuple(w._replace(started_at=start) if n < 20 else w for n, w in enumerate(infos(60)))
-    group = Group(dispatcher_count, 3, fleet, [20 * MS, 50 * MS, 100 * MS, 250 * MS])
+    deployment = Deployment(dispatcher_count, 3, fleet, [20 * MS, 50 * MS, 100 * MS, 250 * MS])
     if not hinted:
-        for driver in group.drivers:
+        for driver in deployment.drivers:
             driver.request = lambda rid, hint, ask=driver.request: ask(rid, 0)
-    group.run(4, per_second=400 / dispatcher_count)
+    deployment.run(4, per_second=400 / dispatcher_count)
     # What a worker can do is what one was seen to do: here each runs whatever comes.
     slots = max(
         max(k.max_slots_seen, k.slots)
-        for driver in group.drivers
+        for driver in deployment.drivers
         for k in driver.policy.subsets.roster.machine_types.values()
     )
     assert slots <= 4
-    assert group.most_of_the_bound(slots, group.drivers[0].policy.settings) <= 1.0
-    assert dispatcher_count < 5 or any(started_at for _, _, started_at, _ in group.log)  # few have warm workers enough
+    assert deployment.max_share_of_slow_start_bound(slots, deployment.drivers[0].policy.settings) <= 1.0
+    assert dispatcher_count < 5 or any(
+        sent.worker_started_at for sent in deployment.log
+    )  # few have warm workers enough
 
 
 def test_restarted_dispatcher_does_not_spend_its_slow_start_budget_twice():
@@ -79,7 +81,7 @@
 
 
 def test_hedging_becomes_rare_while_most_requests_wait_in_all_zones_and_recovers():
-    """Nothing tells whether workers drop what is cancelled: where they do not, copies filled all queues."""
+    """Nothing reports whether workers drop what is cancelled: where they do not, hedging filled all queues."""
     driver = zoned()
     made = []
     for rid in range(1, 61):
--- a/tests/load_balancing/test_dispatch_policy.py
+++ b/tests/load_balancing/test_dispatch_policy.py
@@ -107,7 +107,7 @@
 
 
 def test_objective_of_a_client_retry_counts_from_its_first_try():
-    # Repeats of refused jobs, served as if new, made most answers late under overload.
+    # Retries of rejected requests, served as if new, made most answers late under overload.
     driver = Driver(workers=1)
     driver.request(1, left=6 * SEC)
     out = driver.request(2, left=5 * SEC, hint=100 * MS)
@@ -115,7 +115,7 @@
 
 
 def test_short_deadline_is_no_wait_where_clients_mark_retries():
-    # One claim of a long wait had all later first tries of the class refused at once, though workers stood idle.
+    # One claim of a long wait had all later first tries of the class rejected at once, though workers were idle.
     driver = Driver(workers=1, clients_mark_retries=True)
     driver.request(1, left=6 * SEC)
     driver.start(1, 0, "w0")
@@ -125,7 +125,7 @@
     driver.end(2, 0, "w0")
     assert finals(driver.request(3, left=2 * SEC, hint=100 * MS, client_retry=True)) == [
         interface.Reject(3)
-    ]  # a second of its aim is gone
+    ]  # a second of its objective is gone
     assert sends(driver.request(4, left=2900 * MS, hint=100 * MS, client_retry=True)) == [(4, "w0")]
 
 
@@ -136,7 +136,7 @@
 
 
 def test_request_over_quota_is_rejected_while_others_are_queued():
-    # A tenant's traffic beyond its share took slots from what is worth ten times as much.
+    # A tenant's traffic over quota took slots from what has ten times its priority weight.
     driver = Driver(
         workers=1, tenants=(interface.Tenant("a", 2.0), interface.Tenant("b", 100.0)), over_quota_priority=0.1
     )
@@ -185,7 +185,7 @@
 
 
 def test_only_a_worker_with_missing_progress_reports_loses_its_request():
-    # A host that fell silent kept its jobs until their clients gave up.
+    # A worker that fell silent kept its requests until their clients gave up.
     long = interface.RequestClass("s", interface.RetrySemantics.IDEMPOTENT, 20 * SEC, 30 * SEC, 2.0)
     driver = Driver(workers=2, cls=long, progress_interval=SEC, cancel_allowed=True, hedging_allowed=True)
     for n in (1, 2):
--- a/tests/load_balancing/test_endpoint_roster.py
+++ b/tests/load_balancing/test_endpoint_roster.py
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture(autouse=True)
-def places_collide(monkeypatch):
+def _sort_keys_collide(monkeypatch):
     monkeypatch.setattr(workers_module, "crc32", lambda data: crc32(data) % 2)
 
 
--- a/tests/load_balancing/test_large_fleets.py
+++ b/tests/load_balancing/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""Many dispatchers, many workers, little own traffic: what growth once broke."""
+"""Many dispatchers and workers, where each dispatcher's own traffic is a small part of a worker's load."""
 
 import random
 import subprocess
@@ -8,38 +8,38 @@
 
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy.selection import WorkerSelection
-from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Group, infos, many
+from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Deployment, infos, many
 from tests.support.policy_driver import MS, SEC, Driver, finals, sends
 
 
-@pytest.mark.parametrize("cold", [1, 50])
-def test_all_dispatchers_together_keep_the_slow_start_budget_and_use_it(cold):
-    # A hundredth of a budget is less than one job: cold workers once got nothing until they were warm.
+@pytest.mark.parametrize("warming_up", [1, 50])
+def test_all_dispatchers_together_keep_the_slow_start_budget_and_use_it(warming_up):
+    # A hundredth of a budget is less than one request: such workers once got nothing until they were warm.
     start = 100 * SEC
-    fleet = tuple(w._replace(started_at=start) if n < cold else w for n, w in enumerate(infos(60)))
-    group = Group(100, 5, fleet, [5 * MS, 20 * MS, 20 * MS, 40 * MS, 300 * MS])
-    s = group.drivers[0].policy.settings
-    group.run(3)
-    # A restart under the same id, told to each at another time; and one that is gone and comes back.
-    again = fleet[0]._replace(started_at=group.drivers[0].now)
-    group.started_at["w0"] = again.started_at
-    for n, driver in enumerate(group.drivers):
-        group.notify(driver, (again,))
+    fleet = tuple(w._replace(started_at=start) if n < warming_up else w for n, w in enumerate(infos(60)))
+    deployment = Deployment(100, 5, fleet, [5 * MS, 20 * MS, 20 * MS, 40 * MS, 300 * MS])
+    s = deployment.drivers[0].policy.settings
+    deployment.run(3)
+    # A restart under the same id, reported to each at another time; and one that is gone and comes back.
+    again = fleet[0]._replace(started_at=deployment.drivers[0].now)
+    deployment.started_at["w0"] = again.started_at
+    for n, driver in enumerate(deployment.drivers):
+        deployment.notify(driver, (again,))
         if n % 3 == 0:
-            group.notify(driver, (again._replace(state=interface.WorkerState.GONE),))
-            group.notify(driver, (again,))
-    group.run(3)
-    assert 0.4 < group.most_of_the_bound(1.0, s) <= 1.0  # a worker does at least what one slot at speed 1 does
-    cold_sends = [w for _, w, started_at, _ in group.log if started_at]
-    assert len({*cold_sends}) == cold
-    assert len(cold_sends) > 5 * cold
+            deployment.notify(driver, (again._replace(state=interface.WorkerState.GONE),))
+            deployment.notify(driver, (again,))
+    deployment.run(3)
+    assert (
+        0.4 < deployment.max_share_of_slow_start_bound(1.0, s) <= 1.0
+    )  # a worker does at least what one slot at speed 1 does
+    slow_start_sends = [sent.worker for sent in deployment.log if sent.worker_started_at]
+    assert len({*slow_start_sends}) == warming_up
+    assert len(slow_start_sends) > 5 * warming_up
 
 
 def test_worker_listed_again_has_no_new_slow_start_budget():
     driver = many(dispatcher_count=1, workers=1, fleet=infos(1, started_at=99 * SEC), max_attempts=9)
-    n = 0
-    for _ in range(30):
-        n += 1
+    for n in range(1, 31):
         out = driver.request(n, 100 * MS)
         for request, worker in sends(out):
             driver.start(request, 0, worker)
@@ -58,9 +58,9 @@
 def test_subsets_spread_workers_evenly_over_dispatchers():
     uses = {}
     for n in range(100):
-        near = many(n).policy.subsets.local
-        assert 3 <= len(near) <= 4
-        for w in near:
+        subset = many(n).policy.subsets.local
+        assert 3 <= len(subset) <= 4
+        for w in subset:
             uses[w.id] = uses.get(w.id, 0) + 1
     assert len(uses) == 60
     assert max(uses.values()) - min(uses.values()) <= 2
@@ -100,44 +100,43 @@
     assert "w" in outs.pop()
 
 
-@pytest.mark.parametrize("trouble", ["silent", "draining", "gone", "error", "full"])
-def test_requests_go_beyond_the_subset_when_all_its_workers_fail(trouble):
+@pytest.mark.parametrize("fault", ["silent", "draining", "gone", "error", "full"])
+def test_requests_go_beyond_the_subset_when_all_its_workers_fail(fault):
     driver = many()
-    near = [w.id for w in driver.policy.subsets.local]
-    if trouble in ("draining", "gone"):
-        state = interface.WorkerState.DRAINING if trouble == "draining" else interface.WorkerState.GONE
+    subset = [w.id for w in driver.policy.subsets.local]
+    if fault in ("draining", "gone"):
+        state = interface.WorkerState.DRAINING if fault == "draining" else interface.WorkerState.GONE
         driver.handle(
             interface.EndpointList(
                 interface.ListScope.INCREMENTAL,
                 2,
-                tuple(w._replace(state=state) for w in infos(60) if w.worker in near),
+                tuple(w._replace(state=state) for w in infos(60) if w.worker in subset),
             )
         )
-    late, rid = [], 0
-    for _ in range(80):
-        rid += 1
-        for request, worker in sends(driver.request(rid)):
-            if worker not in near:
-                late.append(request)
+    sent_elsewhere = []
+    for number in range(1, 81):
+        for request, worker in sends(driver.request(number)):
+            if worker not in subset:
+                sent_elsewhere.append(request)
                 driver.start(request, 0, worker)
                 driver.end(request, 0, worker)
-            elif trouble in ("error", "full"):
+            elif fault in ("error", "full"):
                 driver.end(
                     request,
                     0,
                     worker,
-                    interface.AttemptResult.ERROR if trouble == "error" else interface.AttemptResult.QUEUE_FULL,
+                    interface.AttemptResult.ERROR if fault == "error" else interface.AttemptResult.QUEUE_FULL,
                 )
         driver.advance(20 * MS)
-    assert len(late) > 40, "jobs stuck to workers that do not serve"
-    if trouble in ("draining", "gone"):
-        assert not any(w in near for _, w in sends(driver.actions))
+    assert len(sent_elsewhere) > 40, "requests stuck to workers that do not serve"
+    if fault in ("draining", "gone"):
+        assert not any(w in subset for _, w in sends(driver.actions))
     driver.advance(7 * SEC)
-    answered = {a.request for a in finals(driver.actions)} | set(late)
-    assert answered == set(range(1, rid + 1)), "a job without an answer"
+    answered = {a.request for a in finals(driver.actions)} | set(sent_elsewhere)
+    assert answered == set(range(1, 81)), "a request without an answer"
 
 
-def started_copy(**over):
+def hedged_request(**over):
     driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, **over)
     ((_, first),) = sends(driver.request(1))
     out = driver.advance(50 * MS)
@@ -145,7 +144,7 @@
 
 
 def test_waiting_request_with_an_idempotency_key_is_hedged_in_its_cell_and_the_rest_is_cancelled():
-    driver, first, copies = started_copy()
+    driver, first, copies = hedged_request()
     cell = {w.worker: w.cell for w in infos(60)}
     assert copies
     assert all(cell[w] == cell[first] and w != first for _, w in copies)
@@ -159,7 +158,11 @@
     assert not sends(driver.advance(SEC))
 
 
-@pytest.mark.parametrize("over", [dict(dispatcher_count=1), dict(cancel_allowed=False), dict(reports_start=False)])
+@pytest.mark.parametrize(
+    "over",
+    [dict(dispatcher_count=1), dict(cancel_allowed=False), dict(reports_start=False)],
+    ids=["whole_fleet", "no_cancel", "no_start_reports"],
+)
 def test_no_hedging_without_its_conditions(over):
     driver = many(**{**dict(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True), **over})
     driver.request(1)
@@ -184,17 +187,17 @@
 
 @pytest.mark.parametrize("workers", [60, 600])
 def test_workers_examined_for_a_request_do_not_grow_with_the_fleet(workers, monkeypatch):
-    # Ranking all workers for each request once had large fleets cut off for their CPU.
-    looked = []
+    # Ranking all workers for each request took too much CPU time in large fleets.
+    examined = []
     plain = WorkerSelection.is_available
-    monkeypatch.setattr(WorkerSelection, "is_available", lambda self, w: looked.append(w) or plain(self, w))
+    monkeypatch.setattr(WorkerSelection, "is_available", lambda self, w: examined.append(w) or plain(self, w))
     driver = many(dispatcher_count=workers * 2, workers=workers)
-    looked.clear()
+    examined.clear()
     for rid in range(50):
         for request, worker in sends(driver.request(rid)):
             driver.start(request, 0, worker)
             driver.end(request, 0, worker)
-    assert 0 < len(looked) <= 50 * 20
+    assert 0 < len(examined) <= 50 * 20
 
 
 def test_state_stays_bounded_while_workers_come_and_go():
@@ -255,34 +258,36 @@
 
 def test_reported_free_slots_settle_ties_until_stale():
     driver = many(load_report_fields=("x0",), seed=4)
-    near = [w.id for w in driver.policy.subsets.local]
+    subset = [w.id for w in driver.policy.subsets.local]
     for n in range(300):
         out = sends(driver.request(n))
-        report(driver, n, out[0][1], 1.0 if out[0][1] == near[1] else 0.0)
+        report(driver, n, out[0][1], 1.0 if out[0][1] == subset[1] else 0.0)
     picks = [sends(driver.request(1000))[0][1]]
-    assert picks == [near[1]], "a worker with a free slot comes first"
-    report(driver, 1000, near[1], 1.0)
+    assert picks == [subset[1]], "a worker with a free slot comes first"
+    report(driver, 1000, subset[1], 1.0)
     seen = set()
     for n in range(2000, 2100):
         driver.advance(10 * SEC)  # all reports are stale each time
         out = sends(driver.request(n))
         seen.add(out[0][1])
         report(driver, n, out[0][1], 0.0)
-    assert seen == set(near)
+    assert seen == set(subset)
 
 
 def test_health_checks_only_where_allowed_and_own_traffic_is_small():
-    for probe, dispatcher_count, expected in ((True, 100, 2), (True, 1, 0), (False, 100, 0)):
-        driver = many(dispatcher_count=dispatcher_count, health_checks_allowed=probe, load_report_fields=("x0",))
+    for checks_allowed, dispatcher_count, expected in ((True, 100, 2), (True, 1, 0), (False, 100, 0)):
+        driver = many(
+            dispatcher_count=dispatcher_count, health_checks_allowed=checks_allowed, load_report_fields=("x0",)
+        )
         out = driver.request(1)
-        probed = [a.worker for a in out if isinstance(a, interface.HealthCheck)]
-        assert len(probed) == expected
-        if probe and dispatcher_count == 100:
+        checked = [a.worker for a in out if isinstance(a, interface.HealthCheck)]
+        assert len(checked) == expected
+        if checks_allowed and dispatcher_count == 100:
             driver.handle(
-                interface.HealthCheckResult(probed[0], interface.AttemptResult.OK, 900, (2.0,)),
+                interface.HealthCheckResult(checked[0], interface.AttemptResult.OK, 900, (2.0,)),
                 interface.HealthCheckResult("unknown", interface.AttemptResult.OK, 900, (2.0,)),
             )
-            assert sends(driver.advance(50 * MS)) == [(1, probed[0])]
+            assert sends(driver.advance(50 * MS)) == [(1, checked[0])]
 
 
 def test_worker_whose_last_start_was_late_comes_last_at_ties():
--- a/tests/load_balancing/test_random_histories.py
+++ b/tests/load_balancing/test_random_histories.py
@@ -1,6 +1,7 @@
-"""Seeded random feeds of legal events; a checker of its own watches rules 1 to 3 and the budget of rule 4."""
+"""Seeded random histories of legal events; each action is checked against rules 1 to 3 and the budget of rule 4."""
 
 import random
+from dataclasses import dataclass, field
 
 import pytest
 
@@ -23,137 +24,203 @@
 )
 
 SLOTS = 2  # of each worker, each of speed 1: its true capacity
+FAILURES = (
+    interface.AttemptResult.ERROR,
+    interface.AttemptResult.QUEUE_FULL,
+    interface.AttemptResult.TIMEOUT,
+    interface.AttemptResult.CONNECT_FAILED,
+    interface.AttemptResult.RESET,
+)
+STATES = (
+    interface.WorkerState.READY,
+    interface.WorkerState.READY,
+    interface.WorkerState.DRAINING,
+    interface.WorkerState.GONE,
+)
+
+
+@dataclass
+class SentAttempt:
+    sent_at: int
+    worker: interface.Endpoint
+    result: str | None = None
+
+    def may_have_run(self):
+        return self.result not in interface.NEVER_RAN
+
+
+@dataclass
+class AcceptedRequest:
+    request_class: interface.RequestClass
+    deadline: int
+    work: int
+    answered: bool = False
+    attempts: list[SentAttempt] = field(default_factory=list)
+
 
+class RandomHistory:
+    """Plays random legal events to a policy and checks each of its actions against the rules."""
 
-class Feed:
-    def __init__(self, seed, copies):
-        self.r = random.Random(seed)
-        self.s = settings(hedging_allowed=copies, cancel_allowed=True, dispatcher_count=2)._replace(classes=CLASSES)
-        self.policy, self.now, self.next = DispatchPolicy(self.s, seed), 50 * SEC, 0
-        self.info = {
-            n: interface.Endpoint(n, interface.WorkerState.READY, 0, n % 2, n % 2, n % 4, 1.0) for n in range(6)
+    def __init__(self, seed, hedging_allowed):
+        self.rng = random.Random(seed)
+        self.settings = settings(
+            hedging_allowed=hedging_allowed, cancel_allowed=True, dispatcher_count=2, classes=CLASSES
+        )
+        self.policy = DispatchPolicy(self.settings, seed)
+        self.now = 50 * SEC
+        self.next_request = 0
+        self.endpoints = {
+            number: interface.Endpoint(number, interface.WorkerState.READY, 0, number % 2, number % 2, number % 4, 1.0)
+            for number in range(6)
         }
-        self.req, self.open, self.timers, self.cold, self.start = {}, {}, [], {}, {}
-        self.give(interface.EndpointList(interface.ListScope.CACHED, 1, tuple(self.info.values())))
+        self.requests = {}
+        self.in_flight = {}  # (request, attempt): worker
+        self.started_at = {}  # (request, attempt): when
+        self.timers = []
+        self.slow_start_sends = {}  # (worker, start): (when, work) of each
+        self.give(interface.EndpointList(interface.ListScope.CACHED, 1, tuple(self.endpoints.values())))
 
     def give(self, event):
-        for a in self.policy.handle(self.now, event):
-            self.check(a)
-
-    def check(self, a):
-        if isinstance(a, interface.SetTimer):
-            self.timers.append((self.now + a.delay, a.token))
-        elif isinstance(a, interface.Send):
-            q = self.req[a.request]
-            assert not q["done"], "a send after the final answer"
-            assert self.info[a.worker].state == interface.WorkerState.READY, "a send to a worker that is not ready"
-            assert len(q["tries"]) < self.s.max_attempts
-            cls = CLASSES[q["cls"]]
-            maybe = [t for t in q["tries"] if t["result"] not in interface.NEVER_RAN]
-            if any(t["result"] is None for t in q["tries"]):
-                assert self.s.hedging_allowed
-                assert cls.semantics != interface.RetrySemantics.NON_IDEMPOTENT
-            if maybe and cls.semantics == interface.RetrySemantics.NON_IDEMPOTENT:
-                raise AssertionError("an unsafe request was sent again")
-            if maybe and cls.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY:
-                old, new = maybe[0]["info"], self.info[a.worker]
-                assert self.now < maybe[0]["at"] + cls.deduplication_window
-                assert cls.deduplication_scope != interface.DeduplicationScope.ZONE or old.zone == new.zone
-                assert cls.deduplication_scope != interface.DeduplicationScope.CELL or old.cell == new.cell
-            started_at = self.info[a.worker].started_at
-            if started_at and self.now - started_at < self.s.slow_start_duration:
-                sent = self.cold.setdefault((a.worker, started_at), [])
-                sent.append((self.now, q["hint"]))
-                share = 0.2 + 0.8 * (self.now - started_at) / self.s.slow_start_duration
-                work = sum(h for t, h in sent if t > self.now - self.s.overload_window)
-                # Of both dispatchers together test_scale.py sees to it; one alone must stay within the whole.
-                assert work <= 3.0 * share * SLOTS * self.s.overload_window
-            n = len(q["tries"])
-            q["tries"].append({"at": self.now, "info": self.info[a.worker], "result": None})
-            self.open[a.request, n] = a.worker
-        elif isinstance(a, interface.Reject | interface.Fail):
-            q = self.req[a.request]
-            assert not q["done"], "a second final answer"
-            assert self.now <= q["deadline"] + self.s.answer_slack
-            cls = CLASSES[q["cls"]]
-            if isinstance(a, interface.Reject) and any(t["result"] not in interface.NEVER_RAN for t in q["tries"]):
-                assert (
-                    cls.semantics == interface.RetrySemantics.IDEMPOTENT
-                    or cls.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY
-                    and cls.deduplication_scope == interface.DeduplicationScope.ALL
-                )
-            q["done"] = True
+        for action in self.policy.handle(self.now, event):
+            if isinstance(action, interface.SetTimer):
+                self.timers.append((self.now + action.delay, action.token))
+            elif isinstance(action, interface.Send):
+                self.check_send(action)
+            elif isinstance(action, interface.Reject | interface.Fail):
+                self.check_answer(action)
+
+    def check_send(self, send):
+        request = self.requests[send.request]
+        endpoint = self.endpoints[send.worker]
+        assert not request.answered, "a send after the final answer"
+        assert endpoint.state == interface.WorkerState.READY, "a send to a worker that is not ready"
+        assert len(request.attempts) < self.settings.max_attempts
+        self.check_retry(request, endpoint)
+        self.check_slow_start_budget(endpoint, request.work)
+        number = len(request.attempts)
+        request.attempts.append(SentAttempt(self.now, endpoint))
+        self.in_flight[send.request, number] = send.worker
+
+    def check_retry(self, request, endpoint):
+        request_class = request.request_class
+        semantics = request_class.semantics
+        if any(attempt.result is None for attempt in request.attempts):
+            assert self.settings.hedging_allowed
+            assert semantics != interface.RetrySemantics.NON_IDEMPOTENT
+        first = next((attempt for attempt in request.attempts if attempt.may_have_run()), None)
+        if first is None:
+            return
+        assert semantics != interface.RetrySemantics.NON_IDEMPOTENT, "a non-idempotent request was sent again"
+        if semantics == interface.RetrySemantics.IDEMPOTENCY_KEY:
+            scope = request_class.deduplication_scope
+            assert self.now < first.sent_at + request_class.deduplication_window
+            assert scope != interface.DeduplicationScope.ZONE or first.worker.zone == endpoint.zone
+            assert scope != interface.DeduplicationScope.CELL or first.worker.cell == endpoint.cell
+
+    def check_slow_start_budget(self, endpoint, work):
+        """This dispatcher alone stays within the whole budget; test_large_fleets sees to all together."""
+        age = self.now - endpoint.started_at
+        if not endpoint.started_at or age >= self.settings.slow_start_duration:
+            return
+        sends = self.slow_start_sends.setdefault((endpoint.worker, endpoint.started_at), [])
+        sends.append((self.now, work))
+        share = 0.2 + 0.8 * age / self.settings.slow_start_duration
+        sent_work = sum(work for when, work in sends if when > self.now - self.settings.overload_window)
+        assert sent_work <= 3.0 * share * SLOTS * self.settings.overload_window
+
+    def check_answer(self, answer):
+        request = self.requests[answer.request]
+        assert not request.answered, "a second final answer"
+        assert self.now <= request.deadline + self.settings.answer_slack
+        if isinstance(answer, interface.Reject) and any(attempt.may_have_run() for attempt in request.attempts):
+            request_class = request.request_class
+            assert (
+                request_class.semantics == interface.RetrySemantics.IDEMPOTENT
+                or request_class.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY
+                and request_class.deduplication_scope == interface.DeduplicationScope.ALL
+            )
+        request.answered = True
 
     def step(self):
-        self.now += self.r.choice((0, 0, 5 * MS, 5 * MS, 20 * MS))
-        for when, token in sorted(self.timers):
-            if when <= self.now:
-                self.timers.remove((when, token))
-                self.give(interface.Timer(token))
-        for rid, q in self.req.items():
-            assert q["done"] or self.now <= q["deadline"] + self.s.answer_slack + 20 * MS, "a request was lost"
-        roll = self.r.random()
+        self.now += self.rng.choice((0, 0, 5 * MS, 5 * MS, 20 * MS))
+        self.fire_timers()
+        for request in self.requests.values():
+            latest = request.deadline + self.settings.answer_slack + 20 * MS
+            assert request.answered or self.now <= latest, "a request was lost"
+        roll = self.rng.random()
         if roll < 0.4:
-            cls = self.r.randrange(len(CLASSES))
-            rid, self.next = self.next, self.next + 1
-            hint = self.r.choice((0, self.r.randrange(1, 200) * MS, self.r.randrange(1, 30) * MS))
-            left = self.r.choice((CLASSES[cls].deadline, 300 * MS, 60 * MS))
-            self.req[rid] = {"cls": cls, "deadline": self.now + left, "done": False, "tries": [], "hint": hint}
-            self.give(interface.Request(rid, cls, 0, 0, left, hint))
-        elif roll < 0.9 and self.open:
-            (rid, n), worker = self.r.choice(list(self.open.items()))
-            q = self.req[rid]
-            started = self.start.get((rid, n))
-            if started is None and sum(self.open.get(k) == worker for k in self.start) < SLOTS:
-                self.start[rid, n] = self.now
-                self.give(interface.AttemptStarted(rid, n, worker))
+            self.send_request()
+        elif roll < 0.9 and self.in_flight:
+            if not self.continue_attempt():
                 return
-            if (started is None or self.now - started < q["hint"]) and self.r.random() < 0.7:
-                return  # it still runs or waits: a worker does as much as SLOTS at speed 1, and no more
-            del self.open[rid, n]
-            self.start.pop((rid, n), None)
-            served = started is not None and self.now - started >= q["hint"]
-            bad = self.r.choice(
-                (
-                    interface.AttemptResult.ERROR,
-                    interface.AttemptResult.QUEUE_FULL,
-                    interface.AttemptResult.TIMEOUT,
-                    interface.AttemptResult.CONNECT_FAILED,
-                    interface.AttemptResult.RESET,
-                )
-            )
-            result = interface.AttemptResult.OK if served and self.r.random() < 0.7 else bad
-            q["tries"][n]["result"] = result
-            q["done"] = q["done"] or result == interface.AttemptResult.OK
-            self.give(interface.AttemptEnded(rid, n, worker, result, 0, q["done"]))
-        elif roll < 0.93 and self.req:
-            rid = self.r.choice(list(self.req))
-            self.req[rid]["done"] = True
-            self.give(interface.ClientDisconnected(rid))
+        elif roll < 0.93 and self.requests:
+            self.disconnect_client()
         elif roll < 0.97:
-            n = self.r.randrange(6)
-            state = self.r.choice(
-                (
-                    interface.WorkerState.READY,
-                    interface.WorkerState.READY,
-                    interface.WorkerState.DRAINING,
-                    interface.WorkerState.GONE,
-                )
-            )
-            started_at = self.now if self.info[n].state != interface.WorkerState.READY else self.info[n].started_at
-            self.info[n] = self.info[n]._replace(state=state, started_at=started_at)
-            self.give(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (self.info[n],)))
+            self.change_worker()
         elif roll < 0.98:
             self.give(interface.EndpointList(interface.ListScope.FAILED))
-        done = [r for r, q in self.req.items() if q["done"] and not any(k[0] == r for k in self.open)]
-        for r in done[:-20]:
-            del self.req[r]
+        self.forget_old_requests()
+
+    def fire_timers(self):
+        for when, token in sorted(self.timers):
+            if when <= self.now:
+                self.timers.remove((when, token))
+                self.give(interface.Timer(token))
+
+    def send_request(self):
+        class_index = self.rng.randrange(len(CLASSES))
+        number = self.next_request
+        self.next_request += 1
+        work = self.rng.choice((0, self.rng.randrange(1, 200) * MS, self.rng.randrange(1, 30) * MS))
+        time_left = self.rng.choice((CLASSES[class_index].deadline, 300 * MS, 60 * MS))
+        self.requests[number] = AcceptedRequest(CLASSES[class_index], self.now + time_left, work)
+        self.give(interface.Request(number, class_index, 0, 0, time_left, work))
+
+    def continue_attempt(self):
+        """Did an attempt end? It may start or run on: a worker does as much as SLOTS at speed 1, and no more."""
+        key, worker = self.rng.choice(list(self.in_flight.items()))
+        request = self.requests[key[0]]
+        started_at = self.started_at.get(key)
+        if started_at is None and sum(self.in_flight.get(other) == worker for other in self.started_at) < SLOTS:
+            self.started_at[key] = self.now
+            self.give(interface.AttemptStarted(*key, worker))
+            return False
+        has_run = started_at is not None and self.now - started_at >= request.work
+        if not has_run and self.rng.random() < 0.7:
+            return False
+        del self.in_flight[key]
+        self.started_at.pop(key, None)
+        failure = self.rng.choice(FAILURES)
+        result = interface.AttemptResult.OK if has_run and self.rng.random() < 0.7 else failure
+        request.attempts[key[1]].result = result
+        request.answered = request.answered or result == interface.AttemptResult.OK
+        self.give(interface.AttemptEnded(*key, worker, result, 0, request.answered))
+        return True
+
+    def disconnect_client(self):
+        number = self.rng.choice(list(self.requests))
+        self.requests[number].answered = True
+        self.give(interface.ClientDisconnected(number))
+
+    def change_worker(self):
+        number = self.rng.randrange(6)
+        old = self.endpoints[number]
+        state = self.rng.choice(STATES)
+        started_at = self.now if old.state != interface.WorkerState.READY else old.started_at
+        self.endpoints[number] = old._replace(state=state, started_at=started_at)
+        self.give(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (self.endpoints[number],)))
+
+    def forget_old_requests(self):
+        with_attempts = {number for number, _ in self.in_flight}
+        over = [n for n, request in self.requests.items() if request.answered and n not in with_attempts]
+        for number in over[:-20]:
+            del self.requests[number]
 
 
-@pytest.mark.parametrize("copies", [False, True])
+@pytest.mark.parametrize("hedging_allowed", [False, True], ids=["without_hedging", "with_hedging"])
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_in_a_random_history(seed, copies):
-    feed = Feed(seed, copies)
+def test_rules_hold_in_a_random_history(seed, hedging_allowed):
+    history = RandomHistory(seed, hedging_allowed)
     for _ in range(2500):
-        feed.step()
-    assert feed.next > 500
+        history.step()
+    assert history.next_request > 500
--- a/tests/load_balancing/test_retries.py
+++ b/tests/load_balancing/test_retries.py
@@ -8,7 +8,7 @@
 IDEMPOTENT_CLASS = interface.RequestClass("s", interface.RetrySemantics.IDEMPOTENT, 400 * MS, 6 * SEC, 2.0)
 
 
-def keyed(deduplication_scope, deduplication_window=5 * SEC):
+def with_idempotency_key(deduplication_scope, deduplication_window=5 * SEC):
     return interface.RequestClass(
         "k", interface.RetrySemantics.IDEMPOTENCY_KEY, 400 * MS, 6 * SEC, 2.0, deduplication_scope, deduplication_window
     )
@@ -24,7 +24,7 @@
     ],
 )
 def test_fault_ejects_the_worker_and_then_allows_one_trial(result):
-    # 'Full' and instant errors drain the tally and drew traffic.
+    # Rejections and instant errors leave few requests in flight, which drew traffic.
     driver = Driver(workers=1, cls=IDEMPOTENT_CLASS)
     driver.request(1)
     driver.end(1, 0, "w0", result)
@@ -97,7 +97,9 @@
 def test_request_with_an_idempotency_key_stays_in_its_deduplication_scope(deduplication_scope, allowed):
     rows = (("b", 0, 0), ("c", 0, 1), ("d", 1, 2))
     for seed in range(12):
-        driver = Driver(cls=keyed(deduplication_scope), seed=seed, infos=(interface.Endpoint("a", zone=0, cell=0),))
+        driver = Driver(
+            cls=with_idempotency_key(deduplication_scope), seed=seed, infos=(interface.Endpoint("a", zone=0, cell=0),)
+        )
         assert sends(driver.request(1)) == [(1, "a")]
         driver.handle(
             interface.EndpointList(
@@ -108,7 +110,7 @@
 
 
 def test_no_retry_after_the_deduplication_window():
-    driver = Driver(workers=2, cls=keyed(interface.DeduplicationScope.CELL, 100 * MS))
+    driver = Driver(workers=2, cls=with_idempotency_key(interface.DeduplicationScope.CELL, 100 * MS))
     ((_, w),) = sends(driver.request(1))
     driver.advance(150 * MS)
     out = driver.end(1, 0, w, interface.AttemptResult.ERROR)
@@ -124,9 +126,9 @@
 
 
 def test_request_that_cannot_meet_its_objective_fails_where_rejecting_could_do_harm():
-    driver = Driver(workers=2, cls=keyed(interface.DeduplicationScope.CELL))
+    driver = Driver(workers=2, cls=with_idempotency_key(interface.DeduplicationScope.CELL))
     ((_, w),) = sends(driver.request(1, hint=10 * MS))
-    driver.now += 450 * MS  # more than its aim and its work allow
+    driver.now += 450 * MS  # more than its objective and its work allow
     assert finals(driver.end(1, 0, w, interface.AttemptResult.ERROR)) == [interface.Fail(1)]
     assert not driver.policy.queue
     assert not driver.policy.requests
@@ -141,7 +143,7 @@
 
 def test_silent_worker_keeps_a_request_that_no_other_may_run():
     driver = Driver(
-        cls=keyed(interface.DeduplicationScope.CELL),
+        cls=with_idempotency_key(interface.DeduplicationScope.CELL),
         infos=(interface.Endpoint("a", cell=0), interface.Endpoint("b", cell=1)),
         progress_interval=SEC,
         cancel_allowed=True,
--- a/tests/load_balancing/test_worker_selection.py
+++ b/tests/load_balancing/test_worker_selection.py
@@ -1,4 +1,4 @@
-"""Which worker gets a job, and what no worker gets."""
+"""Which worker gets a request, and what no worker gets."""
 
 import pytest
 
@@ -48,7 +48,7 @@
 def test_worker_gets_one_long_request_at_a_time():
     driver = Driver(workers=1)
     for n in range(200):
-        for a in sends(driver.request(n, hint=(n % 50 + 1) * MS)):
+        for _ in sends(driver.request(n, hint=(n % 50 + 1) * MS)):
             driver.start(n, 0, "w0")
             driver.end(n, 0, "w0")
     assert sends(driver.request(900, hint=300 * MS)) == [(900, "w0")]
@@ -58,7 +58,7 @@
 
 
 def test_request_is_queued_while_an_own_one_waits_at_the_worker():
-    # Binding a second job behind a waiting one made most answers late under load.
+    # Sending a second request behind a waiting one made most answers late under load.
     driver = Driver(workers=1)
     assert sends(driver.request(1))
     assert not sends(driver.request(2))
@@ -66,7 +66,7 @@
 
 
 def test_urgent_requests_that_do_not_fit_do_not_block_the_queue():
-    # Held jobs too urgent for an open worker once kept it idle while later ones would have fitted.
+    # Queued requests too urgent for an available worker kept it idle while later ones would have fitted.
     driver = Driver(workers=1)
     driver.request(0)
     for n in range(1, 4):
@@ -100,7 +100,7 @@
 
 
 def test_warming_up_worker_gets_no_more_than_its_budget():
-    # A small job counts as a mean one: a push of small jobs felled cold workers too.
+    # A small request counts as a mean one: many small ones overloaded warming-up workers too.
     driver = Driver(workers=1, dispatcher_count=2)
     for n in range(100):
         for _ in sends(driver.request(n, hint=100 * MS)):
@@ -147,7 +147,7 @@
 
 
 def test_failed_request_is_not_the_trial_of_a_worker_with_failures():
-    # An idle struck worker ranked before busy ones: such jobs went to and fro between two of them, four attempts long.
+    # An idle worker with failures ranked before busy ones: such requests used four attempts on two of them.
     for seed in range(8):
         driver = Driver(workers=3, cls=IDEMPOTENT_CLASS, seed=seed)
         for w in driver.policy.workers.values():
--- a/tests/load_balancing/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -1,4 +1,4 @@
-"""Many dispatchers with zones of their own and away, probes and second copies, and how they share discovery."""
+"""Many dispatchers with local and remote zones, health checks and hedging, and how they share discovery."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 def first_sends(driver, jobs, starts, number=1):
-    """Jobs one by one; those sent to a zone of `starts` start at once. The zones of the first attempts."""
+    """Requests one by one; those sent to a zone of `starts` start at once. The zones of the first attempts."""
     zones = []
     for rid in range(number, number + jobs):
         driver.request(rid)
@@ -34,7 +34,7 @@
     calm = first_sends(driver, 60, starts={0, 1})
     assert calm.count(1) == 0
     busy = first_sends(zoned(seed=2), 120, starts={1})
-    assert 0.3 < busy[60:].count(1) / 60 < 0.9  # never all: home must show when it is better again
+    assert 0.3 < busy[60:].count(1) / 60 < 0.9  # never all: the local zone must show when it is better again
 
 
 def test_requests_are_hedged_at_growing_intervals():
@@ -48,7 +48,7 @@
 
 
 def test_one_slow_outlier_does_not_slow_its_machine_type():
-    """A run twenty times its hint, weighed by its length, had jobs with ample time refused without an attempt."""
+    """A run twenty times its hint, weighed by its length, had requests with ample time rejected without an attempt."""
     driver = zoned()
     for rid, slow in ((1, 20), (2, 1), (3, 1)):
         (_, worker), *_ = sends([*driver.request(rid, 2 * SEC, 200 * SEC), *driver.advance(50 * MS)])
@@ -101,12 +101,13 @@
 
 
 @pytest.mark.parametrize(
-    ("home", "away", "least", "most"),
+    ("local_share", "remote_share", "least", "most"),
     [(0.55, 0.5, 0.0, 0.0), (0.6, 0.4, 0.12, 0.28), (1.0, 0.0, 0.65, 0.75), (0.3, 0.6, 0.0, 0.0)],
+    ids=["nearly_equal", "local_waits_more", "only_local_waits", "remote_waits_more"],
 )
-def test_remote_share_grows_with_the_difference_and_has_a_cap(home, away, least, most):
+def test_remote_share_grows_with_the_difference_and_has_a_cap(local_share, remote_share, least, most):
     driver = zoned()
-    driver.policy.estimates.queueing_share = {False: home, True: away}
+    driver.policy.estimates.queueing_share = {False: local_share, True: remote_share}
     assert least <= sum(driver.policy.selection.goes_remote() for _ in range(2000)) / 2000 <= most
 
 
@@ -120,7 +121,7 @@
 
 
 def test_new_dispatcher_gives_health_checks_and_starts_the_time_of_a_connection():
-    """It waited 4 ms, in which no new connection comes up: no probe counted, and the first job was copied at once."""
+    """It waited 4 ms, in which no new connection comes up: no health check counted, and the first request was hedged at once."""
     driver = zoned()
     assert not sends([*driver.request(1), *driver.advance(20 * MS)])
     assert len(sends(driver.advance(35 * MS))) == 1
@@ -129,22 +130,23 @@
 def test_no_worker_is_health_checked_twice_for_one_request():
     driver = zoned()
     for rid in range(1, 60):
-        probed = [a.worker for a in driver.request(rid) if isinstance(a, interface.HealthCheck)]
-        assert len(set(probed)) == len(probed) > 0
+        checked = [a.worker for a in driver.request(rid) if isinstance(a, interface.HealthCheck)]
+        assert len(set(checked)) == len(checked) > 0
         driver.advance(SEC)
 
 
 def test_hedged_request_prefers_a_worker_with_a_known_connection():
-    """Each to a host never asked opens a connection for one job."""
-    driver, new, copies = zoned(), 0, 0
+    """Each to a worker without a connection opens one for one request."""
+    driver = zoned()
+    without_connection = hedged = 0
     for rid in range(1, 81):
         driver.request(rid)
         sent = sends(driver.advance(110 * MS))
-        copies += len(sent) - 1
-        new += sum(not driver.policy.workers[w].last_report_at for _, w in sent[1:])
+        hedged += len(sent) - 1
+        without_connection += sum(not driver.policy.workers[w].last_report_at for _, w in sent[1:])
         driver.start(rid, 0, sent[0][1])
         for n, (_, worker) in enumerate(sent):
             driver.end(rid, n, worker, interface.AttemptResult.CANCELLED if n else interface.AttemptResult.OK)
-        driver.advance(5 * SEC)  # what was heard of the others' load is old by then
-    assert copies > 20
-    assert new < copies / 4
+        driver.advance(5 * SEC)  # what was reported of the others' load is old by then
+    assert hedged > 20
+    assert without_connection < hedged / 4
--- a/tests/support/fleets.py
+++ b/tests/support/fleets.py
@@ -1,6 +1,7 @@
 """Fleets of dispatchers and workers in virtual time, without sockets."""
 
 import random
+from typing import NamedTuple
 
 from badgerroad.load_balancing import interface
 from tests.support.policy_driver import MS, SEC, Driver, sends
@@ -27,73 +28,91 @@
     )
 
 
-class Group:
-    """All dispatchers of a deployment and a log of their sends: (time, worker, start, work)."""
+class SentWork(NamedTuple):
+    """One send to a worker, in the log of a deployment."""
+
+    sent_at: int
+    worker: str
+    worker_started_at: int
+    work: int
+
+
+class Deployment:
+    """All dispatchers of a deployment on one fleet, and a log of their sends."""
 
     def __init__(self, dispatcher_count, seed, fleet, hints, **over):
         self.rng = random.Random(seed)
         self.drivers = [many(n, dispatcher_count, seed=seed + n, fleet=fleet, **over) for n in range(dispatcher_count)]
-        self.started_at = {w.worker: w.started_at for w in fleet}
-        self.hints, self.log, self.next, self.outcomes = hints, [], 0, []
+        self.started_at = {endpoint.worker: endpoint.started_at for endpoint in fleet}
+        self.hints = hints
+        self.log = []
+        self.work_of = {}  # by request number
+        self.outcomes = []  # (when, request, worker, the driver's method that reports it)
 
     def notify(self, driver, entries):
         self.record(driver, driver.handle(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, entries)))
 
     def record(self, driver, actions):
         for request, worker in sends(actions):
-            self.log.append((driver.now, worker, self.started_at[worker], self.work[request]))
-            self.outcomes += [
-                (driver.now, request, worker, driver.start),
-                (driver.now + self.work[request], request, worker, driver.end),
-            ]
+            work = self.work_of[request]
+            self.log.append(SentWork(driver.now, worker, self.started_at[worker], work))
+            self.outcomes.append((driver.now, request, worker, driver.start))
+            self.outcomes.append((driver.now + work, request, worker, driver.end))
 
     def run(self, seconds, per_second=8):
-        self.work = getattr(self, "work", {})
         step = 20 * MS
         for _ in range(int(seconds * SEC / step)):
             for driver in self.drivers:
                 self.record(driver, driver.advance(step))
                 if self.rng.random() < per_second * step / SEC:
-                    self.next += 1
-                    self.work[self.next] = self.rng.choice(self.hints)
-                    self.record(driver, driver.request(self.next, self.work[self.next]))
-            now, rest = self.drivers[0].now, []
-            for when, request, worker, happens in self.outcomes:
-                if when > now:
-                    rest.append((when, request, worker, happens))
-                else:
-                    self.record(happens.__self__, happens(request, 0, worker))
-            self.outcomes = rest
-
-    def most_of_the_bound(self, capacity, s):
-        """The greatest share that any start of a worker was sent in any window of what it bears: in jobs of mean work,
-        what the settings allow then and what chance may add."""
-        worst, mean = 0.0, sum(self.hints) / len(self.hints)
-        for key in {(w, started_at) for _, w, started_at, _ in self.log if started_at}:
-            sent = [
-                (t, work)
-                for t, w, started_at, work in self.log
-                if (w, started_at) == key and t - started_at < s.slow_start_duration
+                    number = len(self.work_of) + 1
+                    self.work_of[number] = self.rng.choice(self.hints)
+                    self.record(driver, driver.request(number, self.work_of[number]))
+            self.report_outcomes(self.drivers[0].now)
+
+    def report_outcomes(self, now):
+        later = []
+        for when, request, worker, report in self.outcomes:  # which grows as sends are recorded
+            if when > now:
+                later.append((when, request, worker, report))
+            else:
+                self.record(report.__self__, report(request, 0, worker))
+        self.outcomes = later
+
+    def max_share_of_slow_start_bound(self, capacity, settings):
+        """The greatest share of its bound that any start of a worker was sent in any window.
+
+        The bound, in requests of mean work: what the settings allow then and what chance may add.
+        """
+        mean = sum(self.hints) / len(self.hints)
+        greatest = 0.0
+        for start in {(sent.worker, sent.worker_started_at) for sent in self.log if sent.worker_started_at}:
+            _, started_at = start
+            log = [
+                sent
+                for sent in self.log
+                if (sent.worker, sent.worker_started_at) == start
+                and sent.sent_at - started_at < settings.slow_start_duration
             ]
-            for t, _ in sent:
-                work = sum(x for at, x in sent if t - s.overload_window < at <= t)
-                share = (
-                    s.slow_start_share
-                    + (1 - s.slow_start_share) * (t - s.overload_window - key[1]) / s.slow_start_duration
-                )
-                n = s.overload_threshold * capacity * max(share, s.slow_start_share) * s.overload_window / mean
-                worst = max(worst, work / mean / (n + 2 * n**0.5 + 2))
-        return worst
-
-
-def zoned(hosts=30, **over):
-    """Half of the hosts at home (zone 0), half away; probes, copies and a price for crossing."""
-    fleet = tuple(w._replace(zone=n % 2) for n, w in enumerate(infos(2 * hosts)))
-    safe = interface.RequestClass("job", interface.RetrySemantics.IDEMPOTENT, 4 * SEC, 6 * SEC, 2.0)
+            for window_end in {sent.sent_at for sent in log}:
+                window_start = window_end - settings.overload_window
+                work = sum(sent.work for sent in log if window_start < sent.sent_at <= window_end)
+                initial = settings.slow_start_share
+                share = initial + (1 - initial) * (window_start - started_at) / settings.slow_start_duration
+                allowed_work = settings.overload_threshold * capacity * max(share, initial) * settings.overload_window
+                allowed = allowed_work / mean
+                greatest = max(greatest, work / mean / (allowed + 2 * allowed**0.5 + 2))
+        return greatest
+
+
+def zoned(workers_per_zone=30, **over):
+    """Half of the workers in the local zone 0, half in another; health checks, hedging and a cost of crossing."""
+    fleet = tuple(w._replace(zone=n % 2) for n, w in enumerate(infos(2 * workers_per_zone)))
+    idempotent = interface.RequestClass("job", interface.RetrySemantics.IDEMPOTENT, 4 * SEC, 6 * SEC, 2.0)
     return many(
         dispatcher_count=40,
         fleet=fleet,
-        cls=safe,
+        cls=idempotent,
         zone=0,
         cross_zone_cost=0.03,
         health_checks_allowed=True,
