--- a/badgerroad/lab/commands.py
+++ b/badgerroad/lab/commands.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+import contextlib
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -11,14 +12,15 @@
 from badgerroad.emulator import scenario as sc
 from badgerroad.emulator import virtual
 from badgerroad.emulator.rehearse import result
-from badgerroad.errors import BadArgument
+from badgerroad.emulator.tier import Trace
+from badgerroad.errors import ArgumentError
 from badgerroad.lab import compare, experiment, paper, report, runner, theory
 from badgerroad.lab.policies import policy
 from badgerroad.lab.store import Store
 
 
 def main(o: Any) -> int:
-    """Raises Error or ValueError on what is wrong, for one line on standard error."""
+    """Raises BadgerroadError or ValueError on what is wrong, for one line on standard error."""
     if o["emulate"]:
         return emulate(o)
     if o["theory"] or o["paper"]:
@@ -28,28 +30,30 @@
 
 def _seed(text: Any, default: int) -> int:
     if text is not None and not str(text).isdigit():
-        raise BadArgument(f"--seed: not a whole number: {text!r}")
+        raise ArgumentError(f"--seed: not a whole number: {text!r}")
     return int(text) if text is not None else default
 
 
-def _logger(path: str) -> tuple[Callable[[int, str, dict[str, Any]], None], Callable[[], None]]:
-    """A trace that writes JSON lines, and its end."""
-    file = open(path, "wb")
+@contextlib.contextmanager
+def _log(path: str | None) -> Iterator[Trace | None]:
+    """A trace that writes JSON lines to the file; None without a path."""
+    if not path:
+        yield None
+        return
+    with open(path, "wb") as file:
 
-    def trace(now: int, what: str, more: dict[str, Any]) -> None:
-        file.write(msgspec.json.encode({"t_us": now, "event": what, **more}) + b"\n")
+        def trace(now: int, what: str, more: dict[str, Any]) -> None:
+            file.write(msgspec.json.encode({"t_us": now, "event": what, **more}) + b"\n")
 
-    return trace, file.close
+        yield trace
 
 
 def emulate(o: Any) -> int:
+    """Run `badgerroad emulate run`; returns the exit code."""
     path = Path(o["SCENARIO"])
     s = sc.load(path)
-    trace, close = _logger(o["--log"]) if o["--log"] else (None, lambda: None)
-    try:
+    with _log(o["--log"]) as trace:
         r = virtual.run(s, _seed(o["--seed"], s.seed), path.parent, policy(o["--policy"]), trace)
-    finally:
-        close()
     if o["--json"]:
         Path(o["--json"]).write_bytes(msgspec.json.format(msgspec.json.encode(r), indent=1))
     from rich.console import Console
@@ -67,9 +71,10 @@
 
 
 def tables(o: Any) -> int:
+    """Run `badgerroad lab theory` or `lab paper`; returns the exit code."""
     jobs, scale, out = int(o["--jobs"]) if o["--jobs"] else None, float(o["--scale"]), Path(o["--out"])
     if not 0 < scale <= 10:
-        raise BadArgument("--scale: must be above 0 and at most 10")
+        raise ArgumentError("--scale: must be above 0 and at most 10")
     if o["theory"]:
         name, text = "theory", theory.markdown(theory.table(scale, jobs))
     else:
@@ -83,6 +88,7 @@
 
 
 def lab(o: Any) -> int:
+    """Run the other commands of `badgerroad lab`; returns the exit code."""
     store = Store(Path(o["--store"]))
     try:
         if o["run"]:
@@ -91,7 +97,7 @@
             e = experiment.load(Path(o["EXPERIMENT"]))
             rows = store.reports(e.name)
             if not rows:
-                raise BadArgument(f"{o['--store']}: no run of {e.name!r}")
+                raise ArgumentError(f"{o['--store']}: no run of {e.name!r}")
             for path in report.write(e.name, e.about, rows, Path(o["--out"])):
                 print(path)
             return 0
@@ -131,16 +137,15 @@
 
 def _replay(o: Any, store: Store) -> int:
     if not str(o["ID"]).isdigit():
-        raise BadArgument(f"ID: not a whole number: {o['ID']!r}")
+        raise ArgumentError(f"ID: not a whole number: {o['ID']!r}")
     run, folder, was = store.by_id(int(o["ID"]))
     lines: list[str] = []
-    trace, close = (
-        _logger(o["--log"])
-        if o["--log"]
-        else (lambda now, what, more: lines.append(f"{now / 1e6:10.4f} {what} {more}"), lambda: None)
-    )
-    again = runner.play(run, Path(folder), trace)
-    close()
+
+    def collect(now: int, what: str, more: dict[str, Any]) -> None:
+        lines.append(f"{now / 1e6:10.4f} {what} {more}")
+
+    with _log(o["--log"]) as trace:
+        again = runner.play(run, Path(folder), trace or collect)
     print("\n".join(lines))
     same = again.bytes() == was.bytes()
     print(
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -17,14 +17,14 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad import startup_signals
-from badgerroad.config import BadConfig, Config, parse, reread, text_of
-from badgerroad.errors import CannotListen
+from badgerroad.config import Config, ConfigError, parse, reread, text_of
+from badgerroad.errors import ListenError
 from badgerroad.multiprocess import messages, rules
 from badgerroad.multiprocess.figures import Sums
 from badgerroad.multiprocess.server_process import Part
 from badgerroad.net import logs
-from badgerroad.net.connection import spawn
-from badgerroad.net.timer_wheel import Clock, Timer, Wheel
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.timer_wheel import Clock, Timer, TimerWheel
 from badgerroad.net.unix_channel import Link
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         operator: Operator | None,
         operator_file: str | None,
         verbose: bool,
-        wheel: Wheel,
+        wheel: TimerWheel,
     ) -> None:
         self.config, self.text, self.wheel = config, text, wheel
         self.operator, self.operator_file, self.verbose = operator, operator_file, verbose
@@ -139,7 +139,7 @@
     def _await(self, number: int, slot: ProcessSlot, time: int) -> None:
         if slot.timer:
             slot.timer.cancel()
-        slot.timer = self.wheel.after(time, lambda: self._do(self.group.silent(number)), patient=True)
+        slot.timer = self.wheel.after(time, lambda: self._do(self.group.silent(number)), awaits_peer=True)
 
     def _config(self) -> dict[str, Any]:
         return {
@@ -190,7 +190,7 @@
                 from badgerroad.operator.schema import load as load_operator
 
                 operator = load_operator(self.operator_file)
-        except BadConfig as e:
+        except ConfigError as e:
             log.error("reload failed; the old configuration stays in force", **e.fields)
             self.invalid += 1
             return
@@ -218,27 +218,27 @@
     size: int, config: Config, text: bytes, operator: Operator | None, operator_file: str | None, verbose: bool
 ) -> int:
     """Until SIGTERM and the server processes' end; returns the exit code."""
-    wheel = Wheel(Clock(), IOLoop.current())
+    wheel = TimerWheel(Clock(), IOLoop.current())
     supervisor, ops = Supervisor(size, config, text, operator, operator_file, verbose, wheel), None
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, supervisor.term)
     loop.add_signal_handler(signal.SIGHUP, supervisor.reread)
-    for _ in range(startup_signals.hups):
+    for _ in range(startup_signals.reload_count):
         loop.call_soon(supervisor.reread)
     held: socket.socket | None = None
-    what, address = "ops", config.ops
+    what, address = "ops", config.admin
     try:
-        if config.ops is not None:
+        if config.admin is not None:
             from badgerroad.admin.listener import Listener
 
             ops = Listener(wheel, supervisor.ready, supervisor.figures)
-            ops.listen(config.ops)
+            ops.listen(config.admin)
         what, address = "listen", config.listen
         held = supervisor.hold()
     except OSError as e:
         assert address is not None
-        raise CannotListen(what, address, e) from e
+        raise ListenError(what, address, e) from e
     log.info("listening", name=config.name, address=supervisor.listen, workers=size)
     supervisor.begin()
     code = await supervisor.code
