--- a/badgerroad/fleet/table.py
+++ b/badgerroad/fleet/table.py
@@ -9,12 +9,12 @@
 
 from badgerroad import toml_files
 from badgerroad.config import ConfigError
-from badgerroad.fleet.settings import BadFleet, Controller, FleetSettings
+from badgerroad.fleet.settings import Controller, FleetSettings, FleetSettingsError
 from badgerroad.operator.schema import Fleet, FleetController
 
 TeamName = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # requests a second over all dispatchers
-NOT_TIMES = frozenset(("name", "zone", "members", "quotas", "controllers"))  # of the table; all else is a setting
+IDENTITY_FIELDS = frozenset(("name", "zone", "members", "quotas", "controllers"))  # of the table; all else is a setting
 
 
 class Members(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -26,7 +26,7 @@
 def settings_of(table: Fleet, file: str) -> FleetSettings:
     """The rules' settings. `file`: that the table is from. Raises ConfigError, whose one line names file and field."""
     told = {name: value for name, value in msgspec.structs.asdict(table).items() if value is not None}
-    times = {name: value for name, value in told.items() if name not in NOT_TIMES}
+    times = {name: value for name, value in told.items() if name not in IDENTITY_FIELDS}
     controllers = [msgspec.structs.asdict(controller) for controller in _controllers(table, file)]
     try:
         settings = msgspec.convert({**times, "controllers": controllers}, FleetSettings)
@@ -34,7 +34,7 @@
     except msgspec.ValidationError as e:
         reason, _, where = str(e).partition(" - at `")
         raise ConfigError(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from e
-    except BadFleet as e:
+    except FleetSettingsError as e:
         raise ConfigError(f"{file}: {e}") from e
     return settings
 
@@ -79,8 +79,7 @@
         raise ConfigError(f"{file}: {team}: {e}") from e
 
 
-def fields_of(figures: Any) -> dict[str, Any]:
-    """Typed counters, as the fields of a log line."""
-    if isinstance(figures, msgspec.Struct):
-        return msgspec.structs.asdict(figures)
-    return dict(figures._asdict())
+def fields_of(figures: msgspec.Struct) -> dict[str, Any]:
+    """The counters as the fields of a log line, under the names that the operators' page gives."""
+    fields: dict[str, Any] = msgspec.to_builtins(figures)
+    return fields
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -8,9 +8,10 @@
 from random import Random
 from typing import Any, Protocol
 
-from badgerroad.fleet.rules.actions import Decided, Peer, SendMessage
+from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
 from badgerroad.fleet.rules.controller import ControllerRules
-from badgerroad.fleet.rules.dispatcher import DispatcherLeases, LeaseExport
+from badgerroad.fleet.rules.dispatcher import DispatcherLeases
+from badgerroad.fleet.rules.lease_transfer import LeaseExport
 from tests.fleet.simulation.clock import MILLISECOND, draw_clock
 from tests.fleet.simulation.network import Network, Parcel
 from tests.fleet.simulation.nodes import Event, Node
@@ -157,7 +158,7 @@
             if isinstance(action, SendMessage):
                 self._send(node, action)
             else:
-                assert isinstance(action, Decided), action
+                assert isinstance(action, QuotaDecision), action
                 for watcher in self.watchers:
                     watcher.decided(node, action.request, action.over_quota)
         if not node.is_controller:
@@ -269,7 +270,7 @@
         def leave(host: Node) -> list[Any]:
             for watcher in self.watchers:
                 watcher.forgotten(host, request)
-            return list(host.dispatcher.forget(host.clock.read(self.now), request) or [])
+            return list(host.dispatcher.cancel(host.clock.read(self.now), request) or [])
 
         self.act(node, leave)
 
