--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -27,46 +27,51 @@
 
 
 class Driver:
-    """Feeds one dispatcher and keeps what it says."""
+    """Plays events to one policy in virtual time and keeps its actions."""
 
     def __init__(self, workers=2, seed=1, infos=None, **over):
         self.policy = DispatchPolicy(settings(**over), seed)
         self.now = 100 * SEC
         self.actions = []
         if infos is None:
-            infos = tuple(interface.Endpoint(f"w{n}") for n in range(workers))
+            infos = tuple(interface.Endpoint(f"w{number}") for number in range(workers))
         self.handle(interface.EndpointList(interface.ListScope.CACHED, 1, infos))
 
-    def handle(self, *given):
-        out = []
-        for event in given:
-            out += self.policy.handle(self.now, event)
-        self.actions += out
-        return out
-
-    def advance(self, us):
-        """Time passes; the timer that is out is delivered when due."""
-        end, out = self.now + us, []
-        while self.policy.context.timers.fires_at and self.policy.context.timers.fires_at <= end:
-            self.now = self.policy.context.timers.fires_at
-            out += self.handle(interface.Timer(self.policy.context.timers.fires_at))
+    def handle(self, *events):
+        actions = []
+        for event in events:
+            actions += self.policy.handle(self.now, event)
+        self.actions += actions
+        return actions
+
+    def advance(self, microseconds):
+        """Time passes; the timer that is set fires when it is due."""
+        end = self.now + microseconds
+        timers = self.policy.context.timers
+        actions = []
+        while timers.fires_at and timers.fires_at <= end:
+            self.now = timers.fires_at
+            actions += self.handle(interface.Timer(timers.fires_at))
         self.now = end
-        return out
+        return actions
 
-    def request(self, rid, hint=10 * MS, left=6 * SEC, **more):
-        return self.handle(interface.Request(rid, time_left=left, work_hint=hint, **more))
+    def request(self, number, hint=10 * MS, left=6 * SEC, **more):
+        return self.handle(interface.Request(number, time_left=left, work_hint=hint, **more))
 
-    def start(self, rid, attempt, worker):
-        return self.handle(interface.AttemptStarted(rid, attempt, worker))
+    def start(self, request, attempt, worker):
+        return self.handle(interface.AttemptStarted(request, attempt, worker))
 
-    def end(self, rid, attempt, worker, result=interface.AttemptResult.OK, finished=None):
-        done = result == interface.AttemptResult.OK if finished is None else finished
-        return self.handle(interface.AttemptEnded(rid, attempt, worker, result, 0, done))
+    def end(self, request, attempt, worker, result=interface.AttemptResult.OK, finished=None):
+        if finished is None:
+            finished = result == interface.AttemptResult.OK
+        return self.handle(interface.AttemptEnded(request, attempt, worker, result, 0, finished))
 
 
 def sends(actions):
-    return [(a.request, a.worker) for a in actions if isinstance(a, interface.Send)]
+    """(request, worker) of each send."""
+    return [(action.request, action.worker) for action in actions if isinstance(action, interface.Send)]
 
 
 def finals(actions):
-    return [a for a in actions if isinstance(a, interface.Reject | interface.Fail)]
+    """The final answers."""
+    return [action for action in actions if isinstance(action, interface.Reject | interface.Fail)]
