--- a/tests/load_balancing/test_random_histories.py
+++ b/tests/load_balancing/test_random_histories.py
@@ -131,7 +131,7 @@
     def check_answer(self, answer):
         request = self.requests[answer.request]
         assert not request.answered, "a second final answer"
-        assert self.now <= request.deadline + self.settings.answer_slack
+        assert self.now <= request.deadline + ANSWER_SLACK
         if isinstance(answer, interface.Reject) and any(attempt.may_have_run() for attempt in request.attempts):
             request_class = request.request_class
             assert (
@@ -145,7 +145,7 @@
         self.now += self.rng.choice((0, 0, 5 * MS, 5 * MS, 20 * MS))
         self.fire_timers()
         for request in self.requests.values():
-            latest = request.deadline + self.settings.answer_slack + 20 * MS
+            latest = request.deadline + ANSWER_SLACK + 20 * MS
             assert request.answered or self.now <= latest, "a request was lost"
         roll = self.rng.random()
         if roll < 0.4:
