--- a/badgerroad/backend/attempts.py
+++ b/badgerroad/backend/attempts.py
@@ -1,28 +1,33 @@
-"""An attempt of a request at one worker, what it passes on, and the connections of a worker."""
+"""An attempt: one request sent once to one worker."""
 
 from __future__ import annotations
 
-import asyncio
-
+from badgerroad.backend.worker_connections import WorkerConnections
 from badgerroad.net import http1
 from badgerroad.net.call_connection import CallConnection
-from badgerroad.net.connection import Address
 from badgerroad.net.timer_wheel import Timer
 
 
 class ForwardedRequest:
-    """What the attempts of one request pass on, byte for byte."""
+    """What all attempts of one request forward, byte for byte. `deadline` in microseconds of the clock."""
 
     __slots__ = ("id", "method", "target", "headers", "body", "deadline")
 
     def __init__(
         self, method: bytes, target: bytes, body: bytes, request_id: bytes, headers: http1.Headers, deadline: int
     ) -> None:
-        self.id, self.method, self.target, self.body = request_id, method, target, body
-        self.headers, self.deadline = headers, deadline
+        """`headers`: without those that belong to one connection."""
+        self.id = request_id
+        self.method = method
+        self.target = target
+        self.body = body
+        self.headers = headers
+        self.deadline = deadline
 
 
 class Attempt:
+    """The state of one attempt. All times are in microseconds of the clock."""
+
     __slots__ = (
         "request",
         "number",
@@ -43,21 +48,41 @@
         "started_at",
     )
 
-    def __init__(self, request: int, number: int, order: ForwardedRequest, worker: str, now: int) -> None:
-        self.request, self.number, self.forwarded, self.worker, self.sent_at = request, number, order, worker, now
-        self.written = self.event_received = self.started = self.accepted = self.ended = self.not_sent = False
-        self.opened_connection = False  # on a connection of its own making
-        self.started_at = 0  # when its start was told
-        self.status = 0  # of the host's answer, where that is not the 202
+    def __init__(self, request: int, number: int, forwarded: ForwardedRequest, worker: str, now: int) -> None:
+        """Attempt `number` of the dispatcher's request `request`, sent to `worker` at `now`."""
+        self.request = request
+        self.number = number
+        self.forwarded = forwarded
+        self.worker = worker
+        self.sent_at = now
+        self.written = False  # to the connection
+        self.event_received = False  # a job event, before or after the 202
+        self.started = False  # as a job event reported
+        self.accepted = False  # by a 202
+        self.ended = False
+        self.not_sent = False
+        self.opened_connection = False  # no idle connection was there
+        self.started_at = 0  # when its start was reported
+        self.status = 0  # of the worker's response, where it is not a 202
         self.connections: WorkerConnections | None = None
         self.timeout_timer: Timer | None = None
-        self.connection: CallConnection | None = None  # while the answer to the request is awaited
+        self.connection: CallConnection | None = None  # while the response is awaited
 
+    def connecting(self, connection: CallConnection) -> None:
+        """A connection is opened for it, which ends with it."""
+        self.connection = connection
+        self.opened_connection = True
 
-class WorkerConnections:
-    """One host of the worker list: where it is, and its idle connections, the latest used last."""
+    @property
+    def key(self) -> tuple[bytes, str]:
+        """A worker holds at most one attempt of a request at a time."""
+        return self.forwarded.id, self.worker
 
-    def __init__(self, name: str, address: Address) -> None:
-        self.name, self.address = name, address
-        self.idle: list[tuple[CallConnection, Timer]] = []
-        self.cancelling: dict[bytes, asyncio.Future[None]] = {}
+    @property
+    def log_fields(self) -> dict[str, object]:
+        """What identifies the attempt in a log line."""
+        return {
+            "request_id": self.forwarded.id.decode("latin-1"),
+            "attempt": self.number,
+            "worker": self.worker,
+        }
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize("hears", [True, False])
 @async_test
 async def test_where_two_may_never_be_out_an_attempt_has_ended_only_when_its_host_has_heard_so(hears, monkeypatch):
-    monkeypatch.setattr("badgerroad.backend.http.CANCEL_TIMEOUT_US", 100_000)
+    monkeypatch.setattr("badgerroad.backend.cancels.CANCEL_TIMEOUT_US", 100_000)
     gate = asyncio.Event()
 
     async def slow(_world, head, _body):
@@ -395,6 +395,6 @@
         worker.idle = []
         timer.cancel()
         w.dispatcher.backend.set_address("h0", ("127.0.0.1", w.hosts[1].port))  # while it was in use
-        w.dispatcher.backend._checkin(worker, connection)
+        w.dispatcher.backend.pools.checkin(worker, connection)
         assert not worker.idle
         assert connection.closed
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -215,7 +215,7 @@
             w.dispatcher.reload(read(data, {})._replace(listen=fresh.listen, discovery=fresh.discovery))
 
         change({**CLASS, "name": "preview"}, accounts=[{"name": "t"}], report={"names": ["qps"], "via": "probe"})
-        assert w.dispatcher.backend.reports.words == ["rps"]
+        assert w.dispatcher.backend.reports.field_names == ["rps"]
         assert (await w.ask(job("r0", "preview")))[0] == 400  # whose is it?
         change({**CLASS, "name": "preview"}, {**CLASS, "name": "amend"})
         assert (await w.figures())["answered"] == {"preview": 0, "bundle": 0, "amend": 0}
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -199,8 +199,8 @@
     async with World(serve, serve) as w:
         client = await w.connect()
         await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", client)
-        w.dispatcher.backend.descriptors = DescriptorBudget(0)
-        w.dispatcher.backend.descriptors.used = 8
+        w.dispatcher.backend.pools.descriptors = DescriptorBudget(0)
+        w.dispatcher.backend.pools.descriptors.used = 8
         status, head, _ = await w.ask(job(), client)
         assert status == 503
         assert b"Retry-After" in head
@@ -279,11 +279,15 @@
 async def test_a_probe_brings_the_load_report_in_the_order_of_the_settings():
     async with World(lambda *_: reply(200, b"qps=1.5,inflight=3,x0=2,x1=9")) as w:
         got = []
-        w.dispatcher.backend.raise_event = got.append
+        w.dispatcher.backend.health_checks.raise_event = got.append
         w.dispatcher.backend.check_health("h0")
         await until(lambda: got)
         assert (got[0].worker, got[0].result, got[0].load_report) == ("h0", interface.AttemptResult.OK, (1.5, 3.0, 2.0))
-        assert w.dispatcher.backend.reports.text(json.dumps({"load": {"rps": 1, "active": 2, "x0": 0}})) == (1, 2, 0)
+        assert w.dispatcher.backend.reports.from_text(json.dumps({"load": {"rps": 1, "active": 2, "x0": 0}})) == (
+            1,
+            2,
+            0,
+        )
 
 
 @async_test
