--- a/badgerroad/dispatcher.py
+++ b/badgerroad/dispatcher.py
@@ -19,7 +19,7 @@
 from badgerroad.discovery.endpoint_watch import WorkerListWatch
 from badgerroad.discovery.reader import Reader
 from badgerroad.extension import DispatcherExtension, admit
-from badgerroad.frontend.client import Exchange
+from badgerroad.frontend.exchange import Exchange
 from badgerroad.frontend.http import Frontend
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy import DispatchPolicy as Decisions
--- a/badgerroad/frontend/client.py
+++ b/badgerroad/frontend/client.py
@@ -1,4 +1,4 @@
-"""A client's connection, and its requests in turn: each gets exactly one final answer, through `Exchange.answer`."""
+"""A client's connection, and its requests in turn."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 from tornado.ioloop import IOLoop
 
+from badgerroad.frontend.exchange import Exchange, RequestHandler
 from badgerroad.net import http1, logs
 from badgerroad.net.connection import Connection
 from badgerroad.net.descriptor_budget import DescriptorBudget
@@ -15,69 +16,25 @@
 
 log = logs.get("badgerroad")
 
-LINGER_TIME_US = 1_000_000  # how long what a client still sends is read and thrown away after this side's end
-# From its first byte, the first one from the connection on, to its last one: a client that sends no whole request is
-# owed an error or a close within 3 s of connecting, however slowly its bytes trickle in.
+LINGER_TIME_US = 1_000_000  # how long bytes of the client are discarded after the end of this side
+# From the first byte of a request to its last; for the first request, from the connection on. The protocol allows 3 s
+# until a client without a complete request gets an error or a close.
 REQUEST_TIMEOUT_US = 2_500_000
-FRESH_TIME_US = 500_000  # how long a connection is waited for, new or just served, though descriptors run short
-# How long a silent one, or one that stopped halfway, is waited for while others wait for its place; and a client, to
-# hear of the end. What is on its way over loopback or in one zone is there by then.
+FRESH_TIME_US = 500_000  # how long a connection, new or just served, is not evicted
+# How long a client without a complete request is spared while others wait for its descriptor, and how long a client has
+# to notice the end. Enough for what is on its way within a zone.
 EVICTION_GRACE_US = 100_000
-# What is read and thrown away behind an open request: what a client had sent before it left lies in buffers of two
-# systems, which are smaller. Who sends more goes on sending.
+# Bytes discarded behind an open request, more than both socket buffers hold. Beyond them, the client has not
+# left but goes on sending.
 DISCARD_LIMIT_BYTES = 16 * 1024 * 1024
 
-
-class Exchange:
-    """One request of a client and its one final answer."""
-
-    __slots__ = ("connection", "answered", "number")
-
-    def __init__(self, connection: ClientConnection) -> None:
-        self.connection, self.answered, self.number = connection, False, 0
-
-    def answer(
-        self, status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), close: bool = False
-    ) -> None:
-        if not self.answered:
-            self.answered = True
-            self.connection.answer(status, body, headers, close)
-
-    def client_has_closed(self) -> bool:
-        """Its end may lie on the socket, not read yet."""
-        return self.connection.peer_has_closed()
-
-    def close(self) -> None:
-        """The client has gone: nothing is owed any more."""
-        self.connection.close()
-
-
-class RequestHandler(Protocol):
-    """What takes the requests: the dispatcher, whatever protocol they came by."""
-
-    def handle_request(self, message: http1.Message, exchange: Exchange) -> None: ...
-
-    def client_disconnected(self, exchange: Exchange) -> None: ...
-
-    def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None: ...
-
-    @property
-    def ready(self) -> bool: ...
-
-    def serves_path(self, path: bytes) -> bool: ...
-
-    def shed_idle_connections(self) -> None: ...
-
-    def record_rejection(self, path: bytes) -> None: ...
-
-
-# Passes a client's connection on to another process: descriptor, what `go_on` needs there, bytes read and not used, the
-# open exchange if there is one. False if that cannot be now.
+# Passes a client's connection to another process: descriptor, what `restore` needs there, bytes that were read but not
+# used, and the open exchange if there is one. False if this is not possible now.
 ConnectionSuccessor = Callable[[int, dict[str, Any], bytes, Exchange | None], bool]
 
 
 class Owner(Protocol):
-    """What a client's connection needs of the side that has accepted it: `frontend.http.Frontend`."""
+    """What a client's connection needs of the frontend that has accepted it."""
 
     timers: TimerWheel
     descriptors: DescriptorBudget
@@ -86,24 +43,30 @@
     draining: bool
     successor: ConnectionSuccessor | None
 
-    def handle(self, message: http1.Message, exchange: Exchange) -> None: ...
+    def handle(self, message: http1.Message, exchange: Exchange) -> None:
+        """A complete request has arrived."""
 
 
 class ClientConnection(Connection):
-    def __init__(self, sock: socket.socket, side: Owner) -> None:
-        super().__init__(sock, side.descriptors, responses=False)
-        self.owner = side
+    """Hands the requests of one client to its owner, one after the other, and writes the responses."""
+
+    def __init__(self, sock: socket.socket, owner: Owner) -> None:
+        """Raises OSError if the socket cannot be used."""
+        super().__init__(sock, owner.descriptors, responses=False)
+        self.owner = owner
         self.exchange: Exchange | None = None
         self.pipelined_request: http1.Message | None = None  # read behind the open request, and next in turn
-        self.last_activity_at, self.served = side.timers.clock.now(), False  # since when nothing has come
-        self._request_timer: Timer | None = side.timers.after(
-            REQUEST_TIMEOUT_US, self._request_timed_out, awaits_peer=True
-        )
+        self.last_activity_at = owner.timers.clock.now()
+        self.served = False  # has had a response
+        self._request_timer: Timer | None = None
         self._closing = False  # after what is being written
-        self._discarded_bytes = 0  # bytes thrown away behind the open request
+        self._discarded_bytes = 0  # behind the open request
+        self._continue_sent = False
+        self._start_request_timer(REQUEST_TIMEOUT_US)
 
     @property
     def idle(self) -> bool:
+        """Whether no part of a request or response is here or on its way out."""
         return (
             self.exchange is None
             and self.pipelined_request is None
@@ -114,73 +77,57 @@
 
     @property
     def has_pending_response(self) -> bool:
+        """Whether a response is due or being written. An incomplete request has none."""
         return self.exchange is not None or self.pipelined_request is not None or not self.all_written
 
+    def evictable(self, now: int) -> bool:
+        """Whether the connection may be ended when descriptors are scarce.
+
+        It must be idle for so long that no request is likely to be on its way: a new client would take the end for a
+        failure of the dispatcher, and a busy one sends the next request soon. While the dispatcher drains, clients that
+        were served can reconnect elsewhere. A connection that only waits for its peer's end is evictable too.
+        """
+        silent_for = now - self.last_activity_at
+        if self.lingering:
+            return self.all_written and silent_for >= EVICTION_GRACE_US
+        fresh = silent_for <= FRESH_TIME_US and not (self.served and self.owner.draining)
+        return self.idle and not fresh
+
+    @property
+    def usefulness(self) -> tuple[bool, bool, int]:
+        """Sort key for eviction: first bad requests, then clients without a request, and the longest silent."""
+        return not self.lingering, self.served, self.last_activity_at
+
+    # Requests.
+
+    def wants_message(self) -> bool:
+        """One request behind the open one is read too.
+
+        If that is not a message, client and dispatcher disagree on the framing, and the open one is not trustworthy.
+        """
+        if self.pipelined_request is not None or self._closing:
+            return False
+        return self.owner.successor is None or self.exchange is not None
+
     def discard_when_full(self) -> bool:
-        """More than a request lies behind the open one. It is thrown away, so that the client's end behind it is seen:
-        the open one is answered and the connection ended; who sends requests ahead asks again for what has had no
-        answer."""
+        """More than one request lies behind the open one: discard it, so that the client's end behind it is noticed.
+
+        The open request gets its response, and the connection ends; the client repeats what had no response.
+        """
         if self.exchange is None or self.owner.successor is not None:
             return False
-        self._closing, self.pipelined_request = True, None
+        self._closing = True
+        self.pipelined_request = None
         return True
 
     def on_discarded(self, count: int) -> None:
+        """Reject the open request of a client that does not stop sending."""
         self._discarded_bytes += count
         if self._discarded_bytes > DISCARD_LIMIT_BYTES and not self.lingering:
             self.on_bad_message(http1.BadMessageError(413, "too much behind an open request"))
 
-    def evictable(self, now: int) -> bool:
-        """Idle, and silent for long enough that no request is likely to be on its way: the first, whose client would
-        take the end for a dispatcher that has died, or the next of a client with job after job. While this process
-        drains, who has been served may come again elsewhere. Or only waiting for the rest of a bad request."""
-        fresh = now - self.last_activity_at <= FRESH_TIME_US and not (self.served and self.owner.draining)
-        return (
-            self.lingering
-            and self.all_written
-            and now - self.last_activity_at >= EVICTION_GRACE_US
-            or self.idle
-            and not fresh
-        )
-
-    @property
-    def usefulness(self) -> tuple[bool, bool, int]:
-        """The least useful connection has the lowest: a bad request, or none yet, and silent for long."""
-        return not self.lingering, self.served, self.last_activity_at
-
-    def wants_message(self) -> bool:
-        """What lies behind an open request is read too, one message of it: if that is none, the two sides see
-        different bounds, and the open request cannot be trusted either."""
-        return (
-            self.pipelined_request is None
-            and not self._closing
-            and (self.owner.successor is None or self.exchange is not None)
-        )
-
-    def pass_to_successor(self) -> None:
-        """To the process that takes new jobs, with what was read and not used; with the open job, if that can go."""
-        heir = self.owner.successor
-        if (
-            heir is None
-            or self.closed
-            or self.lingering
-            or self._closing
-            and self.exchange is None
-            or not self.all_written
-            or not self.no_read_in_progress
-        ):
-            return
-        data = self.parser.unconsumed_bytes()
-        if self.pipelined_request is not None:
-            data = http1.serialize_request(self.pipelined_request) + data
-        now = self.owner.timers.clock.now()
-        left = -1 if self._request_timer is None else max(self._request_timer.due_at - now, 0)
-        about = {"served": self.served, "left": left, "closing": self._closing}
-        if heir(self.stream.socket.fileno(), about, data, self.exchange):
-            self.pipelined_request = self.exchange = None
-            self.close()  # the connection itself lives on over there
-
     def process_messages(self) -> None:
+        """Hand out what has arrived; without a complete request, start its timeout and respond to `Expect`."""
         self.last_activity_at = self.owner.timers.clock.now()
         super().process_messages()
         if self.closed or self.lingering or self.exchange is not None:
@@ -189,120 +136,164 @@
             self.pass_to_successor()
             return
         if self._request_timer is None and not self.parser.idle:
-            self._request_timer = self.owner.timers.after(REQUEST_TIMEOUT_US, self._request_timed_out, awaits_peer=True)
+            self._start_request_timer(REQUEST_TIMEOUT_US)
+        self._send_continue()
+
+    def _send_continue(self) -> None:
         head = self.parser.head
-        if head is not None and not self.continue_sent and (head.header(b"expect") or b"").lower() == b"100-continue":
-            self.continue_sent = True
+        if head is not None and not self._continue_sent and (head.header(b"expect") or b"").lower() == b"100-continue":
+            self._continue_sent = True
             self.send(http1.response(100))
 
-    continue_sent = False  # the client was told to go on
+    def _start_request_timer(self, timeout: int) -> None:
+        self._request_timer = self.owner.timers.after(timeout, self._request_timed_out, awaits_peer=True)
+
+    def _cancel_request_timer(self) -> None:
+        if self._request_timer is not None:
+            self._request_timer.cancel()
+            self._request_timer = None
 
     def _request_timed_out(self) -> None:
-        """A request that stops halfway must not hold a descriptor, or the end of a drain, for good; nor must a
-        connection on which none ever comes."""
+        """Neither an incomplete request nor an unused connection may hold a descriptor or a drain for good."""
         self._request_timer = None
         if self.parser.idle:
             self.end_gracefully()
         else:
             self.on_bad_message(http1.BadMessageError(408, "the request stopped halfway"))
 
-    def _cancel_request_timer(self) -> None:
-        if self._request_timer is not None:
-            self._request_timer.cancel()
-            self._request_timer = None
-
     def on_message(self, message: http1.Message) -> None:
+        """A complete request: the owner handles it, behind the open one if there is one."""
         if self.exchange is not None:
             self.pipelined_request = message
             return
         self._cancel_request_timer()
-        self.continue_sent = False
+        self._continue_sent = False
         exchange = self.exchange = Exchange(self)
         self._closing = message.close
         try:
             self.owner.handle(message, exchange)
         except Exception:
-            log.exception("unexpected exception on a request")
+            log.exception("unexpected_exception_on_request")
             exchange.answer(500, b"internal error\n")
 
     def on_bad_message(self, error: http1.BadMessageError) -> None:
+        """Respond with the error, in place of the response to an open request, and end the connection."""
         self._closing = True
-        self._abandon_exchange()  # the one answer that is still due is this one
+        self._abandon_exchange()
         self.send(http1.response(error.status, str(error).encode() + b"\n", close=True))
         self.end_gracefully()
 
-    def end_gracefully(self) -> None:
-        """The one way in which this side ends a connection that works. Closed with bytes unread it would be reset,
-        which can destroy an answer on its way, and looking before closing leaves an instant between. So the writing
-        side is shut once the last answer is out, and what still comes is read and thrown away, until the client ends
-        its side too or LINGER is over. A request among it is never sent on: its client sees the end, and may ask
-        again."""
-        if self.closed or self.lingering:
-            return
-        self._cancel_request_timer()
-        self.lingering = True
-        self._space_available.set()
-        self.last_activity_at = self.owner.timers.clock.now()
-        self.owner.timers.after(LINGER_TIME_US, self.close)
-        if self.all_written:
-            self._shut()
-
-    def _shut(self) -> None:
-        try:
-            self.stream.socket.shutdown(socket.SHUT_WR)
-        except OSError:
-            self.close()
-
-    def answer(self, status: int, body: bytes, headers: Iterable[tuple[bytes, bytes]], close: bool) -> None:
-        self.exchange, self.served = None, True
-        # Who sends what cannot be used does so again and again, on connections that it keeps.
-        ending = self.owner.draining and self.owner.successor is None
-        self._closing = self._closing or close or ending or 400 <= status < 500
+    def respond(self, status: int, body: bytes, headers: Iterable[tuple[bytes, bytes]], close: bool) -> None:
+        """Send the response to the open request; with `close`, or an error of the client, the connection ends."""
+        self.exchange = None
+        self.served = True
+        draining = self.owner.draining and self.owner.successor is None
+        # A client whose requests are bad repeats them, on connections that it keeps.
+        self._closing = self._closing or close or draining or 400 <= status < 500
         self.send(http1.response(status, body, headers, close=self._closing))
 
     def on_written(self) -> None:
+        """The response is written: end the connection, or go on with what has arrived meanwhile."""
         if self.lingering:
-            self._shut()
+            self._shut_down_writing()
         elif self.exchange is None and self._closing:
             self.end_gracefully()
         elif self.exchange is None:
-            # What came in behind the request waits in the ring.
             IOLoop.current().add_callback(self.resume)
 
-    def restore(self, about: dict[str, Any], data: bytes, job: Callable[[ClientConnection], None] | None) -> None:
-        """From where another process was."""
-        self.served, self._closing = bool(about["served"]), bool(about["closing"])
-        self._cancel_request_timer()
-        if about["left"] >= 0:
-            self._request_timer = self.owner.timers.after(int(about["left"]), self._request_timed_out, awaits_peer=True)
-        if data:
-            self.receive_buffer.put(data)
-        if job is not None:
-            job(self)
-        self.resume()
-
     def resume(self) -> None:
+        """Go on with the pipelined request and the bytes behind it."""
         if self.owner.successor is not None:
             self.pass_to_successor()
             return
         message = None
         if self.exchange is None:
-            message, self.pipelined_request = self.pipelined_request, None
+            message = self.pipelined_request
+            self.pipelined_request = None
         try:
             if message is not None and not self.closed:
                 self.on_message(message)
             self.process_messages()
-        except http1.BadMessageError as e:
-            self.on_bad_message(e)
+        except http1.BadMessageError as error:
+            self.on_bad_message(error)
+
+    # The end.
+
+    def end_gracefully(self) -> None:
+        """End a connection that works.
+
+        Closed with unread bytes it would be reset, which can destroy a response on its way. So the writing side is shut
+        down once the last response is written, and what still arrives is discarded until the client ends its side or
+        LINGER_TIME_US is over. A request among it is never forwarded: its client sees the end and may retry.
+        """
+        if self.closed or self.lingering:
+            return
+        self._cancel_request_timer()
+        self.lingering = True
+        self._space_available.set()
+        self.last_activity_at = self.owner.timers.clock.now()
+        self.owner.timers.after(LINGER_TIME_US, self.close)
+        if self.all_written:
+            self._shut_down_writing()
+
+    def _shut_down_writing(self) -> None:
+        try:
+            self.stream.socket.shutdown(socket.SHUT_WR)
+        except OSError:
+            self.close()
 
     def _abandon_exchange(self) -> None:
-        """The client is gone, or as good as gone: what is open needs no answer of its own any more."""
-        exchange, self.exchange = self.exchange, None
+        """The client has disconnected, or is treated so: the open request needs no response of its own."""
+        exchange = self.exchange
+        self.exchange = None
         if exchange is not None and not exchange.answered:
             exchange.answered = True
             self.owner.request_handler.client_disconnected(exchange)
 
     def on_closed(self) -> None:
+        """Leave the owner, which is notified if a request was open."""
         self._cancel_request_timer()
         self.owner.connections.discard(self)
         self._abandon_exchange()
+
+    # Another process of the same dispatcher.
+
+    def pass_to_successor(self) -> None:
+        """Pass the connection on, with the bytes not used yet, and with the open request if that is possible."""
+        successor = self.owner.successor
+        if successor is None or not self._can_be_passed():
+            return
+        data = self.parser.unconsumed_bytes()
+        if self.pipelined_request is not None:
+            data = http1.serialize_request(self.pipelined_request) + data
+        if successor(self.stream.socket.fileno(), self._state(), data, self.exchange):
+            self.pipelined_request = None
+            self.exchange = None
+            self.close()  # the other process has a copy of the descriptor
+
+    def _can_be_passed(self) -> bool:
+        if self.closed or self.lingering or self._closing and self.exchange is None:
+            return False
+        return self.all_written and self.no_read_in_progress
+
+    def _state(self) -> dict[str, Any]:
+        """What `restore` needs in another process; the names are those of the message between the processes."""
+        left = -1
+        if self._request_timer is not None:
+            left = max(self._request_timer.due_at - self.owner.timers.clock.now(), 0)
+        return {"served": self.served, "left": left, "closing": self._closing}
+
+    def restore(
+        self, state: dict[str, Any], data: bytes, restore_request: Callable[[ClientConnection], None] | None
+    ) -> None:
+        """Go on from where another process was; `restore_request` adds the open request. Raises ValueError."""
+        self.served = bool(state["served"])
+        self._closing = bool(state["closing"])
+        self._cancel_request_timer()
+        if state["left"] >= 0:
+            self._start_request_timer(int(state["left"]))
+        if data:
+            self.receive_buffer.put(data)
+        if restore_request is not None:
+            restore_request(self)
+        self.resume()
--- a/badgerroad/frontend/http.py
+++ b/badgerroad/frontend/http.py
@@ -1,63 +1,53 @@
-"""The frontend: the listener, client connections, call-backs on the same address and `/-/ready`.
-
-Each request that is taken gets exactly one final answer, through `Exchange.answer`.
-"""
+"""The frontend: clients that speak HTTP/1.1, job events of workers at the same address, and `/-/ready`."""
 
 from __future__ import annotations
 
-import errno
-import json
 import socket
 from collections.abc import Callable
 from typing import Any
 
-from tornado.ioloop import IOLoop
-
-from badgerroad.frontend import client
-from badgerroad.frontend.client import ClientConnection, ConnectionSuccessor, Exchange, RequestHandler
-from badgerroad.net import http1, logs
+from badgerroad.frontend import client, eviction, job_events
+from badgerroad.frontend.client import ClientConnection, ConnectionSuccessor
+from badgerroad.frontend.exchange import Exchange, RequestHandler
+from badgerroad.frontend.listener import Listener, open_socket
+from badgerroad.net import http1
 from badgerroad.net.background_tasks import spawn
-from badgerroad.net.call_connection import NoDescriptorError
 from badgerroad.net.connection import Address
 from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
-log = logs.get("badgerroad")
-
-ACCEPT_PAUSE_US = 50_000  # how long the listener rests when no descriptor is left
-ACCEPT_BATCH_SIZE = 64  # connections accepted in one go
-# At the end of this process: for what has arrived to be read, and again for clients to hear of the end
+# At the end of this process: for what has arrived to be read, and as long again for clients to notice the end.
 FINAL_READ_TIME_US = 300_000
-JOB_EVENT_STATES = ("started", "running", "done", "failed", "returned", "lost")
+READY_PATH = b"/-/ready"
+JOB_EVENTS_PATH = b"/v1/job-events"
 
 
 class Frontend:
-    def __init__(self, wheel: TimerWheel, descriptors: DescriptorBudget, taker: RequestHandler) -> None:
-        self.timers, self.descriptors, self.request_handler = wheel, descriptors, taker
+    """The connections of clients; hands their requests to a request handler."""
+
+    def __init__(self, timers: TimerWheel, descriptors: DescriptorBudget, request_handler: RequestHandler) -> None:
+        """It accepts nothing before `listen`, or `adopt_listener` and `start_accepting`."""
+        self.timers = timers
+        self.descriptors = descriptors
+        self.request_handler = request_handler
         self.connections: set[ClientConnection] = set()
         self.draining = False
-        # While another process takes the new jobs: what passes a connection on to it. Descriptor, what `go_on` needs
-        # there, bytes, and the open exchange, if there is one; false if that cannot be now.
-        self.successor: ConnectionSuccessor | None = None
-        self._listener: socket.socket | None = None
-        self._accepting = False
-        self.serving = False  # new connections are this process's; also while the listener rests for a moment
-        self._ending: int | None = None  # since when all connections are being ended
-        self._loop = IOLoop.current()
+        self.successor: ConnectionSuccessor | None = None  # while another process takes the new requests
+        self.serving = False  # new connections are for this process, even while the listener pauses
+        self._end_started_at: int | None = None
+        self._listener = Listener(
+            timers, self._before_accepting, self._has_descriptor, self._connect, self._accept_after_pause
+        )
+
+    # The listener.
 
     def listen(self, address: Address, shared: bool = False) -> Address:
-        """`shared`: another process may listen at the same address."""
-        listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        listener.setblocking(False)
-        listener.bind(address)
-        listener.listen(1024)
-        return self.adopt_listener(listener, accept=True)
+        """Listen and accept; `shared`: another process may listen at the same address. Raises OSError."""
+        return self.adopt_listener(open_socket(address, shared), accept=True)
 
     def adopt_listener(self, listener: socket.socket, accept: bool) -> Address:
-        self._listener, self._accepting = listener, False
+        """Own a listening socket from now on; returns its address."""
+        self._listener.adopt(listener)
         if accept:
             self.start_accepting()
         host, port = listener.getsockname()
@@ -65,22 +55,105 @@
 
     @property
     def listener(self) -> socket.socket | None:
-        return self._listener
+        """The listening socket, if it is not closed."""
+        return self._listener.socket
+
+    @property
+    def accepting(self) -> bool:
+        """Whether the listener accepts, rather than pauses."""
+        return self._listener.accepting
 
     def start_accepting(self) -> None:
-        if self._listener is not None and not self._accepting:
-            self._accepting = self.serving = True
-            self._loop.add_handler(self._listener, self._on_acceptable, IOLoop.READ)
+        """Accept new connections from now on."""
+        if self._listener.start():
+            self.serving = True
+
+    def _accept_after_pause(self) -> None:
+        if self.successor is None:
+            self.start_accepting()
+
+    def _before_accepting(self) -> None:
+        """Once for a batch, since this looks at every connection."""
+        if self.descriptors.scarce:
+            self.shed_idle_connections()
+            if self.descriptors.scarce:
+                self.request_handler.shed_idle_connections()
+
+    def _has_descriptor(self) -> bool:
+        if self.descriptors.reserved_for_attempts:
+            self._close_while_needed(lambda: self.descriptors.scarce, client.EVICTION_GRACE_US)
+        return not self.descriptors.reserved_for_attempts
+
+    def _connect(self, sock: socket.socket) -> None:
+        try:
+            connection = ClientConnection(sock, self)
+        except OSError:
+            sock.close()
+            return
+        self.connections.add(connection)
+        spawn(connection.read())
+
+    # Eviction.
+
+    def shed_idle_connections(self) -> None:
+        """End idle connections, the least useful first: until there is headroom, or all while draining."""
+        eviction.end_idle(self.connections, self.descriptors, self.timers.clock.now(), not self.draining)
+
+    def free_descriptors(self) -> None:
+        """Close connections without a complete request, for an attempt of a request that is complete."""
+        self._close_while_needed(lambda: self.descriptors.nearly_exhausted, 0)
+
+    def _close_while_needed(self, needed: Callable[[], bool], min_silence: int) -> None:
+        eviction.close_while_needed(self.connections, needed, min_silence, self.timers.clock.now())
+
+    # Requests.
+
+    def handle(self, message: http1.Message, exchange: Exchange) -> None:
+        """Route a request by its path."""
+        path = message.path
+        if path == READY_PATH:
+            allowed, respond = b"GET", self._respond_ready
+        elif path == JOB_EVENTS_PATH:
+            allowed, respond = b"POST", self._respond_job_event
+        elif self.request_handler.serves_path(path):
+            allowed, respond = b"POST", self._handle_request
+        else:
+            exchange.answer(404, b"no such path\n")
+            return
+        if message.method != allowed:
+            exchange.answer(405, b"wrong method\n", [(b"Allow", allowed)])
+        else:
+            respond(message, exchange)
+
+    def _respond_ready(self, message: http1.Message, exchange: Exchange) -> None:
+        ready = self.request_handler.ready and not self.draining
+        exchange.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
+
+    def _respond_job_event(self, message: http1.Message, exchange: Exchange) -> None:
+        job_events.handle_job_event(message, exchange, self.request_handler)
+
+    def _handle_request(self, message: http1.Message, exchange: Exchange) -> None:
+        if self.descriptors.nearly_exhausted:
+            self.free_descriptors()
+        if self.descriptors.nearly_exhausted:
+            self.request_handler.record_rejection(message.path)
+            exchange.answer(503, b"too many connections\n", [(b"Retry-After", b"1")], close=True)
+        else:
+            self.request_handler.handle_request(message, exchange)
+
+    # Another process of the same dispatcher.
 
     def adopt_connection(
         self,
         sock: socket.socket,
-        about: dict[str, Any],
+        state: dict[str, Any],
         data: bytes,
-        job: Callable[[ClientConnection], None] | None = None,
+        restore_request: Callable[[ClientConnection], None] | None = None,
     ) -> None:
-        """A client's connection that another process held, with what it had read of the next request. `job` takes in
-        the open one."""
+        """Take over a client's connection from another process.
+
+        `data`: what that has read of the next request; `restore_request`: adds the open one.
+        """
         sock.setblocking(False)
         try:
             connection = ClientConnection(sock, self)
@@ -89,199 +162,84 @@
             return
         self.connections.add(connection)
         try:
-            connection.restore(about, data, job)
+            connection.restore(state, data, restore_request)
         except Exception:
-            connection.close()  # its client must not wait for a connection that nobody reads
+            connection.close()  # the client must not wait for a connection that is not read
             raise
         if not connection.closed:
             spawn(connection.read())
 
-    def yield_to(self, heir: ConnectionSuccessor) -> None:
-        """Another process takes the new jobs: the listener stays, but nothing is accepted here, and connections go
-        there once they are idle, at the next `pass_on` or when their answer is written."""
-        self.successor, self.serving = heir, False
-        self._rest()
+    def yield_to(self, successor: ConnectionSuccessor) -> None:
+        """Another process takes the new requests: the listener stays open, but nothing is accepted here.
+
+        Connections go there once they are idle: at the next `pass_connections_on`, or when a response is written.
+        """
+        self.successor = successor
+        self.serving = False
+        self._listener.pause()
 
     def pass_connections_on(self) -> None:
+        """Pass the connections that can go now to the successor."""
         for connection in list(self.connections):
             connection.pass_to_successor()
 
-    def retire(self) -> None:
-        """Others take the clients, but none can be passed on: answers close their connections, nothing is accepted."""
-        self.successor, self.draining = None, True
-        self.shed_idle_connections()
-
-    def mark_draining(self) -> None:
-        """The end of a process whose clients go to another one: no connection is closed for it."""
-        self.draining = True
-
     @property
     def has_connections_to_pass(self) -> bool:
-        """Is there a connection that has yet to be passed on?"""
-        return any(not c.lingering for c in self.connections)
+        """Whether a connection has yet to be passed on."""
+        return any(not connection.lingering for connection in self.connections)
 
     def resume_accepting(self) -> None:
         """There is no other process any more."""
-        self.successor, self.draining = None, False
+        self.successor = None
+        self.draining = False
         self.start_accepting()
         for connection in list(self.connections):
             if connection.exchange is None:
                 connection.resume()
 
-    def _rest(self) -> None:
-        if self._listener is not None and self._accepting:
-            self._accepting = False
-            self._loop.remove_handler(self._listener)
-
-    def _on_acceptable(self, listener: socket.socket, events: int) -> None:
-        if self.descriptors.scarce:  # once for all of them: it looks at every connection
-            self.shed_idle_connections()
-            if self.descriptors.scarce:
-                self.request_handler.shed_idle_connections()
-        for _ in range(ACCEPT_BATCH_SIZE):
-            try:
-                if self.descriptors.reserved_for_attempts:
-                    self._push_out(lambda: self.descriptors.scarce, client.EVICTION_GRACE_US)
-                if self.descriptors.reserved_for_attempts:
-                    raise OSError(errno.EMFILE, "descriptor limit reached")
-                sock, _peer = listener.accept()
-            except (BlockingIOError, ConnectionAbortedError, InterruptedError):
-                return
-            except OSError as e:
-                # Without a pause the loop would spin on the same connection; it waits in the backlog.
-                log.warning("accept", code=NoDescriptorError.code, why=str(e), do=NoDescriptorError.remedy)
-                self._rest()
-                self.timers.after(ACCEPT_PAUSE_US, self._accept_again)
-                return
-            self._take(sock)
-
-    def _accept_again(self) -> None:
-        if self.successor is None:
-            self.start_accepting()
-
-    def shed_idle_connections(self) -> None:
-        """End idle connections, the least useful first, until there is room. One whose next request has crossed
-        this stays."""
-        now = self.timers.clock.now()
-        going = sum(c.lingering for c in self.connections)
-        for connection in sorted((c for c in self.connections if c.evictable(now)), key=lambda c: c.usefulness):
-            if self.descriptors.has_headroom(going) and not self.draining:
-                break
-            if connection.lingering:
-                connection.close()
-                going -= 1
-            elif not connection.peer_has_sent():
-                connection.end_gracefully()
-                going += 1
-
-    def _push_out(self, still: Callable[[], bool], age: int) -> None:
-        """Close connections on which no whole request is open, the least useful first, as long as `still`: who is here
-        with a request, or waits to bring one, goes before those that have been silent for `age` microseconds."""
-        now = self.timers.clock.now()
-        for connection in sorted(
-            (c for c in self.connections if not c.has_pending_response and now - c.last_activity_at >= age),
-            key=lambda c: c.usefulness,
-        ):
-            if not still():
-                break
-            if connection.lingering:
-                connection.close()
-            elif not connection.peer_has_sent():
-                connection.end_gracefully()  # its client sees an end before all else; the place is needed now
-                connection.close()
-
-    def free_descriptors(self) -> None:
-        """For an attempt: its request came whole."""
-        self._push_out(lambda: self.descriptors.nearly_exhausted, 0)
+    # The end.
 
     def drain(self) -> None:
-        """Answers close their connections from now on; the listener stays for latecomers and call-backs."""
+        """Responses end their connections from now on; the listener stays for late clients and job events."""
         self.draining = True
         self.shed_idle_connections()
 
+    def retire(self) -> None:
+        """Drain after another process has taken over, to which no connection can be passed."""
+        self.successor = None
+        self.drain()
+
+    def mark_draining(self) -> None:
+        """The end of a process whose connections all go to another one, so that none is ended for it."""
+        self.draining = True
+
     @property
     def has_pending_responses(self) -> bool:
-        """Requests that came whole, and answers on their way. Half a request is none: clients that send no more, or
-        ever new ones that do, must not put off the end of a drain."""
-        return any(c.has_pending_response for c in self.connections)
+        """Whether a complete request has had no response, or one is being written.
+
+        Incomplete requests do not count: clients that never complete one must not put off the end of a drain.
+        """
+        return any(connection.has_pending_response for connection in self.connections)
 
     def end_connections(self) -> bool:
-        """Once nothing is owed: accepts nobody any more, takes what has come up to now, and ends each connection. True
-        when all of them have gone, or had their time."""
+        """Once no response is pending: accept what waits, then end all connections. Called until it returns True."""
         now = self.timers.clock.now()
-        if self._ending is None:
-            self._ending, self.draining = now, True
-            if self._listener is not None:
-                self._rest()
-                self._take_waiting(self._listener)
-                self._listener.close()
-                self._listener = None
-        late = now - self._ending >= FINAL_READ_TIME_US
+        if self._end_started_at is None:
+            self._end_started_at = now
+            self.draining = True
+            self._listener.pause()
+            self._listener.accept_backlog(lambda: not self.descriptors.exhausted)
+            self._listener.close()
+        elapsed = now - self._end_started_at
         for connection in list(self.connections):
-            if not connection.has_pending_response and (late or not connection.peer_has_sent()):
+            if connection.has_pending_response:
+                continue
+            if elapsed >= FINAL_READ_TIME_US or not connection.peer_has_sent():
                 connection.end_gracefully()
-        return not self.connections or now - self._ending >= 2 * FINAL_READ_TIME_US
-
-    def _take_waiting(self, listener: socket.socket) -> None:
-        """Who waits in the listener's queue has been accepted as far as he knows."""
-        while not self.descriptors.exhausted:
-            try:
-                self._take(listener.accept()[0])
-            except OSError:
-                return
-
-    def _take(self, sock: socket.socket) -> None:
-        try:
-            connection = ClientConnection(sock, self)
-        except OSError:
-            sock.close()
-            return
-        self.connections.add(connection)
-        spawn(connection.read())
+        return not self.connections or elapsed >= 2 * FINAL_READ_TIME_US
 
     def close(self) -> None:
-        if self._listener is not None:
-            self._rest()
-            self._listener.close()
-            self._listener = None
+        """Close the listener and all connections."""
+        self._listener.close()
         for connection in list(self.connections):
             connection.close()
-
-    def handle(self, message: http1.Message, exchange: Exchange) -> None:
-        path, method = message.path, message.method
-        wanted: list[bytes] = [b"POST"]
-        if path == b"/-/ready":
-            wanted = [b"GET"]
-        elif path != b"/v1/job-events" and not self.request_handler.serves_path(path):
-            exchange.answer(404, b"no such path\n")
-            return
-        if method not in wanted:
-            exchange.answer(405, b"wrong method\n", [(b"Allow", wanted[0])])
-        elif path == b"/-/ready":
-            ready = self.request_handler.ready and not self.draining
-            exchange.answer(200 if ready else 503, b"ready\n" if ready else b"not ready\n")
-        elif path == b"/v1/job-events":
-            self._call_back(message, exchange)
-        else:
-            if self.descriptors.nearly_exhausted:
-                self.free_descriptors()
-            if self.descriptors.nearly_exhausted:
-                self.request_handler.record_rejection(path)
-                exchange.answer(503, b"too many connections\n", [(b"Retry-After", b"1")], close=True)
-            else:
-                self.request_handler.handle_request(message, exchange)
-
-    def _call_back(self, message: http1.Message, exchange: Exchange) -> None:
-        try:
-            item = json.loads(message.body)
-            request_id, host, state = item["id"], item["from"], item["state"]
-            if not (isinstance(request_id, str) and isinstance(host, str) and state in JOB_EVENT_STATES):
-                raise ValueError("id, from and state are text")
-            if state == "running":
-                float(item.get("share") or 0.0)
-        except (ValueError, KeyError, TypeError, RecursionError) as e:
-            exchange.answer(400, f"not a call-back: {type(e).__name__}\n".encode())
-            return
-        # Answered first: what it sets off must not make the host call again.
-        exchange.answer(200)
-        self.request_handler.handle_job_event(request_id.encode("utf-8", "replace"), host, state, item)
--- /dev/null
+++ b/badgerroad/frontend/job_events.py
@@ -0,0 +1,47 @@
+"""The endpoint to which workers report job events."""
+
+from __future__ import annotations
+
+import json
+from enum import StrEnum
+from typing import Any
+
+from badgerroad.frontend.exchange import Exchange, RequestHandler
+from badgerroad.net import http1
+
+
+class JobEventState(StrEnum):
+    """What a worker reports of a job."""
+
+    STARTED = "started"
+    RUNNING = "running"
+    DONE = "done"
+    FAILED = "failed"
+    RETURNED = "returned"
+    LOST = "lost"
+
+
+_STATES = tuple(JobEventState)
+
+
+def handle_job_event(message: http1.Message, exchange: Exchange, handler: RequestHandler) -> None:
+    """Respond with 200 to a job event and hand it on, or with 400 to anything else."""
+    try:
+        item = _decode(message.body)
+    except (ValueError, KeyError, TypeError, RecursionError) as error:
+        exchange.answer(400, f"not a call-back: {type(error).__name__}\n".encode())
+        return
+    # First the response: its delay by what the event sets off must not make the worker repeat it.
+    exchange.answer(200)
+    handler.handle_job_event(item["id"].encode("utf-8", "replace"), item["from"], item["state"], item)
+
+
+def _decode(body: bytes) -> dict[str, Any]:
+    """Raises ValueError, KeyError, TypeError or RecursionError for what is not a job event."""
+    item: dict[str, Any] = json.loads(body)
+    request_id, worker, state = item["id"], item["from"], item["state"]
+    if not (isinstance(request_id, str) and isinstance(worker, str) and state in _STATES):
+        raise ValueError("id, from and state are text")
+    if state == JobEventState.RUNNING:
+        float(item.get("share") or 0.0)
+    return item
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -15,7 +15,7 @@
 from badgerroad.discovery.reader import BadList
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.extension import DispatcherExtension
-from badgerroad.frontend.client import Exchange
+from badgerroad.frontend.exchange import Exchange
 from badgerroad.hot_restart import messages, rules, snapshot, transfer
 from badgerroad.hot_restart.attempts import AttemptMessages
 from badgerroad.hot_restart.peer import Peer
--- a/badgerroad/hot_restart/transfer.py
+++ b/badgerroad/hot_restart/transfer.py
@@ -11,7 +11,8 @@
 
 from badgerroad.backend.attempts import Attempt, ForwardedRequest
 from badgerroad.dispatcher import Dispatcher
-from badgerroad.frontend.client import ClientConnection, Exchange
+from badgerroad.frontend.client import ClientConnection
+from badgerroad.frontend.exchange import Exchange
 from badgerroad.load_balancing import state
 from badgerroad.requests import OpenRequest
 
--- a/badgerroad/requests.py
+++ b/badgerroad/requests.py
@@ -8,7 +8,7 @@
 
 from badgerroad.backend.attempts import Attempt, ForwardedRequest
 from badgerroad.errors import Error
-from badgerroad.frontend.client import Exchange
+from badgerroad.frontend.exchange import Exchange
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1
 from badgerroad.net.timer_wheel import Timer
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -106,7 +106,7 @@
             second.close()
             await until(lambda: first.newer is None)
             assert not w.dispatcher.taking
-            assert not w.dispatcher.frontend._accepting
+            assert not w.dispatcher.frontend.accepting
             second.dispatcher.frontend.close()
             assert (await w.ask(job()))[0] == 200
             for thing in (third, ops, d):
