--- /dev/null
+++ b/tests/net/test_http1_parser.py
@@ -0,0 +1,67 @@
+"""The HTTP/1.1 parser: messages cut anywhere, and strictness."""
+
+import pytest
+
+from badgerroad.net import http1
+from badgerroad.net.ring_buffer import RingBuffer
+
+
+def parse(data, step, responses=False):
+    """All messages in `data`, which arrives `step` bytes at a time."""
+    ring_buffer = RingBuffer(http1.MESSAGE_LIMIT)
+    parser, messages = http1.Parser(ring_buffer, responses), []
+    for offset in range(0, len(data), step):
+        ring_buffer.put(data[offset : offset + step])
+        while (message := parser.next_message()) is not None:
+            messages.append(message)
+    return messages
+
+
+@pytest.mark.parametrize("step", [1, 7, 1000])
+def test_messages_are_complete_however_they_are_cut(step):
+    requests = (
+        b"POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
+        b"POST /b HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n2;x=y\r\nde\r\n1\r\nf\r\n0\r\nT: v\r\n\r\n"
+        b"\r\nGET /c HTTP/1.1\r\nConnection: close\r\n\r\n"
+    )
+    assert [(message.target, message.body, message.close) for message in parse(requests, step)] == [
+        (b"/a", b"abc", False),
+        (b"/b", b"def", False),
+        (b"/c", b"", True),
+    ]
+    responses = b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 204 No\r\n\r\nHTTP/1.1 202 X\r\nContent-Length: 1\r\n\r\ny"
+    parsed = parse(responses, step, responses=True)
+    assert [(message.status, message.body) for message in parsed] == [(204, b""), (202, b"y")]
+
+
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        pytest.param(
+            b"POST /a HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, id="length given twice"
+        ),
+        pytest.param(
+            b"POST /a HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            400,
+            id="length with chunks",
+        ),
+        pytest.param(b"POST /a HTTP/1.1\r\nContent-Length: -3\r\n\r\n", 400, id="negative length"),
+        pytest.param(b"POST /a HTTP/1.1\r\nContent-Length : 3\r\n\r\nabc", 400, id="space before colon"),
+        pytest.param(b"POST /a HTTP/1.1\r\n folded: x\r\n\r\n", 400, id="folded header"),
+        pytest.param(b"POST /a HTTP/1.1\nHost: x\n\r\n\r\n", 400, id="bare line feeds"),
+        pytest.param(b"nonsense\r\n\r\n", 400, id="no request line"),
+        pytest.param(b"POST /a HTTP/2.0\r\n\r\n", 505, id="other version"),
+        pytest.param(
+            b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400, id="chunk size not a number"
+        ),
+        pytest.param(
+            b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabcd\r\n", 400, id="chunk longer than its size"
+        ),
+        pytest.param(b"POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413, id="body too large"),
+        pytest.param(b"POST /a HTTP/1.1\r\nX: " + b"y" * 17000, 431, id="header too large"),
+    ],
+)
+def test_ambiguous_or_oversized_messages_are_rejected(data, status):
+    with pytest.raises(http1.BadMessageError) as caught:
+        parse(data, 4096)
+    assert caught.value.status == status
