--- a/badgerroad/net/call_connection.py
+++ b/badgerroad/net/call_connection.py
@@ -8,14 +8,14 @@
 
 from tornado.iostream import StreamClosedError
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.net.background_tasks import spawn
 from badgerroad.net.connection import Address, Connection
 from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.http1 import BODY_LIMIT, BadMessageError, Message
 
 
-class ConnectionBrokenError(Error):
+class ConnectionBrokenError(BadgerroadError):
     """The connection ended before the response; `sent`: whether the last byte of the request was written."""
 
     code = "broken"
--- a/tests/dispatcher/test_admission.py
+++ b/tests/dispatcher/test_admission.py
@@ -6,7 +6,7 @@
 from badgerroad.extension import DispatcherExtension
 from badgerroad.hot_restart import transfer
 from badgerroad.load_balancing import interface
-from badgerroad.load_balancing.settings import settings_from
+from badgerroad.load_balancing.settings_decoder import settings_from
 from tests.support.loopback import SETTINGS, World, async_test, job, reply, serve, until
 
 
@@ -100,7 +100,7 @@
         await asyncio.sleep(0.05)
         assert not got
         assert not sends(w)
-        assert not w.dispatcher.requests
+        assert not w.dispatcher.open_requests
         assert not w.dispatcher.has_pending_responses
 
 
@@ -115,7 +115,7 @@
         await asyncio.sleep(0.05)
         assert not got
         assert not sends(w)
-        assert not w.dispatcher.requests
+        assert not w.dispatcher.open_requests
 
 
 @async_test
