--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""The one helper of the network tests: a dispatcher on loopback, and scripted peers round it."""
+"""A dispatcher on loopback with scripted workers and a scripted discovery service."""
 
 import asyncio
 import contextlib
@@ -61,11 +61,17 @@
 
 
 class Peer:
-    """A scripted server: it keeps what it got; `script` answers each message with bytes, None or silence."""
+    """A scripted server that records the messages it receives.
+
+    `script` gets each message and returns the bytes of the response, or None, which closes the connection.
+    """
 
     def __init__(self, script):
-        self.script, self.got, self.writers, self.ended = script, [], [], asyncio.Event()
-        self.piece = 0  # bytes of an answer written at a time; 0: all at once
+        self.script = script
+        self.got = []  # (head, body) of each message
+        self.writers = []
+        self.ended = asyncio.Event()  # a client has closed its connection
+        self.piece = 0  # bytes of a response written at a time; 0: all at once
 
     async def open(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -81,7 +87,7 @@
                 answer = self.script(head, body)
                 answer = await answer if asyncio.iscoroutine(answer) else answer
                 if answer is None:
-                    break  # broken off, without a word
+                    break
                 for at in range(0, len(answer), self.piece or len(answer) or 1):
                     writer.write(answer[at : at + (self.piece or len(answer))])
                     if self.piece:
@@ -92,7 +98,7 @@
 
 async def read_message(reader):
     head = await reader.readuntil(b"\r\n\r\n")
-    length = [ln for ln in head.lower().split(b"\r\n") if ln.startswith(b"content-length:")]
+    length = [line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length:")]
     return head, await reader.readexactly(int(length[0].split(b":")[1])) if length else b""
 
 
@@ -117,7 +123,7 @@
 
 
 class World:
-    """A dispatcher with the workers that `scripts` give, and discovery told of all of them."""
+    """A dispatcher with one worker for each of `scripts`, all on the endpoint list of its discovery service."""
 
     def __init__(self, *scripts, limits=1024, discovery=None, ops=False, **settings):
         self.scripts, self.limits, self.settings, self.ops = scripts, limits, {**SETTINGS, **settings}, ops
@@ -125,7 +131,7 @@
         self.tasks = []
 
     async def open(self):
-        """Hosts and discovery; returns the configuration of a dispatcher among them."""
+        """Start workers and discovery; returns the configuration of a dispatcher for them."""
         self.hosts = [await Peer(functools.partial(script, self)).open() for script in self.scripts]
         self.discovery = await Peer(self.discovery_script).open()
         self.entries = [host(f"h{n}", peer.port) for n, peer in enumerate(self.hosts)]
@@ -164,13 +170,13 @@
                 writer.close()
 
     async def whole_list(self, head, _body):
-        """The list at once; then one answer for each list that the scenario puts into `lists`."""
+        """The complete endpoint list at once; then one response for each list that the test puts into `lists`."""
         if b"index=" in head and b"wait=0" not in head:
             return reply(200, json.dumps(await self.lists.get()).encode())
         return reply(200, json.dumps({"seq": 2, "whole": True, "hosts": self.entries}).encode())
 
     def begin(self, coroutine):
-        """Play it concurrently with the test. The loop would not keep it: it could be collected, and its connection closed."""
+        """Run concurrently with the test, and keep a reference, since the event loop keeps none."""
         self.tasks.append(asyncio.ensure_future(coroutine))
         return self.tasks[-1]
 
@@ -178,7 +184,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def ask(self, data, connection=None):
-        """One request; the answer's status, header and body."""
+        """Send one request; returns status, header and body of the response."""
         reader, writer = connection or await self.connect()
         writer.write(data)
         head, body = await read_message(reader)
@@ -201,13 +207,18 @@
 
 
 async def serve(world, head, _body):
-    """A host that takes each job and has it done at once."""
+    """A worker that accepts each job and reports it as done at once."""
     if head.startswith(b"DELETE"):
         return reply(200)
     world.begin(world.call_back(id_of(head), "done", world.name_of(head), result="made"))
     return reply(202)
 
 
+def accept_only(_world, head, _body):
+    """A worker that accepts each job and sends nothing more."""
+    return reply(200 if head.startswith(b"DELETE") else 202)
+
+
 def id_of(head):
     return head.split(b"Request-Id: ")[1].split(b"\r\n")[0].decode()
 
@@ -218,7 +229,7 @@
 
 
 def async_test(play):
-    """Run a coroutine as a test; a scenario that hangs fails."""
+    """Run a coroutine as a test, which fails if it takes longer than 30 s."""
 
     @functools.wraps(play)
     def test(**arguments):
