--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -96,7 +96,9 @@
         try:
             await self._run_attempt(attempt, worker, deadline, accept_timeout)
         except NoDescriptorError as error:
-            log.warning("attempt_not_sent", **attempt.log_fields, **error.fields)
+            log.warning(
+                "attempt_not_sent", **attempt.log_fields, code=error.code, error=str(error), remedy=error.remedy
+            )
             # Not a failed connection, which would count against a healthy worker.
             self._end(attempt, interface.AttemptResult.NOT_NEEDED)
         except ConnectionBrokenError as error:
--- a/badgerroad/frontend/http.py
+++ b/badgerroad/frontend/http.py
@@ -85,13 +85,19 @@
         return not self.descriptors.reserved_for_attempts
 
     def _connect(self, sock: socket.socket) -> None:
+        connection = self._add_connection(sock)
+        if connection is not None:
+            spawn(connection.read())
+
+    def _add_connection(self, sock: socket.socket) -> ClientConnection | None:
+        """None if the socket has ended already."""
         try:
             connection = ClientConnection(sock, self)
         except OSError:
             sock.close()
-            return
+            return None
         self.connections.add(connection)
-        spawn(connection.read())
+        return connection
 
     # Eviction.
 
@@ -155,12 +161,9 @@
         `data`: what that has read of the next request; `restore_request`: adds the open one.
         """
         sock.setblocking(False)
-        try:
-            connection = ClientConnection(sock, self)
-        except OSError:
-            sock.close()
+        connection = self._add_connection(sock)
+        if connection is None:
             return
-        self.connections.add(connection)
         try:
             connection.restore(state, data, restore_request)
         except Exception:
