--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from badgerroad.errors import BadgerroadError
-from badgerroad.fleet.messages import MAXIMAL_LIST, MAXIMAL_NAME
+from badgerroad.fleet.messages import MAX_LIST, MAX_NAME
 
-MICROSECONDS = 1000  # in a millisecond
-MAXIMAL_CONTROLLERS = 256
+US_PER_MS = 1000  # in a millisecond
+MAX_CONTROLLERS = 256
 CARRY_SHARE = 0.85  # of the ownership lease: so long after its session's end a zone may carry credit to the next owner
 CLAIM_SHARE = 0.1  # of the ownership lease: so long a candidate waits for votes; with CARRY_SHARE well below 1
 
@@ -22,7 +22,7 @@
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 
 
-class BadFleet(BadgerroadError, ValueError):
+class FleetSettingsError(BadgerroadError, ValueError):
     """The fleet's settings cannot be. `field` names the one."""
 
     code = "fleet-settings"
@@ -49,7 +49,7 @@
     wrong in rate by r, with (1 + r) / (1 - r) - 1 within the margin: by 1% either way for 0.0203 and up."""
 
     controllers: tuple[Controller, ...]
-    shards: Annotated[int, msgspec.Meta(ge=1, lt=MAXIMAL_LIST)] = 19
+    shards: Annotated[int, msgspec.Meta(ge=1, lt=MAX_LIST)] = 19
     ownership_lease_ms: Duration = 5000
     renew_ms: Duration = 1000
     quota_lease_ms: Duration = 3000
@@ -63,7 +63,7 @@
     tick_ms: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 50
 
     def check(self) -> None:
-        """Raises BadFleet, which names the field."""
+        """Raises FleetSettingsError, which names the field."""
         self._check_controllers()
         self._check_voters()
         self._check_durations()
@@ -117,13 +117,13 @@
         return max(0, int(duration / (1 + self.clock_margin)) - 1)
 
     def _check_controllers(self) -> None:
-        if not 1 <= len(self.controllers) <= MAXIMAL_CONTROLLERS:
-            raise BadFleet("controllers", f"must be 1 to {MAXIMAL_CONTROLLERS}, got {len(self.controllers)}")
+        if not 1 <= len(self.controllers) <= MAX_CONTROLLERS:
+            raise FleetSettingsError("controllers", f"must be 1 to {MAX_CONTROLLERS}, got {len(self.controllers)}")
         for field in ("name", "zone", "region"):
             values = [getattr(controller, field) for controller in self.controllers]
             for value in values:
-                if not 1 <= len(value.encode()) <= MAXIMAL_NAME:
-                    raise BadFleet(f"controllers.{field}", f"must be 1 to {MAXIMAL_NAME} bytes, got {value!r}")
+                if not 1 <= len(value.encode()) <= MAX_NAME:
+                    raise FleetSettingsError(f"controllers.{field}", f"must be 1 to {MAX_NAME} bytes, got {value!r}")
             if field != "region":
                 _check_unique(f"controllers.{field}", values)
 
@@ -131,7 +131,9 @@
         voters = Counter(controller.region for controller in self.controllers if controller.voter)
         for region in {controller.region for controller in self.controllers}:
             if voters[region] != 1:
-                raise BadFleet("controllers.voter", f"one a region, but region {region!r} has {voters[region]}")
+                raise FleetSettingsError(
+                    "controllers.voter", f"one a region, but region {region!r} has {voters[region]}"
+                )
 
     def _check_durations(self) -> None:
         self._check_longer("ownership_lease_ms", "quota_lease_ms")
@@ -140,14 +142,18 @@
         self._check_longer("dispatcher_lease_ms", "ask_timeout_ms")
         self._check_longer("renew_ms", "tick_ms")
         if self.lending_ms < 2 * self.renew_ms:
-            raise BadFleet("lending_ms", f"must be at least twice renew_ms ({self.renew_ms}), got {self.lending_ms}")
+            raise FleetSettingsError(
+                "lending_ms", f"must be at least twice renew_ms ({self.renew_ms}), got {self.lending_ms}"
+            )
 
     def _check_longer(self, field: str, other: str) -> None:
         if getattr(self, field) <= getattr(self, other):
-            raise BadFleet(field, f"must be longer than {other} ({getattr(self, other)}), got {getattr(self, field)}")
+            raise FleetSettingsError(
+                field, f"must be longer than {other} ({getattr(self, other)}), got {getattr(self, field)}"
+            )
 
 
 def _check_unique(field: str, values: Iterable[str]) -> None:
     for value, count in Counter(values).items():
         if count > 1:
-            raise BadFleet(field, f"{value!r} occurs {count} times")
+            raise FleetSettingsError(field, f"{value!r} occurs {count} times")
--- a/tests/backend/test_job_events.py
+++ b/tests/backend/test_job_events.py
@@ -20,7 +20,7 @@
         assert (status, body) == (200, b"early")
         assert await w.call_back("r1", "failed") == 200
         (worker,) = w.dispatcher.decisions.workers.values()
-        assert worker.tally == worker.running == 0
+        assert worker.in_flight_slots == worker.running_slots == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -60,8 +60,8 @@
         assert (await w.ask(job()))[0] == 404
         assert sum(len(h.got) for h in w.hosts) == 1
         assert not w.dispatcher.open_requests
-        assert [x.strikes for x in w.dispatcher.decisions.fleet] == [0, 0]
-        assert not w.dispatcher.decisions.jobs
+        assert [x.consecutive_failures for x in w.dispatcher.decisions.subsets.ready] == [0, 0]
+        assert not w.dispatcher.decisions.requests
 
 
 @async_test
@@ -76,7 +76,7 @@
     async with World(deaf_at_first, deaf_at_first) as w:
         assert (await w.ask(job()))[0] == 200
         assert sorted(len(h.got) for h in w.hosts) == [1, 1]
-        assert sorted(x.strikes for x in w.dispatcher.decisions.fleet) == [0, 1]
+        assert sorted(x.consecutive_failures for x in w.dispatcher.decisions.subsets.ready) == [0, 1]
 
 
 @async_test
