--- a/badgerroad/dispatcher/intake.py
+++ b/badgerroad/dispatcher/intake.py
@@ -13,7 +13,7 @@
 from badgerroad.dispatcher.open_requests import OpenRequests
 from badgerroad.dispatcher.shutdown import ShutdownDeadline
 from badgerroad.extension import admit_request
-from badgerroad.frontend.client import Exchange
+from badgerroad.frontend.exchange import Exchange
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
 from badgerroad.net.timer_wheel import Clock
--- a/badgerroad/hot_restart/connection_transfer.py
+++ b/badgerroad/hot_restart/connection_transfer.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from badgerroad.dispatcher import Dispatcher
-from badgerroad.frontend.client import Exchange
+from badgerroad.frontend.exchange import Exchange
 from badgerroad.hot_restart import messages, request_transfer
 from badgerroad.hot_restart.attempt_reports import AttemptReports
 from badgerroad.hot_restart.descriptor_accounting import DescriptorAccounting
--- a/badgerroad/net/logs.py
+++ b/badgerroad/net/logs.py
@@ -32,13 +32,16 @@
 
 
 class _TimeOfDay:
-    """Adds the local time to a line. Most lines share the text of their second with the one before."""
+    """The local time of a line. Most lines share the text of their second with the one before."""
+
+    __slots__ = ("_second", "_text")
 
     def __init__(self) -> None:
         self._second = 0
         self._text = ""
 
-    def __call__(self, _logger: Any, _name: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
+    def add(self, _logger: Any, _name: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
+        """Add the field `at`; a processor of structlog."""
         now = time.time()
         second = int(now)
         if second != self._second:
@@ -95,7 +98,7 @@
     """
     level = logging.DEBUG if debug else LEVELS[settings.level]
     json = settings.format == "json"
-    add_time: Any = structlog.processors.TimeStamper(fmt="iso", key="at") if json else _TimeOfDay()
+    add_time: Any = structlog.processors.TimeStamper(fmt="iso", key="at") if json else _TimeOfDay().add
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
