--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -25,7 +25,8 @@
 from badgerroad.multiprocess.metric_sums import MetricSums
 from badgerroad.multiprocess.startup import ProcessIndex
 from badgerroad.net import logs
-from badgerroad.net.connection import Address, spawn
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.connection import Address
 from badgerroad.net.timer_wheel import Clock, Timer, TimerWheel
 from badgerroad.net.unix_channel import UnixChannel
 from badgerroad.process_messages import Message
