--- a/badgerroad/admin/__init__.py
+++ b/badgerroad/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: where operators ask whether this process takes clients, and for its figures."""
+"""The second address: where operators ask whether this process accepts clients, and for its metrics."""
--- a/badgerroad/dispatcher/attempts.py
+++ b/badgerroad/dispatcher/attempts.py
@@ -20,7 +20,7 @@
 from badgerroad.requests import OpenRequest
 
 if TYPE_CHECKING:
-    from badgerroad.admin.counts import Counts
+    from badgerroad.admin.counters import Counters
 
 MICROSECONDS_PER_SECOND = 1e6
 DEADLINE_TOLERANCE_TICKS = 10  # a failure so close to the deadline is answered as a timeout
@@ -39,7 +39,7 @@
         extensions: Extensions,
         zone_of: Callable[[str], str],
         release_descriptors: Callable[[], None],
-        counts: Counts | None,
+        counts: Counters | None,
     ) -> None:
         """`zone_of` names a worker's zone for the log; `release_descriptors` closes idle client connections."""
         self._clock = wheel.clock
@@ -56,7 +56,7 @@
             host.handle_event,
             self._may_begin,
             release_descriptors,
-            counts.sent if counts else None,
+            counts.attempt_sent if counts else None,
         )
 
     def send(self, action: interface.Send) -> None:
--- a/badgerroad/dispatcher/core.py
+++ b/badgerroad/dispatcher/core.py
@@ -27,7 +27,7 @@
 from badgerroad.requests import OpenRequest
 
 if TYPE_CHECKING:
-    from badgerroad.admin.counts import Counts
+    from badgerroad.admin.counters import Counters
 
 log = logs.get("badgerroad")
 
@@ -36,7 +36,7 @@
     """One dispatcher process's part that serves clients; `start` opens its listener."""
 
     def __init__(
-        self, config: Config, wheel: TimerWheel, counts: Counts | None = None, reserved_descriptors: int = 0
+        self, config: Config, wheel: TimerWheel, counts: Counters | None = None, reserved_descriptors: int = 0
     ) -> None:
         """`counts` is None where no second listener shows them; `reserved_descriptors` are left for other uses."""
         self.config = config
@@ -189,7 +189,7 @@
         """What the second listener shows. Raises RuntimeError where this dispatcher does not count."""
         if self.counts is None:
             raise RuntimeError("this dispatcher was made without counts")
-        return self.counts.figures(len(self.endpoint_watch.states), avoided(self.decisions, self.clock.now()))
+        return self.counts.metrics(len(self.endpoint_watch.states), avoided(self.decisions, self.clock.now()))
 
     def next_request_number(self) -> int:
         """A number that no other request of this process has."""
@@ -240,7 +240,7 @@
         self._active.replace(settings, {request.request_class for request in self.open_requests.values()})
         self.backend.apply_settings(self.settings)
         if self.counts:
-            self.counts.know(request_class.name for request_class in settings.classes)
+            self.counts.add_classes(request_class.name for request_class in settings.classes)
         self.handle_event(interface.SettingsChanged(self.settings))
         for extension in self.extensions:
             extension.settings_changed(self.settings)
--- a/badgerroad/dispatcher/intake.py
+++ b/badgerroad/dispatcher/intake.py
@@ -20,7 +20,7 @@
 from badgerroad.requests import InvalidRequestError, OpenRequest, forwarded_headers, parse_request, parse_request_id
 
 if TYPE_CHECKING:
-    from badgerroad.admin.counts import Counts
+    from badgerroad.admin.counters import Counters
 
 log = logs.get("badgerroad")
 
@@ -38,7 +38,7 @@
         backend: Backend,
         endpoint_watch: EndpointWatch,
         shutdown: ShutdownDeadline,
-        counts: Counts | None,
+        counts: Counters | None,
     ) -> None:
         """All collaborators belong to one dispatcher."""
         self._clock = clock
@@ -67,7 +67,7 @@
     def record_rejection(self, path: bytes) -> None:
         """Count a request that was rejected before it was registered."""
         if self._counts:
-            self._counts.turned_away(path.split(b"/")[1].decode())
+            self._counts.request_rejected(path.split(b"/")[1].decode())
 
     def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
         """A worker reports on an attempt; one that is not known here is offered to the extensions."""
--- a/badgerroad/dispatcher/open_requests.py
+++ b/badgerroad/dispatcher/open_requests.py
@@ -11,13 +11,13 @@
 from badgerroad.requests import OpenRequest
 
 if TYPE_CHECKING:
-    from badgerroad.admin.counts import Counts
+    from badgerroad.admin.counters import Counters
 
 
 class OpenRequests:
     """Owns the requests from their registration to their release, and counts them."""
 
-    def __init__(self, wheel: TimerWheel, extensions: Extensions, counts: Counts | None) -> None:
+    def __init__(self, wheel: TimerWheel, extensions: Extensions, counts: Counters | None) -> None:
         """`counts` is None where no second listener shows them."""
         self.by_number: dict[int, OpenRequest] = {}
         self.by_id: dict[bytes, OpenRequest] = {}
@@ -53,7 +53,7 @@
         self.by_number[request.number] = request
         self.by_id[request.forwarded.id] = request
         if self._counts:
-            self._counts.taken()
+            self._counts.request_admitted()
         time_left_us = request.forwarded.deadline - self._wheel.clock.now() - tick_us
         request.deadline_timer = self._wheel.after(
             max(time_left_us, 0), lambda: self.answer(request, 504, b"out of time\n")
@@ -64,7 +64,7 @@
         if not request.exchange.answered:
             request_log.log_answer(request, status, self._wheel.clock.now())
             if self._counts:
-                self._counts.ended(request.request_class.name, status)
+                self._counts.request_ended(request.request_class.name, status)
             request.exchange.answer(status, body, headers or [])
         self.release_if_finished(request)
 
@@ -77,7 +77,7 @@
     def client_disconnected(self, request: OpenRequest) -> None:
         """Count a request whose client has left before its answer."""
         if self._counts:
-            self._counts.ended(request.request_class.name, 0)
+            self._counts.request_ended(request.request_class.name, 0)
 
     def release_if_finished(self, request: OpenRequest) -> None:
         """Forget a request that is answered and has no attempt in flight."""
--- a/badgerroad/hot_restart/request_transfer.py
+++ b/badgerroad/hot_restart/request_transfer.py
@@ -82,7 +82,7 @@
     request.exchange.answered = True
     request.open_attempts = 0
     if dispatcher.counts:
-        dispatcher.counts.current -= 1
+        dispatcher.counts.open_requests -= 1
     dispatcher.release_if_finished(request)
 
 
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -44,13 +44,13 @@
     of one that is `counted` elsewhere."""
     if config.admin is None and not counted:
         return Dispatcher(config, wheel), None
-    from badgerroad.admin.counts import Counts
+    from badgerroad.admin.counters import Counters
 
     if config.admin is None:
-        return Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes)), None
-    from badgerroad.admin.listener import KEPT, Listener
+        return Dispatcher(config, wheel, Counters(c.name for c in config.settings.classes)), None
+    from badgerroad.admin.listener import RESERVED_DESCRIPTORS, Listener
 
-    dispatcher = Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes), KEPT)
+    dispatcher = Dispatcher(config, wheel, Counters(c.name for c in config.settings.classes), RESERVED_DESCRIPTORS)
     return dispatcher, Listener(wheel, lambda: dispatcher.accepts_clients, dispatcher.metrics)
 
 
@@ -131,7 +131,7 @@
         except ConfigError as e:
             log.error("reload failed; the old configuration stays in force", **e.fields)
             if dispatcher.counts:
-                dispatcher.counts.conf_invalid += 1
+                dispatcher.counts.failed_reloads += 1
         else:
             dispatcher.reload(fresh)
             if operator_file is not None:
@@ -139,7 +139,7 @@
                 if operator_now.fleet != operator.fleet:
                     log.warning("reload: takes effect at the next start", field="fleet")
             if dispatcher.counts:
-                dispatcher.counts.conf_loaded += 1
+                dispatcher.counts.reloads += 1
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -14,7 +14,7 @@
 import pytest
 
 from badgerroad import serving
-from badgerroad.admin import listener as ops
+from badgerroad.admin import listener as admin_listener
 from badgerroad.config import ConfigError, read
 from badgerroad.errors import ListenError
 from tests.support.loopback import CLASS, SETTINGS, World, async_test, id_of, job, read_message, reply, serve, until
@@ -128,22 +128,22 @@
 @async_test
 async def test_one_that_asks_is_answered_alongside_any_number_that_do_not(monkeypatch):
     """Silent and half calls are bounded in number and time, and take no descriptor of clients."""
-    monkeypatch.setattr(ops, "YOUNG", 1_000_000)
+    monkeypatch.setattr(admin_listener, "MIN_CLOSE_AGE_US", 1_000_000)
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        crowd = [await asyncio.open_connection("127.0.0.1", w.ops_port) for _ in range(2 * ops.MOST)]
-        reader, asks = crowd[ops.MOST - 1]
-        await until(lambda: len(w.second.callers) == ops.MOST)
+        crowd = [await asyncio.open_connection("127.0.0.1", w.ops_port) for _ in range(2 * admin_listener.MAX_CALLERS)]
+        reader, asks = crowd[admin_listener.MAX_CALLERS - 1]
+        await until(lambda: len(w.second.callers) == admin_listener.MAX_CALLERS)
         asks.write(b"GET /ready HTTP/1.1\r\n\r\n")  # as many more wait, but it has had no time to speak yet
         assert b" 200 " in (await read_message(reader))[0]
-        monkeypatch.setattr(ops, "YOUNG", 0)
-        monkeypatch.setattr(ops, "CALL_TIME", 300_000)
+        monkeypatch.setattr(admin_listener, "MIN_CLOSE_AGE_US", 0)
+        monkeypatch.setattr(admin_listener, "CALL_TIMEOUT_US", 300_000)
         free = w.dispatcher.descriptors.used
         idle = [await asyncio.open_connection("127.0.0.1", w.ops_port) for _ in range(500)]
         for _, writer in idle[::2]:
             writer.write(b"GET /metr")
         assert (await call(w, b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
-        assert len(w.second.callers) <= ops.MOST
+        assert len(w.second.callers) <= admin_listener.MAX_CALLERS
         assert w.dispatcher.descriptors.used == free
         await until(lambda: not w.second.callers)  # out of time
 
