--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -231,8 +231,8 @@
             return False
         cls = self.settings.classes[request.client_try.job.class_index].name
         if attempt.number:
-            return not self.budget.again(cls, self.kernel.now, request.out > 1)
-        self.budget.first(cls, self.kernel.now)
+            return not self.budget.allow_retry(cls, self.kernel.now, request.out > 1)
+        self.budget.count_first(cls, self.kernel.now)
         return False
 
     def _connect_failed(self, request: Open, attempt: Attempt) -> None:
--- a/badgerroad/operator_limits.py
+++ b/badgerroad/operator_limits.py
@@ -20,8 +20,8 @@
         if dispatcher.extension(RETRIES) is not None:
             dispatcher.set_extension(RETRIES, None)
         return
-    from badgerroad.retry_budget.extension import Retries
+    from badgerroad.retry_budget.extension import RetryBudgetExtension
 
     held = dispatcher.extension(RETRIES)
-    if not isinstance(held, Retries) or held.limits != limits:
-        dispatcher.set_extension(RETRIES, Retries(dispatcher.clock, limits))
+    if not isinstance(held, RetryBudgetExtension) or held.limits != limits:
+        dispatcher.set_extension(RETRIES, RetryBudgetExtension(dispatcher.clock, limits))
--- a/badgerroad/retry_budget/__init__.py
+++ b/badgerroad/retry_budget/__init__.py
@@ -1,1 +1,1 @@
-"""What a dispatcher lets itself do, whatever its decisions ask for. Not imported unless the operator asks for it."""
+"""The retry budget: a limit on retries, whatever the decisions ask for. Not imported unless the operator sets it."""
--- a/badgerroad/retry_budget/extension.py
+++ b/badgerroad/retry_budget/extension.py
@@ -12,20 +12,30 @@
 
 log = logs.get("badgerroad")
 
+MICROSECONDS = 1_000_000  # in a second
+
+
+class RetryBudgetExtension(DispatcherExtension):
+    """Rejects retries beyond the budget of the operator's file."""
 
-class Retries(DispatcherExtension):
     def __init__(self, clock: Clock, limits: Limits) -> None:
-        self.clock, self.limits = clock, limits
-        self.budget = RetryBudget(limits.retry_share, limits.retry_least, int(limits.retry_window_s * 1e6))
+        """`limits`: of the operator's file."""
+        self.limits = limits
+        self._clock = clock
+        window_us = int(limits.retry_window_s * MICROSECONDS)
+        self._budget = RetryBudget(limits.retry_share, limits.retry_least, window_us)
 
     def may_send(self, request: OpenRequest, attempt: Attempt) -> bool:
-        """Counts the attempt, or says that it is one resend too many."""
-        now, cls = self.clock.now(), request.request_class.name
+        """Count the attempt, or reject it as a retry beyond the budget."""
+        now = self._clock.now()
+        request_class = request.request_class.name
         if not attempt.number:
-            self.budget.first(cls, now)
-        elif not self.budget.again(cls, now, request.open_attempts > 1):
-            if self.budget.tell(cls, now):
-                first, again = self.budget.used(cls, now)
-                log.warning("retry budget spent", cls=cls, first=first, again=again)
-            return False
-        return True
+            self._budget.count_first(request_class, now)
+            return True
+        hedged = request.open_attempts > 1  # this one is open already
+        if self._budget.allow_retry(request_class, now, hedged):
+            return True
+        if self._budget.should_report_exhausted(request_class, now):
+            counts = self._budget.counts(request_class, now)
+            log.warning("retry_budget_exhausted", cls=request_class, first=counts.first, retries=counts.retries)
+        return False
--- a/badgerroad/retry_budget/rules.py
+++ b/badgerroad/retry_budget/rules.py
@@ -1,73 +1,107 @@
-"""The retry budget: resends are at most a part of first sends, by class, over a rolling window. No I/O, no clock.
+"""The retry budget: retries are at most a share of first attempts, by class, over a rolling window. No I/O, no clock.
 
-Without it a bad day of a third of the fleet sends each job that met it again, and those that are left get what the
-others could not do on top of their own. What the budget turns down never goes out; the decisions hear that this attempt
-was moot, and go on from there.
+Without it, when a third of the fleet is faulty each request that meets it is retried, and the workers that are left get
+the retries on top of their own load. An attempt that the budget rejects is never sent; the decisions are notified that
+it is moot and continue from there. Times are microseconds.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
+from typing import NamedTuple
 
-PARTS = 10  # of a window: counts leave it by parts, so it is up to a part longer than it is called
-# Second copies may use so much of the budget: the rest is kept for jobs that have nothing out any more.
-COPIES = 0.5
+PARTS = 10  # of a window: counts leave it by parts, so it is up to a part longer than configured
+# Of the budget for hedged requests: the rest is for requests that have no attempt in flight any more.
+HEDGING_SHARE = 0.5
+
+
+class AttemptCounts(NamedTuple):
+    """Attempts that count now."""
+
+    first: int
+    retries: int
+
+
+@dataclass(slots=True)
+class WindowPart:
+    """The attempts in one part of a window."""
+
+    number: int  # since the clock's zero
+    first: int = 0
+    retries: int = 0
 
 
 class Window:
-    """First sends and resends of one class, by part of the window: [part, first, again]."""
+    """First attempts and retries of one class in a rolling window."""
 
     def __init__(self) -> None:
-        self.parts: deque[list[int]] = deque()
-        self.first = self.again = 0
+        """Nothing is counted yet."""
+        self.first = 0
+        self.retries = 0
+        self._parts: deque[WindowPart] = deque()
 
-    def at(self, part: int) -> list[int]:
-        while self.parts and self.parts[0][0] < part - PARTS:
-            _, first, again = self.parts.popleft()
-            self.first -= first
-            self.again -= again
-        if not self.parts or self.parts[-1][0] != part:
-            self.parts.append([part, 0, 0])
-        return self.parts[-1]
+    def advance(self, number: int) -> WindowPart:
+        """Drop what has left the window; the part `number`, in which attempts count now."""
+        parts = self._parts
+        while parts and parts[0].number < number - PARTS:
+            oldest = parts.popleft()
+            self.first -= oldest.first
+            self.retries -= oldest.retries
+        if not parts or parts[-1].number != number:
+            parts.append(WindowPart(number))
+        return parts[-1]
+
+    def count_first(self, number: int) -> None:
+        """Count a first attempt in a part."""
+        self.advance(number).first += 1
+        self.first += 1
+
+    def count_retry(self, number: int) -> None:
+        """Count a retry in a part."""
+        self.advance(number).retries += 1
+        self.retries += 1
 
 
 class RetryBudget:
-    def __init__(self, share: float, least: int, window: int) -> None:
-        """`share`: resends for each first send. `least`: so many are always allowed in a window, for thin traffic.
-        `window`: microseconds."""
-        self.share, self.least, self._part = share, least, max(window // PARTS, 1)
-        self._classes: dict[str, Window] = {}
-        self._told: dict[str, int] = {}
-
-    def _window(self, cls: str) -> Window:
-        return self._classes.setdefault(cls, Window())
-
-    def first(self, cls: str, now: int) -> None:
-        """A request's first send goes out."""
-        window = self._window(cls)
-        window.at(now // self._part)[1] += 1
-        window.first += 1
-
-    def again(self, cls: str, now: int, copy: bool) -> bool:
-        """May a further send go out? If so it is counted. `copy`: in addition to one that is out."""
-        window = self._window(cls)
-        part = window.at(now // self._part)
-        room = self.least + self.share * window.first
-        if window.again + 1 > room * (COPIES if copy else 1.0):
+    """The budgets of all classes."""
+
+    def __init__(self, share: float, min_retries: int, window_us: int) -> None:
+        """`share`: retries for each first attempt. `min_retries`: always allowed in a window, for low traffic."""
+        self._share = share
+        self._min_retries = min_retries
+        self._part_us = max(window_us // PARTS, 1)
+        self._windows: dict[str, Window] = {}
+        self._exhausted_reported_at: dict[str, int] = {}
+
+    def _window(self, request_class: str) -> Window:
+        return self._windows.setdefault(request_class, Window())
+
+    def count_first(self, request_class: str, now: int) -> None:
+        """A request's first attempt is sent."""
+        self._window(request_class).count_first(now // self._part_us)
+
+    def allow_retry(self, request_class: str, now: int, hedged: bool) -> bool:
+        """Whether a retry may be sent; if so it is counted. `hedged`: in addition to an attempt in flight."""
+        window = self._window(request_class)
+        number = now // self._part_us
+        window.advance(number)
+        budget = self._min_retries + self._share * window.first
+        if window.retries + 1 > budget * (HEDGING_SHARE if hedged else 1.0):
             return False
-        part[2] += 1
-        window.again += 1
+        window.count_retry(number)
         return True
 
-    def tell(self, cls: str, now: int) -> bool:
-        """Is it time to say that the budget is spent? Once a window for each class."""
-        due = now - self._told.get(cls, -PARTS * self._part) >= PARTS * self._part
+    def should_report_exhausted(self, request_class: str, now: int) -> bool:
+        """Whether it is time to report that the budget is exhausted: once a window for each class."""
+        window_us = PARTS * self._part_us
+        due = now - self._exhausted_reported_at.get(request_class, -window_us) >= window_us
         if due:
-            self._told[cls] = now
+            self._exhausted_reported_at[request_class] = now
         return due
 
-    def used(self, cls: str, now: int) -> tuple[int, int]:
-        """First sends and resends that count now."""
-        window = self._window(cls)
-        window.at(now // self._part)
-        return window.first, window.again
+    def counts(self, request_class: str, now: int) -> AttemptCounts:
+        """The attempts that count now."""
+        window = self._window(request_class)
+        window.advance(now // self._part_us)
+        return AttemptCounts(window.first, window.retries)
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -10,7 +10,7 @@
 from badgerroad.emulator import virtual
 from badgerroad.operator.schema import Limits, Operator
 from badgerroad.operator_limits import limit
-from badgerroad.retry_budget.rules import COPIES, PARTS, RetryBudget
+from badgerroad.retry_budget.rules import HEDGING_SHARE, PARTS, RetryBudget
 from tests.support.loopback import World, async_test, id_of, job, reply, until
 
 WINDOW = 1_000
@@ -23,29 +23,29 @@
         st.tuples(st.integers(0, 400), st.sampled_from(["first", "again", "copy"]), st.sampled_from("ab")), max_size=120
     ),
 )
-def test_in_any_window_resends_are_at_most_the_share_and_the_least(share, least, steps):
+def test_retries_in_any_window_stay_within_share_and_minimum(share, least, steps):
     budget, now, sent = RetryBudget(share, least, WINDOW), 0, []
     for wait, what, cls in steps:
         now += wait
         if what == "first":
-            budget.first(cls, now)
+            budget.count_first(cls, now)
             sent.append((now, "first", cls))
             continue
         before = [w for at, w, c in sent if c == cls and at > now - WINDOW]
         # A window is counted by tenths: what is up to one tenth older may count too.
         wide = [w for at, w, c in sent if c == cls and at > now - WINDOW - 2 * WINDOW // PARTS]
-        part = COPIES if what == "copy" else 1
-        if budget.again(cls, now, what == "copy"):
+        part = HEDGING_SHARE if what == "copy" else 1
+        if budget.allow_retry(cls, now, what == "copy"):
             sent.append((now, "again", cls))
             assert before.count("again") + 1 <= (least + share * wide.count("first")) * part
         else:
             assert wide.count("again") + 1 > (least + share * before.count("first")) * part
 
 
-def test_it_is_told_once_a_window_and_class():
+def test_exhaustion_is_reported_once_a_window_and_class():
     budget = RetryBudget(0.5, 0, WINDOW)
-    assert [budget.tell("a", at) for at in (0, 999, 1000, 1500)] == [True, False, True, False]
-    assert budget.tell("b", 1500)
+    assert [budget.should_report_exhausted("a", at) for at in (0, 999, 1000, 1500)] == [True, False, True, False]
+    assert budget.should_report_exhausted("b", 1500)
 
 
 async def fails(w, head, _body):
@@ -56,7 +56,7 @@
 
 
 @async_test
-async def test_what_the_budget_turns_down_is_not_sent_and_its_client_hears_at_once(capsys):
+async def test_a_retry_beyond_the_budget_is_not_sent_and_its_client_is_answered_at_once(capsys):
     async with World(fails, fails, fails, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
         limit(w.dispatcher, Operator(limits=Limits(retries="budget", retry_share=0.5, retry_least=0)))
@@ -66,13 +66,13 @@
         got = [id_of(head) for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")]
         assert len(got) == 4 + 2
         assert (await w.figures())["sends"] == 6
-        assert "retry budget spent cls=preview first=1 again=0" in capsys.readouterr().err
+        assert "retry_budget_exhausted cls=preview first=1 retries=0" in capsys.readouterr().err
         limit(w.dispatcher, Operator())
         await w.ask(job("r9", "preview", 6000))
         assert sum(id_of(head) == "r9" for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")) > 1
 
 
-def test_in_the_emulator_a_bad_third_makes_fewer_resends_and_no_broken_rule(tmp_path):
+def test_in_the_emulator_a_faulty_third_causes_fewer_retries_and_breaks_no_rule(tmp_path):
     text = (Path(__file__).parents[2] / "examples/experiments/bad_third.toml").read_text()
     for old, new in (
         ("nodes = 500", "nodes = 12"),
