--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @async_test
-async def test_the_figures_agree_with_a_ledger_of_all_ends(seed):
+async def test_metrics_agree_with_a_ledger_of_all_ends(seed):
     """Served, failed, rejected, refused, out of time, client gone: each job counts once, under its class."""
     rng, ledger, got = random.Random(seed), Counter(), []
     settings = {"permissions": {**SETTINGS["permissions"], "tryLimit": 2}}
@@ -89,7 +89,7 @@
 
 
 @async_test
-async def test_what_is_open_avoided_and_listed_shows():
+async def test_metrics_show_open_requests_and_listed_and_avoided_workers():
     async def breaks(_world, _head, _body):
         return None
 
@@ -111,7 +111,7 @@
 
 
 @async_test
-async def test_odd_calls_get_their_status():
+async def test_unknown_paths_methods_and_malformed_calls_get_their_status():
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
         assert (await call(w, b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
@@ -126,7 +126,7 @@
 
 
 @async_test
-async def test_one_that_asks_is_answered_alongside_any_number_that_do_not(monkeypatch):
+async def test_a_caller_is_answered_beside_any_number_of_silent_ones(monkeypatch):
     """Silent and half calls are bounded in number and time, and take no descriptor of clients."""
     monkeypatch.setattr(admin_listener, "MIN_CLOSE_AGE_US", 1_000_000)
     async with World(serve, ops=True) as w:
@@ -149,7 +149,7 @@
 
 
 @async_test
-async def test_a_saturated_listener_is_no_hindrance_and_what_it_refuses_counts():
+async def test_a_saturated_listener_does_not_affect_callers_and_its_rejections_count():
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
         w.dispatcher.descriptors.used += w.dispatcher.descriptors.limit  # not one is left
@@ -166,9 +166,7 @@
 
 
 @async_test
-async def test_the_program_takes_sighups_from_the_start_and_ends_with_one_line_if_an_address_is_taken(
-    tmp_path, monkeypatch, capsys
-):
+async def test_sighups_are_handled_from_the_start_and_a_taken_address_ends_with_one_line(tmp_path, monkeypatch, capsys):
     w = World()
     for name, value in (("PROXY_CONFIG", tmp_path / "c.json"), ("TMPDIR", tmp_path)):
         monkeypatch.setenv(name, str(value))
--- a/tests/hot_restart/test_real_upgrades.py
+++ b/tests/hot_restart/test_real_upgrades.py
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("meanwhile", ["nothing", "reload", "outage", "third", "back"])
 @async_test
-async def test_upgrades_under_load_lose_no_job_and_no_connection_and_run_nothing_twice(meanwhile, tmp_path):
+async def test_upgrades_under_load_lose_no_request_and_no_connection_and_run_nothing_twice(meanwhile, tmp_path):
     async with Service(tmp_path) as s:
         await s.upgrade()
         load = asyncio.ensure_future(asyncio.wait([asyncio.ensure_future(s.client(f"c{n}", 40)) for n in range(4)]))
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("trouble", ["stopped", "stale"])
 @async_test
-async def test_a_process_that_finds_no_useful_other_serves_all_the_same(trouble, tmp_path):
+async def test_a_process_that_finds_no_usable_peer_serves_alone(trouble, tmp_path):
     async with Service(tmp_path) as s:
         path = tmp_path / f"badgerroad-127.0.0.1-{s.port}.sock"
         if trouble == "stopped":
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.parametrize("step", ["send hello", "adopt listener", "send claim", "accept"])
 @async_test
-async def test_jobs_are_served_though_the_new_process_dies_or_stops_at_any_step(step, number, tmp_path):
+async def test_requests_are_served_when_the_new_process_dies_or_stops_at_any_step(step, number, tmp_path):
     async with Service(tmp_path) as s:
         await s.upgrade()
         starting = asyncio.ensure_future(s.start())
--- /dev/null
+++ b/tests/hot_restart/test_state_transfer.py
@@ -0,0 +1,93 @@
+"""What the decisions know, and an open request, on their way to another process."""
+
+import json
+
+from badgerroad.load_balancing import interface, state
+from badgerroad.load_balancing.policy import DispatchPolicy
+
+
+def fleet(n=1):
+    d = DispatchPolicy(
+        interface.Settings(
+            (interface.RequestClass("s", deadline=9_000_000),),
+            reports_start=True,
+            progress_interval=1000,
+            slow_start_share=0.2,
+            slow_start_duration=10_000_000,
+            overload_threshold=3.0,
+            max_attempts=3,
+        ),
+        n,
+    )
+    d.handle(
+        100,
+        interface.EndpointList(
+            interface.ListScope.COMPLETE, 1, tuple(interface.Endpoint(w, started_at=90 * (w == "c")) for w in "abc")
+        ),
+    )
+    return d
+
+
+def test_learned_state_and_an_open_request_continue_in_another_process():
+    old, new = fleet(), fleet(2)
+    old.workers["c"].sent.append((150, 7.0))  # of its cold budget
+    for n in range(1, 9):
+        send = [
+            a
+            for a in old.handle(200 + n, interface.Request(n, time_left=9_000_000, work_hint=1000))
+            if isinstance(a, interface.Send)
+        ][0]
+        old.handle(300 + n, interface.AttemptStarted(n, 0, send.worker))
+        if n < 8:
+            old.handle(
+                2000 + n,
+                interface.AttemptEnded(
+                    n,
+                    0,
+                    send.worker,
+                    interface.AttemptResult.ERROR if n == 1 else interface.AttemptResult.OK,
+                    finished=True,
+                ),
+            )
+    state.copy_in(new, json.loads(json.dumps(state.copy_out(old))))
+    assert (vars(new.hints), new.soon) == (vars(old.hints), old.soon)
+    for w in "abc":
+        a, b = old.workers[w], new.workers[w]
+        assert (a.strikes, a.until, vars(a.pace), list(a.sent)) == (
+            b.strikes,
+            b.until,
+            vars(b.pace),
+            [tuple(x) for x in b.sent],
+        )
+    job = json.loads(json.dumps(state.job_out(old, 8, 5000)))
+    state.job_gone(old, 8)
+    assert not old.jobs
+    assert all(w.tally == w.running == 0 for w in old.workers.values())
+    struck = new.workers[send.worker].strikes
+    state.job_in(new, 1, old.settings.classes[0], job, 6000)
+    assert new.jobs[1].deadline == 208 + 9_000_000 + 1000
+    assert new.workers[send.worker].running == 1
+    assert new.workers[send.worker].strikes > struck  # it has told nothing of the job for long: that is still watched
+    again_sent = [
+        a
+        for a in new.handle(7000, interface.AttemptEnded(1, 0, send.worker, interface.AttemptResult.ERROR))
+        if isinstance(a, interface.Send)
+    ]
+    assert len(again_sent) == 1
+    assert again_sent[0].worker != send.worker
+    assert len(new.jobs[1].attempts) == 2
+
+
+def test_attempts_of_the_other_process_count_until_they_end():
+    d = fleet()
+    others = state.Others(d)
+    others.sent("x", "a", 2.0, True, (150, 5.0))
+    others.sent("y", "c", 1.0, False, (150, 5.0))
+    others.sent("y", "c", 1.0, False, (150, 5.0))  # told twice
+    others.started("x")
+    a, c = d.workers["a"], d.workers["c"]
+    assert (a.tally, a.longs, a.running, list(a.sent)) == (2.0, 1, 2.0, [])
+    assert (c.tally, list(c.sent)) == (1.0, [(150, 5.0)])
+    others.over("x")
+    others.clear()
+    assert a.tally == a.longs == a.running == c.tally == 0
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -39,7 +39,7 @@
 
 
 @async_test
-async def test_a_crowd_of_idle_half_written_and_waiting_connections_goes_along(tmp_path):
+async def test_idle_half_written_and_waiting_connections_move_to_the_new_process(tmp_path):
     gate = asyncio.Event()
 
     async def late(world, head, body):
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("ends", [False, True])
 @async_test
-async def test_a_call_back_that_crosses_its_job_on_the_way_finds_it(ends, tmp_path):
+async def test_a_job_event_that_arrives_before_its_moving_request_is_applied(ends, tmp_path):
     """Also if the process that the job has left ends at once."""
     async with World(lambda w, head, body: reply(202), ops=True) as w:
         answer, attempt = await stuck(w)
@@ -152,9 +152,7 @@
 
 
 @async_test
-async def test_the_new_process_is_told_all_that_the_rules_need_and_each_hears_of_the_others_attempts(
-    tmp_path, monkeypatch
-):
+async def test_the_new_process_gets_the_state_and_each_counts_the_attempts_of_the_other(tmp_path, monkeypatch):
     monkeypatch.setattr(frontend_client, "REQUEST_TIMEOUT_US", 1_000_000)
     monkeypatch.setattr(request_transfer, "can_move", lambda request: False)  # open jobs stay: each has attempts out
 
@@ -258,7 +256,7 @@
     ],
 )
 @async_test
-async def test_the_old_process_serves_on_whatever_a_new_one_does_at_any_step(at, told, tmp_path, monkeypatch):
+async def test_the_old_process_keeps_serving_whatever_the_new_one_does_at_any_step(at, told, tmp_path, monkeypatch):
     """`at`: how many steps go well; then silence, an end or nonsense."""
     for name in ("HELLO_TIMEOUT_US", "MISSING_HEARTBEAT_US"):
         monkeypatch.setattr(rules, name, 200_000)
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -36,7 +36,7 @@
 
 
 @given(st.lists(STEP, max_size=40))
-def test_any_history_of_deaths_and_messages_has_one_process_a_place_and_one_end(steps):
+def test_any_history_of_ends_and_messages_has_one_process_a_slot_and_one_exit(steps):
     multiprocess, now, running, waiting, told, exits = rules.ProcessGroup(3), 0, set(), {}, set(), []
 
     def do(actions):
@@ -80,7 +80,7 @@
     assert not running
 
 
-def test_deaths_at_the_start_are_spaced_and_a_configuration_that_never_worked_ends_all():
+def test_failures_at_the_start_back_off_and_a_configuration_that_never_worked_ends_all():
     multiprocess, pauses = rules.ProcessGroup(1), []
     multiprocess.start(0)
     multiprocess.listening(0)
@@ -95,7 +95,7 @@
     assert fresh.ended(0, 0, -15) == [rules.Exit(2)]
 
 
-def test_what_a_dead_process_had_counted_stays_and_what_it_held_does_not():
+def test_counters_of_an_ended_process_stay_and_its_gauges_do_not():
     def told(n, **more):
         return {
             "answered": {"a": n},
@@ -186,7 +186,7 @@
 
 
 @async_test
-async def test_call_backs_find_their_attempt_whichever_process_they_reach_and_figures_are_sums(tmp_path):
+async def test_job_events_reach_their_attempt_through_any_process_and_metrics_are_sums(tmp_path):
     async with ProcessGroup(tmp_path) as s:
         assert await s.load(40) == 0
         assert Counter(s.ends) == {(200, b"made"): 40}
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
 @async_test
-async def test_a_process_that_dies_or_stops_takes_only_its_own_clients_along_and_is_replaced(number, tmp_path):
+async def test_a_process_that_dies_or_stops_breaks_only_its_own_clients_and_is_replaced(number, tmp_path):
     async with ProcessGroup(tmp_path, hold=0.5) as s:
         pids, load = await s.pids(3), await s.begun(30, 9)
         os.kill(pids[1], number)
@@ -245,7 +245,7 @@
 
 
 @async_test
-async def test_without_its_supervisor_each_process_answers_what_it_owes_and_ends(tmp_path):
+async def test_without_its_supervisor_each_process_answers_its_open_requests_and_ends(tmp_path):
     async with ProcessGroup(tmp_path, hold=0.5) as s:
         pids, load = await s.pids(3), await s.begun(9, 9)
         s.supervisor.kill()
@@ -255,7 +255,7 @@
 
 
 @async_test
-async def test_server_processes_that_lose_their_link_to_each_other_get_a_new_one():
+async def test_server_processes_that_lose_their_channel_to_each_other_get_a_new_one():
     async with World(serve, ops=True) as w:
         d = w.dispatcher
         supervisor = Supervisor(SupervisorOptions(2, d.config, b"", None, None, False), d.wheel)
@@ -290,7 +290,7 @@
         ("2", "taken", 1, "listen: 127.0.0.1"),
     ],
 )
-def test_what_cannot_start_ends_with_one_line(workers, text, code, said, tmp_path):
+def test_a_start_that_cannot_succeed_ends_with_one_line(workers, text, code, said, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as s:
         taken = {**DATA, "listen": f"127.0.0.1:{s.getsockname()[1]}"}
         (tmp_path / "c.json").write_text(json.dumps(taken) if text == "taken" else text)
