--- a/badgerroad/emulator/errors.py
+++ b/badgerroad/emulator/errors.py
@@ -5,7 +5,7 @@
 from badgerroad.errors import BadgerroadError
 
 
-class BadScenario(BadgerroadError):
+class ScenarioError(BadgerroadError):
     """One line that names file, field and reason."""
 
     code = "scenario"
--- a/badgerroad/hot_restart/peers.py
+++ b/badgerroad/hot_restart/peers.py
@@ -36,7 +36,7 @@
     ) -> None:
         """Owns `sock` from now on; `on_message` and `on_closed` as in `UnixChannel`."""
         self.channel = UnixChannel(sock, on_message, on_closed)
-        self.attempts = state.Others(decisions)  # that it has in flight
+        self.attempts = state.PeerAttempts(decisions)  # that it has in flight
         self.open_requests: set[bytes] = set()  # ids that it had when this process accepted first
         self._reply_timer: Timer | None = None
 
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -226,7 +226,8 @@
         return BAD_CONFIG
     if check_only:
         print(
-            f"{config.name}: {len(config.settings.classes)} classes, {len(config.cached_endpoints['hosts'])} known hosts, "
+            f"{config.name}: {len(config.settings.classes)} classes, "
+            f"{len(config.cached_endpoints['hosts'])} known hosts, "
             f"{config.max_sockets} sockets; listens on {config.listen[0]}:{config.listen[1]}"
         )
         if operator is not None:
--- a/benchmarks/policy_vocabulary.py
+++ b/benchmarks/policy_vocabulary.py
@@ -103,6 +103,8 @@
 
 def describe(value):
     """A value of the interface as text that does not depend on the version's names or enumerations."""
+    if type(value).__name__ == "Settings":
+        return "settings"  # the versions differ in fields that nothing reads
     if isinstance(value, tuple | list):
         return f"({', '.join(describe(part) for part in value)})"
     return repr(str(value)) if isinstance(value, str) else repr(value)
@@ -112,3 +114,10 @@
     """The present name of the class of an event or action of either version."""
     name = type(value).__name__
     return next((present for present, earlier in EARLIER_CLASSES.items() if earlier == name), name)
+
+
+def pending_requests(decisions):
+    """By number, what either version of the decisions has pending: whether it is finished, and its class."""
+    if hasattr(decisions, "jobs"):  # the earlier version
+        return {number: (job.done, job.cls) for number, job in decisions.jobs.items()}
+    return {number: (request.finished, request.request_class) for number, request in decisions.requests.items()}
