--- a/tests/hot_restart/test_real_upgrades.py
+++ b/tests/hot_restart/test_real_upgrades.py
@@ -11,33 +11,43 @@
 from tests.support.service import Service
 
 
+def lose_discovery(service):
+    service.discovery.server.close()
+    for writer in service.discovery.writers:
+        writer.close()
+
+
+async def upgrade_once(service, meanwhile):
+    """Start a new process beside the one that runs, and end one of them; with "third", the two that are older."""
+    (old, _), new = service.processes[-1], await service.start()
+    if meanwhile == "reload":
+        for process in (old, new):
+            process.send_signal(signal.SIGHUP)
+    if meanwhile == "third":
+        await service.start()  # before the first has gone
+    if meanwhile == "back":
+        old, new = new, old  # what has just come ends, and the other goes on, to be found by the next
+    ending = (new, old) if meanwhile == "third" else (old,)
+    for process in ending:
+        process.terminate()
+        if process is new:  # it is between two, and waits for the older one, whose job events come through it
+            await asyncio.sleep(0.5)
+            assert process.returncode is None
+    for process in ending:
+        assert await asyncio.wait_for(process.wait(), 10) == 0
+    service.processes.sort(key=lambda entry: entry[0].returncode is None)
+
+
 @pytest.mark.parametrize("meanwhile", ["nothing", "reload", "outage", "third", "back"])
 @async_test
-async def test_upgrades_under_load_lose_no_job_and_no_connection_and_run_nothing_twice(meanwhile, tmp_path):
+async def test_upgrades_under_load_lose_no_request_and_no_connection_and_run_nothing_twice(meanwhile, tmp_path):
     async with Service(tmp_path) as s:
         await s.upgrade()
         load = asyncio.ensure_future(asyncio.wait([asyncio.ensure_future(s.client(f"c{n}", 40)) for n in range(4)]))
         if meanwhile == "outage":
-            s.discovery.server.close()
-            for writer in s.discovery.writers:
-                writer.close()
+            lose_discovery(s)
         for _ in range(2):
-            (old, _), new = s.processes[-1], await s.start()
-            if meanwhile == "reload":
-                for p in (old, new):
-                    p.send_signal(signal.SIGHUP)
-            if meanwhile == "third":
-                await s.start()  # before the first has gone
-            if meanwhile == "back":
-                old, new = new, old  # what has just come ends, and the other goes on, to be found by the next
-            for p in (new, old) if meanwhile == "third" else (old,):
-                p.terminate()
-                if p is new:  # it is between two, and waits for the older one, whose call-backs come through it
-                    await asyncio.sleep(0.5)
-                    assert p.returncode is None
-            for p in (new, old) if meanwhile == "third" else (old,):
-                assert await asyncio.wait_for(p.wait(), 10) == 0
-            s.processes.sort(key=lambda p: p[0].returncode is None)
+            await upgrade_once(s, meanwhile)
         done, _ = await load
         assert [t.exception() for t in done] == [None] * 4
         assert Counter(s.ends) == {(200, b"made"): 160}
@@ -47,7 +57,7 @@
 
 @pytest.mark.parametrize("trouble", ["stopped", "stale"])
 @async_test
-async def test_a_process_that_finds_no_useful_other_serves_all_the_same(trouble, tmp_path):
+async def test_a_process_that_finds_no_usable_peer_serves_alone(trouble, tmp_path):
     async with Service(tmp_path) as s:
         path = tmp_path / f"badgerroad-127.0.0.1-{s.port}.sock"
         if trouble == "stopped":
@@ -69,7 +79,7 @@
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.parametrize("step", ["send hello", "adopt listener", "send claim", "accept"])
 @async_test
-async def test_jobs_are_served_though_the_new_process_dies_or_stops_at_any_step(step, number, tmp_path):
+async def test_requests_are_served_when_the_new_process_dies_or_stops_at_any_step(step, number, tmp_path):
     async with Service(tmp_path) as s:
         await s.upgrade()
         starting = asyncio.ensure_future(s.start())
