--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import gc
 import os
 import signal
 import sys
 from collections.abc import Coroutine
-from typing import TYPE_CHECKING, Any
+from enum import IntEnum
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from tornado.ioloop import IOLoop
 
@@ -17,6 +19,7 @@
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.errors import ListenError
 from badgerroad.net import logs
+from badgerroad.net.connection import Address
 from badgerroad.net.timer_wheel import Clock, TimerWheel
 from badgerroad.operator_limits import limit
 
@@ -25,222 +28,303 @@
     from badgerroad.fleet.extension import QuotaExtension
     from badgerroad.hot_restart.process import Handover
     from badgerroad.multiprocess.server_process import Joined, ServerProcess
+    from badgerroad.operator.schema import Operator
 
 log = logs.get("badgerroad")
 
-BETWEEN = 3_000_000  # an older process, through which this one passes call-backs, is killed sooner than so long after
-GRACE = 800_000  # after SIGTERM new connections keep coming for a while
-CHECK = 20_000
-PROCESS_VARIABLE = (
-    "BADGERROAD_SERVER_PROCESS"  # in the environment of a process that the supervisor of several has started
-)
-OPERATORS_FILE = "the operator's file"  # in errors, where its path is known to another process only
-OK, CANNOT_LISTEN, BAD_CONFIG = 0, 1, 2  # exit codes
+# An older process, to which this one passes call-backs, is killed sooner than so long after its SIGTERM.
+PREDECESSOR_LIFETIME_US = 3_000_000
+NEW_CONNECTIONS_GRACE_US = 800_000  # new connections keep coming for a while after SIGTERM
+SHUTDOWN_CHECK_INTERVAL_US = 20_000
+PROCESS_VARIABLE = "BADGERROAD_SERVER_PROCESS"  # set in the environment of the server processes of `--workers`
+UNNAMED_OPERATOR_FILE = "the operator's file"  # in errors, where only another process knows its path
+SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+
+
+class ExitCode(IntEnum):
+    """Exit codes of `serve` and `check-config`."""
+
+    OK = 0
+    CANNOT_LISTEN = 1
+    BAD_CONFIG = 2
 
 
 def assemble(config: Config, wheel: TimerWheel, counted: bool = False) -> tuple[Dispatcher, Listener | None]:
-    """The dispatcher, and the second address where there is one; else nothing of that is imported, but for the counts
-    of one that is `counted` elsewhere."""
+    """Make the dispatcher and, where it is configured, the second listener, which is imported only then. `counted`:
+    keep counts though there is no second listener, for the supervisor's."""
     if config.admin is None and not counted:
         return Dispatcher(config, wheel), None
     from badgerroad.admin.counts import Counts
 
+    counts = Counts(request_class.name for request_class in config.settings.classes)
     if config.admin is None:
-        return Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes)), None
+        return Dispatcher(config, wheel, counts), None
     from badgerroad.admin.listener import KEPT, Listener
 
-    dispatcher = Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes), KEPT)
+    dispatcher = Dispatcher(config, wheel, counts, KEPT)
     return dispatcher, Listener(wheel, lambda: dispatcher.accepts_clients, dispatcher.metrics)
 
 
-def check_fleet(config: Config, operator: Any, operator_file: str | None) -> None:
-    """Raises ConfigError where the operator's file has a `[fleet]` that is wrong or not permitted."""
+def check_fleet(config: Config, operator: Operator | None, operator_file: str | None) -> None:
+    """Raise ConfigError where the operator's file has a `[fleet]` table that is wrong or not permitted."""
     if operator is not None and operator.fleet is not None:
         from badgerroad.fleet import joining
 
-        joining.check(config, operator.fleet, operator_file or OPERATORS_FILE)
+        joining.check(config, operator.fleet, operator_file or UNNAMED_OPERATOR_FILE)
 
 
-def join_fleet(dispatcher: Dispatcher, operator: Any, operator_file: str | None) -> QuotaExtension | None:
-    """None without a `[fleet]` in the operator's file: nothing of the fleet is imported then. Raises ConfigError."""
+def join_fleet(dispatcher: Dispatcher, operator: Operator | None, operator_file: str | None) -> QuotaExtension | None:
+    """Join the fleet's quotas; without a `[fleet]` table nothing of it is imported. Raises ConfigError."""
     if operator is None or operator.fleet is None:
         return None
     from badgerroad.fleet import joining
 
-    return joining.join(dispatcher, operator.fleet, operator_file or OPERATORS_FILE)
-
-
-async def serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None = None) -> int:
-    """The exit code."""
-    return await _to_its_end(_serve(config, operator, operator_file, joined))
-
-
-async def _to_its_end(process: Coroutine[Any, Any, int]) -> int:
-    try:
-        return await process
-    except ListenError as e:
-        print(f"badgerroad: {e.line}", file=sys.stderr)
-        return CANNOT_LISTEN
-
-
-async def _serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None) -> int:
-    """Raises ListenError."""
-    wheel = TimerWheel(Clock(), IOLoop.current())
-    dispatcher, ops = assemble(config, wheel, counted=joined is not None)
-    limit(dispatcher, operator)
-    quotas = join_fleet(dispatcher, operator, operator_file)
-    handover: Handover | None = None
-    process: ServerProcess | None = None
-    done = asyncio.Event()
-
-    def check(since: int) -> None:
-        after = wheel.clock.now() - since
-        finishing = handover is not None and handover.ending and dispatcher.frontend.successor is not None
-        # Clients whose connections go to another process need no grace here, but each connection has to get there.
-        wait = dispatcher.frontend.has_connections_to_pass and after < GRACE if finishing else after < GRACE
-        if handover is not None and handover.between and after < BETWEEN:
-            wait = True
-        # Where another process has the clients, none of them is ended for the end of this one.
-        if dispatcher.has_pending_responses or wait or not finishing and not dispatcher.end_client_connections():
-            wheel.after(CHECK, lambda: check(since))
+    return joining.join(dispatcher, operator.fleet, operator_file or UNNAMED_OPERATOR_FILE)
+
+
+class DispatcherProcess:
+    """A dispatcher from its start-up to the end of its graceful shutdown, driven by signals."""
+
+    def __init__(
+        self, config: Config, operator: Operator | None, operator_file: str | None, joined: Joined | None
+    ) -> None:
+        """`joined` is what the supervisor of several server processes gave to this one. Raises ConfigError."""
+        self._config = config
+        self._operator = operator
+        self._operator_file = operator_file
+        self._joined = joined
+        self._wheel = TimerWheel(Clock(), IOLoop.current())
+        self._dispatcher, self._admin = assemble(config, self._wheel, counted=joined is not None)
+        limit(self._dispatcher, operator)
+        self._quotas = join_fleet(self._dispatcher, operator, operator_file)
+        self._handover: Handover | None = None
+        self._server_process: ServerProcess | None = None
+        self._stopped_at_us: int | None = None
+        self._done = asyncio.Event()
+
+    async def run(self) -> int:
+        """Serve until a signal has ended it; the exit code. Raises ListenError."""
+        self._install_signals()
+        self._start_admin()
+        if self._server_process is not None and not await self._permitted_to_listen(self._server_process):
+            return ExitCode.OK
+        await self._listen()
+        with contextlib.ExitStack() as resources:
+            self._close_with(resources)
+            await self._done.wait()
+            # The end of the loop restores the default handlers: a signal that comes then must not kill the exit.
+            signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+        log.info("stopped")
+        return ExitCode.OK
+
+    def stop(self) -> None:
+        """Begin the graceful shutdown; a second call does nothing."""
+        if self._stopped_at_us is not None:
+            return
+        self._stopped_at_us = self._wheel.clock.now()
+        log.info("stopping: answering what is owed")
+        if self._handover is not None:
+            self._handover.term()
         else:
-            done.set()
-
-    stopping = False
-
-    def stop() -> None:
-        nonlocal stopping
-        if not stopping:
-            stopping = True
-            log.info("stopping: answering what is owed")
-            if handover is not None:
-                handover.term()
-            else:
-                dispatcher.drain()
-            check(wheel.clock.now())
-
-    def reread() -> None:
+            self._dispatcher.drain()
+        self._check_shutdown(self._stopped_at_us)
+
+    def reload(self) -> None:
+        """Put the files' present configuration in force; one that is not valid changes nothing but the log's form."""
+        counts = self._dispatcher.counts
         try:
-            fresh = reload(os.environ, dispatcher.config)
-            if operator_file is not None:
-                from badgerroad.operator.schema import load as load_operator
-
-                operator_now = load_operator(operator_file)
-                logs.configure(operator_now.log)
-        except ConfigError as e:
-            log.error("reload failed; the old configuration stays in force", **e.fields)
-            if dispatcher.counts:
-                dispatcher.counts.conf_invalid += 1
-        else:
-            dispatcher.reload(fresh)
-            if operator_file is not None:
-                limit(dispatcher, operator_now)
-                if operator_now.fleet != operator.fleet:
-                    log.warning("reload: takes effect at the next start", field="fleet")
-            if dispatcher.counts:
-                dispatcher.counts.conf_loaded += 1
-
-    loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop)
-    if joined is not None:
-        # The supervisor reads the file, and SIGHUPs are its own.
-        from badgerroad.multiprocess.server_process import ServerProcess
-
-        process = ServerProcess(joined, dispatcher, wheel, stop)
-    else:
-        loop.add_signal_handler(signal.SIGHUP, reread)
+            config = reload(os.environ, self._dispatcher.config)
+            operator = self._reload_operator_file()
+        except ConfigError as error:
+            log.error("reload failed; the old configuration stays in force", **error.fields)
+            if counts:
+                counts.conf_invalid += 1
+            return
+        self._dispatcher.reload(config)
+        if operator is not None:
+            self._apply_operator(operator)
+        if counts:
+            counts.conf_loaded += 1
+
+    def _install_signals(self) -> None:
+        loop = asyncio.get_running_loop()
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self.stop)
+        if self._joined is not None:
+            # The supervisor reads the configuration; SIGHUP is for it alone.
+            from badgerroad.multiprocess.server_process import ServerProcess
+
+            self._server_process = ServerProcess(self._joined, self._dispatcher, self._wheel, self.stop)
+            return
+        loop.add_signal_handler(signal.SIGHUP, self.reload)
         for _ in range(startup_signals.reload_count):
-            loop.call_soon(reread)
-    if ops is not None and config.admin is not None:
+            loop.call_soon(self.reload)
+
+    def _start_admin(self) -> None:
+        """Open the second listener before anything is taken over from a predecessor."""
+        if self._admin is None or self._config.admin is None:
+            return
         try:
-            ops.listen(config.admin)  # before anything is taken from another process
-        except OSError as e:
-            raise ListenError("ops", config.admin, e) from e
+            self._admin.listen(self._config.admin)
+        except OSError as error:
+            raise ListenError("ops", self._config.admin, error) from error
         from badgerroad.hot_restart.process import Handover
 
-        handover = Handover(dispatcher, wheel, os.environ.get("TMPDIR") or "/tmp")
-    if process is not None:
+        self._handover = Handover(self._dispatcher, self._wheel, os.environ.get("TMPDIR") or "/tmp")
+
+    async def _permitted_to_listen(self, server_process: ServerProcess) -> bool:
+        """Wait for the supervisor's permission; False if the shutdown came first."""
         await asyncio.wait(
-            [asyncio.ensure_future(process.go.wait()), asyncio.ensure_future(done.wait())],
+            [asyncio.ensure_future(server_process.go.wait()), asyncio.ensure_future(self._done.wait())],
             return_when=asyncio.FIRST_COMPLETED,
         )
-        if done.is_set():
-            return OK  # told to end before it has begun
+        return not self._done.is_set()
+
+    async def _listen(self) -> None:
+        try:
+            host, port = await self._start_dispatcher()
+        except OSError as error:
+            raise ListenError("listen", self._config.listen, error) from error
+        discovery_host, discovery_port = self._config.discovery
+        log.info(
+            "listening",
+            name=self._config.name,
+            version=__version__,
+            address=f"{host}:{port}",
+            discovery=f"{discovery_host}:{discovery_port}",
+        )
+        if self._server_process is not None:
+            self._server_process.listens()
+
+    async def _start_dispatcher(self) -> Address:
+        if self._handover is not None:
+            return await self._handover.begin()
+        return self._dispatcher.start(shared=self._server_process is not None)
+
+    def _close_with(self, resources: contextlib.ExitStack) -> None:
+        """Close at the end, the last one named here first: leases go back while all else is still there."""
+        for resource in (self._dispatcher, self._server_process, self._handover, self._admin, self._quotas):
+            if resource is not None:
+                resources.callback(resource.close)
+
+    def _check_shutdown(self, stopped_at_us: int) -> None:
+        """Look again and again whether all clients are served."""
+        if self._may_end(self._wheel.clock.now() - stopped_at_us):
+            self._done.set()
+        else:
+            self._wheel.after(SHUTDOWN_CHECK_INTERVAL_US, lambda: self._check_shutdown(stopped_at_us))
+
+    def _may_end(self, elapsed_us: int) -> bool:
+        """Whether no client needs this process any more, `elapsed_us` after the shutdown began. Connections that nobody
+        takes over are ended here."""
+        dispatcher, handover = self._dispatcher, self._handover
+        if dispatcher.has_pending_responses:
+            return False
+        if handover is not None and handover.between and elapsed_us < PREDECESSOR_LIFETIME_US:
+            return False
+        if handover is not None and handover.ending and dispatcher.frontend.successor is not None:
+            # The successor takes the clients over; only connections still to be passed need time.
+            return not dispatcher.frontend.has_connections_to_pass or elapsed_us >= NEW_CONNECTIONS_GRACE_US
+        return elapsed_us >= NEW_CONNECTIONS_GRACE_US and dispatcher.end_client_connections()
+
+    def _reload_operator_file(self) -> Operator | None:
+        if self._operator_file is None:
+            return None
+        operator = _load_operator(self._operator_file)
+        logs.configure(operator.log)
+        return operator
+
+    def _apply_operator(self, operator: Operator) -> None:
+        limit(self._dispatcher, operator)
+        if self._operator is not None and operator.fleet != self._operator.fleet:
+            log.warning("reload: takes effect at the next start", field="fleet")
+
+
+async def serve(
+    config: Config, operator: Operator | None, operator_file: str | None, joined: Joined | None = None
+) -> int:
+    """Run a dispatcher process to its end; the exit code. Raises ConfigError."""
+    return await _exit_code_of(DispatcherProcess(config, operator, operator_file, joined).run())
+
+
+async def _exit_code_of(process: Coroutine[Any, Any, int]) -> int:
     try:
-        host, port = await handover.begin() if handover is not None else dispatcher.start(process is not None)
-    except OSError as e:
-        raise ListenError("listen", config.listen, e) from e
-    log.info(
-        "listening",
-        name=config.name,
-        version=__version__,
-        address=f"{host}:{port}",
-        discovery=f"{config.discovery[0]}:{config.discovery[1]}",
-    )
-    if process is not None:
-        process.listens()
-    await done.wait()
-    # The loop's end restores what signals do by themselves: one that comes then must not turn the exit into a crash.
-    signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
-    if quotas is not None:
-        quotas.close()
-    if ops is not None:
-        ops.close()
-    if handover is not None:
-        handover.close()
-    if process is not None:
-        process.close()
-    dispatcher.close()
-    log.info("stopped")
-    return OK
+        return await process
+    except ListenError as error:
+        print(f"badgerroad: {error.line}", file=sys.stderr)
+        return ExitCode.CANNOT_LISTEN
+
+
+class _Start(NamedTuple):
+    """What a process starts with: all configuration, read and checked."""
+
+    config: Config
+    operator: Operator | None
+    joined: Joined | None
+    text: bytes  # of the configuration file, for the supervisor to pass on; empty without one
 
 
 def main(check_only: bool, operator_file: str | None, verbose: bool, workers: int = 1) -> int:
-    operator: Any = None
-    joined: Joined | None = None
-    text = b""
+    """Serve, or with `check_only` report what the configuration holds; the exit code."""
     try:
-        if operator_file is not None:
-            # Not imported where no such file is given: it costs memory and a part of the start.
-            from badgerroad.operator.schema import load as load_operator
-
-            operator = load_operator(operator_file)
-        if PROCESS_VARIABLE in os.environ:
-            from badgerroad.multiprocess.server_process import Joined
-
-            joined = Joined.with_(os.environ)
-            config, operator = joined.config, joined.operator
-        elif workers > 1:
-            from badgerroad.multiprocess.server_process import Part
-
-            text = text_of(os.environ)
-            config = read(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
-            Part(0, workers).of(config)  # is there enough for each?
-        else:
-            config = load(os.environ)
-        check_fleet(config, operator, operator_file)
-    except ConfigError as e:
-        print(f"badgerroad: {e.line}", file=sys.stderr)
-        return BAD_CONFIG
+        start = _read_configuration(operator_file, workers)
+        check_fleet(start.config, start.operator, operator_file)
+    except ConfigError as error:
+        print(f"badgerroad: {error.line}", file=sys.stderr)
+        return ExitCode.BAD_CONFIG
     if check_only:
-        print(
-            f"{config.name}: {len(config.settings.classes)} classes, {len(config.cached_endpoints['hosts'])} known hosts, "
-            f"{config.max_sockets} sockets; listens on {config.listen[0]}:{config.listen[1]}"
-        )
-        if operator is not None:
-            print(f"{operator_file}: log {operator.log.format} at {operator.log.level}")
-            if operator.fleet is not None:
-                print(f"{operator_file}: quotas are shared by the fleet")
-        return OK
-    choice = operator.log if operator is not None else logs.LogSettings()
-    if joined is not None:
-        logs.configure(choice, debug=verbose, process=joined.part.number)
-    else:
-        logs.configure(choice, debug=verbose)
-    gc.freeze()  # what start-up made stays: the collector need not look at it again
-    if workers > 1 and joined is None:
+        _print_summary(start.config, start.operator, operator_file)
+        return ExitCode.OK
+    _configure_logs(start, verbose)
+    gc.freeze()  # start-up's objects live as long as the process: the collector need not scan them
+    if workers > 1 and start.joined is None:
         from badgerroad.multiprocess.supervisor import supervise
 
-        return asyncio.run(_to_its_end(supervise(workers, config, text, operator, operator_file, verbose)))
-    return asyncio.run(serve(config, operator, operator_file, joined))
+        supervisor = supervise(workers, start.config, start.text, start.operator, operator_file, verbose)
+        return asyncio.run(_exit_code_of(supervisor))
+    return asyncio.run(serve(start.config, start.operator, operator_file, start.joined))
+
+
+def _read_configuration(operator_file: str | None, workers: int) -> _Start:
+    operator = _load_operator(operator_file) if operator_file is not None else None
+    if PROCESS_VARIABLE in os.environ:
+        from badgerroad.multiprocess.server_process import Joined
+
+        joined = Joined.with_(os.environ)
+        return _Start(joined.config, joined.operator, joined, b"")
+    if workers <= 1:
+        return _Start(load(os.environ), operator, None, b"")
+    from badgerroad.multiprocess.server_process import Part
+
+    text = text_of(os.environ)
+    config = read(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
+    Part(0, workers).of(config)  # raises ConfigError where the descriptors are too few for so many
+    return _Start(config, operator, None, text)
+
+
+def _load_operator(path: str) -> Operator:
+    # Imported only where there is such a file: the import costs memory and time of the start.
+    from badgerroad.operator.schema import load as load_operator
+
+    return load_operator(path)
+
+
+def _print_summary(config: Config, operator: Operator | None, operator_file: str | None) -> None:
+    host, port = config.listen
+    print(
+        f"{config.name}: {len(config.settings.classes)} classes, {len(config.cached_endpoints['hosts'])} known hosts, "
+        f"{config.max_sockets} sockets; listens on {host}:{port}"
+    )
+    if operator is None:
+        return
+    print(f"{operator_file}: log {operator.log.format} at {operator.log.level}")
+    if operator.fleet is not None:
+        print(f"{operator_file}: quotas are shared by the fleet")
+
+
+def _configure_logs(start: _Start, verbose: bool) -> None:
+    settings = start.operator.log if start.operator is not None else logs.LogSettings()
+    if start.joined is not None:
+        logs.configure(settings, debug=verbose, process=start.joined.part.number)
+    else:
+        logs.configure(settings, debug=verbose)
