--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The worker list: discovery's list of workers, first as last known, then by a watch."""
+"""Discovery's endpoint list: first the cached one of the configuration, then kept current by a watch."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from badgerroad.discovery.reader import EndpointListError, EndpointListReader
-from badgerroad.discovery.watch_schedule import WatchSchedule
+from badgerroad.discovery.reader import EndpointListError, EndpointListReader, ParsedList
+from badgerroad.discovery.watch_schedule import Call, WatchSchedule
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1, logs
 from badgerroad.net.connection import (
@@ -24,236 +24,249 @@
 
 log = logs.get("badgerroad")
 
-# A list of 10,000 hosts is 1.4 MB, 2.5 MB with long names; the 64 KiB of other messages hold 450. The ring grows to it
-# only while such a list is on its way, and shrinks after it.
-LIST_LIMIT = 4 * 1024 * 1024
-FETCH_TIME = 1_500_000  # how long a single whole list may take
-# After a move the first list is asked for again and again for a while: the news counts as told 4 s after it.
-MOVE_PATIENCE = 3_000_000
-MOVE_PAUSE = 250_000
+WIRE_LIST_LIMIT_BYTES = 4 * 1024 * 1024  # 10,000 workers take 1.4 MB, 2.5 MB with long names
+FETCH_TIMEOUT_US = 1_500_000
+# After a change of address the first list is asked for again and again for a while.
+MOVE_RETRY_PERIOD_US = 3_000_000
+MOVE_RETRY_DELAY_US = 250_000
+TARGETS_PATH = b"/api/targets"
+
+UpdateHandler = Callable[[interface.EndpointList, dict[str, Address]], None]
 
 
 class SilentWatchError(ConnectionBrokenError):
-    """A watch said nothing when its wait was over: it is broken, which no end of the connection shows. Discovery itself
-    may be well."""
+    """A watch gave no answer when its wait was over; the connection itself shows no fault. Discovery may be healthy."""
 
     code = "silent"
     remedy = "nothing, if a worker list follows; else look at the network to discovery"
 
 
 class EndpointWatch:
+    """Owns the connection to discovery and the endpoint list; every list received is passed to `on_update`."""
+
     def __init__(
         self,
         wheel: TimerWheel,
         descriptors: DescriptorBudget,
         reader: EndpointListReader,
         address: Address,
-        news: Callable[[interface.EndpointList, dict[str, Address]], None],
+        on_update: UpdateHandler,
         dispatchers: int = 1,
         number: int = 0,
         seed: int = 0,
     ) -> None:
-        self.wheel, self.descriptors, self.reader, self.address, self.on_update = (
-            wheel,
-            descriptors,
-            reader,
-            address,
-            news,
-        )
-        self.version: int | None = None  # of the list held; None: the whole list is needed
+        """This is dispatcher `number` of `dispatchers`, which spread their calls by that; `seed` for random waits."""
+        self.wheel = wheel
+        self.descriptors = descriptors
+        self.reader = reader
+        self.address = address
+        self.on_update = on_update
         self.schedule = WatchSchedule(dispatchers, number, random.Random(seed))
-        self.has_answered = False  # discovery has answered once, or is out
+        self.version: int | None = None  # of the current list; None: a complete list is needed
+        self.has_answered = False  # or is known to be unavailable
         self.endpoints: dict[str, interface.Endpoint] = {}
         self.states: dict[str, str] = {}
-        self.zones: dict[str, str] = {}  # by host, for the log
-        self._watching = self._wanted = False
-        self._moved: int | None = None  # when; until the new address has told its whole list
-        self._moves = 0
-        self._pausing: asyncio.Event | None = None
+        self.zones: dict[str, str] = {}
+        self._watching = False
+        self._wanted = False
+        self._address_changed_at_us: int | None = None  # until the new address has answered
+        self._address_changes = 0
+        self._delay_over: asyncio.Event | None = None
         self._connection: CallConnection | None = None
 
     def load_cached(self, data: Any) -> None:
-        """The list as this dispatcher last held it; it may be out of date. What has changed since is a short answer;
-        the whole list, asked for by all at once, was a long one."""
-        news, places = self.reader.read(data, cached=True)
-        self._publish(news, places)
-        if news.entries:
-            self.version = news.version
-
-    def to_wire(self, places: dict[str, Address]) -> dict[str, Any]:
-        """The list held, in discovery's form, for another process of this dispatcher."""
-        reader = self.reader
-        return {
-            "seq": self.version or 0,
-            "whole": True,
-            "hosts": [
-                {
-                    "host": e.worker,
-                    "dial": f"{places[str(e.worker)][0]}:{places[str(e.worker)][1]}",
-                    "health": e.state,
-                    "site": reader.zones[e.zone],
-                    "class": reader.machine_types[e.machine_type],
-                    "block": e.cell,
-                    "share": e.weight,
-                    "born_ms": e.started_at // 1000,
-                }
-                for e in self.endpoints.values()
-                if str(e.worker) in places
-            ],
-        }
+        """Publish a cached list in wire form, possibly out of date. The watch then starts at its version: asking for
+        the changes costs discovery less than a complete list. Raises EndpointListError."""
+        parsed = self.reader.read(data, cached=True)
+        self._publish(parsed)
+        if parsed.update.entries:
+            self.version = parsed.update.version
+
+    def to_wire(self, addresses: dict[str, Address]) -> dict[str, Any]:
+        """The current list in wire form, for another process of this dispatcher."""
+        return self.reader.write(self.endpoints.values(), addresses, self.version or 0)
 
     def subscribe(self, on: bool) -> None:
+        """Start the watch, or let it end after its present call."""
         self._wanted = on
         if on and not self._watching:
             self._watching = True
             spawn(self._watch())
 
-    def set_agent_mode(self, on: bool, within: int = 0) -> None:
-        """The settings say whether an agent holds the list, which counts as told once the agent has it, and `within`
-        what time sends then have to stop. Such a list is watched unasked, from the first moment on."""
+    def set_agent_mode(self, on: bool, stop_sending_within_us: int = 0) -> None:
+        """Whether an agent on this machine holds the list, so that sends must stop within that time of its change. An
+        agent's list is watched from the start, without being subscribed to."""
         if on:
-            self.schedule.agent(within)
+            self.schedule.agent(stop_sending_within_us)
             self.subscribe(True)
         else:
             self.schedule.asked()
 
     def change_address(self, address: Address) -> None:
-        """Discovery is elsewhere now: leave the old address and start at the new one, from the whole list."""
+        """Watch discovery at another address, beginning with a complete list. Ends a call or delay in progress."""
         if address == self.address:
             return
-        self.address, self._moved, self._moves = address, self.wheel.clock.now(), self._moves + 1
+        self.address = address
+        self._address_changed_at_us = self.wheel.clock.now()
+        self._address_changes += 1
         self.version = None
         self.schedule.look()
         if self._connection:
-            self._connection.close()  # the call that waits there breaks off, and `_watch` goes on here
-        if self._pausing:
-            self._pausing.set()
+            self._connection.close()
+        if self._delay_over:
+            self._delay_over.set()
         if self._wanted:
             self.subscribe(True)
 
     def fetch(self) -> None:
+        """Ask once for a complete list, beside the watch; a failure is reported as a failed update."""
         spawn(self._fetch())
 
     def close(self) -> None:
+        """End the watch and close its connection."""
         self._wanted = False
         if self._connection:
             self._connection.close()
 
-    def _publish(self, news: interface.EndpointList, places: dict[str, Address]) -> None:
-        if news.scope != interface.ListScope.INCREMENTAL:
+    def _publish(self, parsed: ParsedList) -> None:
+        update = parsed.update
+        if update.scope != interface.ListScope.INCREMENTAL:
             self.endpoints = {}
-        self.endpoints.update((str(e.worker), e) for e in news.entries)
-        self.endpoints = {n: e for n, e in self.endpoints.items() if e.state != interface.WorkerState.GONE}
-        self.states = {n: e.state for n, e in self.endpoints.items()}
-        self.zones = {n: self.reader.zones[e.zone] for n, e in self.endpoints.items()}
-        log.info("worker list", scope=news.scope, seq=news.version, entries=len(news.entries), hosts=len(self.states))
-        self.on_update(news, places)
+        self.endpoints.update((str(endpoint.worker), endpoint) for endpoint in update.entries)
+        self.endpoints = {
+            worker: endpoint
+            for worker, endpoint in self.endpoints.items()
+            if endpoint.state != interface.WorkerState.GONE
+        }
+        self.states = {worker: endpoint.state for worker, endpoint in self.endpoints.items()}
+        self.zones = {worker: self.reader.zones[endpoint.zone] for worker, endpoint in self.endpoints.items()}
+        log.info(
+            "worker list",
+            scope=update.scope,
+            seq=update.version,
+            entries=len(update.entries),
+            hosts=len(self.states),
+        )
+        self.on_update(update, parsed.addresses)
 
     async def _watch(self) -> None:
-        """What has changed since the list held, or the whole list if none is; then one watch after another without a
-        pause: a gap would start a new watch. Ends only when nobody wants it any more: whoever waited for the module to
-        ask again would know of no bound."""
+        """One call after another, without a delay while they succeed."""
         try:
-            await self._pause(self.schedule.before(self.version is not None))
+            await self._delay(self.schedule.before(self.version is not None))
             while self._wanted:
                 await self._poll_once()
         finally:
             self._watching = False
             if self._wanted:
-                self._report_failure()  # whatever ended it, the module must hear so, or it would never ask again
+                self._report_failure()  # without it the decisions would never subscribe again
 
     def _report_failure(self) -> None:
         self.has_answered = True
         self.on_update(interface.EndpointList(interface.ListScope.FAILED), {})
 
     async def _poll_once(self) -> None:
-        call, moves, begun = self.schedule.call(), self._moves, self.wheel.clock.now()
-        target = b"/api/targets"
-        if self.version is not None:
-            target = b"/api/targets?index=%d&wait=%d" % (self.version, call.wait // 1000)
+        call = self.schedule.call()
+        address_changes = self._address_changes
+        started_at_us = self.wheel.clock.now()
         try:
-            news, places = await self._call(target, call.patience)
-            if (
-                news.scope == interface.ListScope.INCREMENTAL
-                and self.version is not None
-                and news.version < self.version
-            ):
-                raise EndpointListError(f"version {news.version} after {self.version}")
-        except (ConnectionBrokenError, EndpointListError) as e:
-            took = self.wheel.clock.now() - begun
-            pause = self.schedule.failed(call, took)
-            if isinstance(e, ConnectionBrokenError) and call.watches and took >= call.patience:
-                await self._retry_later(SilentWatchError(True, "the watch has fallen silent"), moves, pause)
+            parsed = await self._call(self._watch_connection(), self._target(call), call.patience)
+            self._check_version(parsed.update)
+        except (ConnectionBrokenError, EndpointListError) as error:
+            took_us = self.wheel.clock.now() - started_at_us
+            delay_us = self.schedule.failed(call, took_us)
+            if isinstance(error, ConnectionBrokenError) and call.watches and took_us >= call.patience:
+                await self._retry_later(
+                    SilentWatchError(True, "the watch has fallen silent"), address_changes, delay_us
+                )
             else:
-                await self._retry_later(e, moves, pause)
+                await self._retry_later(error, address_changes, delay_us)
             return
-        if moves != self._moves:
-            return  # the old address's last word
-        self._moved, self.version, self.has_answered = None, news.version, True
+        if address_changes != self._address_changes:
+            return  # an answer of the former address
+        self._address_changed_at_us = None
+        self.version = parsed.update.version
+        self.has_answered = True
         self.schedule.answered()
-        self._publish(news, places)
+        self._publish(parsed)
+
+    def _target(self, call: Call) -> bytes:
+        if self.version is None:
+            return TARGETS_PATH
+        return TARGETS_PATH + b"?index=%d&wait=%d" % (self.version, call.wait // 1000)
+
+    def _check_version(self, update: interface.EndpointList) -> None:
+        if update.scope != interface.ListScope.INCREMENTAL or self.version is None:
+            return
+        if update.version < self.version:
+            raise EndpointListError(f"version {update.version} after {self.version}")
 
-    async def _retry_later(self, e: ConnectionBrokenError | EndpointListError, moves: int, pause: int) -> None:
-        """After a failure: when the next call is due, and what the module hears. In a move, and until a look has failed
-        too, it is not the module's."""
-        log.info("discovery failed", code=e.code, why=str(e), again=pause // 1000)
-        if moves != self._moves:
+    async def _retry_later(
+        self, error: ConnectionBrokenError | EndpointListError, address_changes: int, delay_us: int
+    ) -> None:
+        """Wait before the next call. The failure is reported only once discovery counts as unavailable, and not for
+        some time after a change of address."""
+        log.info("discovery failed", code=error.code, why=str(error), again=delay_us // 1000)
+        if address_changes != self._address_changes:
             self.schedule.look()
             return
-        if isinstance(e, EndpointListError):
+        if isinstance(error, EndpointListError):
             self.version = None
-        if self._moved is not None and self.wheel.clock.now() - self._moved <= MOVE_PATIENCE:
+        if self._address_changed_recently():
             self.schedule.look()
-            pause = MOVE_PAUSE
+            delay_us = MOVE_RETRY_DELAY_US
         elif self.schedule.out:
             self._report_failure()
-        await self._pause(pause)
+        await self._delay(delay_us)
+
+    def _address_changed_recently(self) -> bool:
+        changed_at_us = self._address_changed_at_us
+        return changed_at_us is not None and self.wheel.clock.now() - changed_at_us <= MOVE_RETRY_PERIOD_US
 
-    async def _pause(self, time: int) -> None:
-        """Ended by a move: what the new address has to tell counts as told soon."""
-        if time <= 0 or not self._wanted:
+    async def _delay(self, delay_us: int) -> None:
+        """Wait; a change of address ends it."""
+        if delay_us <= 0 or not self._wanted:
             return
-        self._pausing = asyncio.Event()
-        timer = self.wheel.after(time, self._pausing.set)
-        await self._pausing.wait()
+        self._delay_over = asyncio.Event()
+        timer = self.wheel.after(delay_us, self._delay_over.set)
+        await self._delay_over.wait()
         timer.cancel()
 
     async def _fetch(self) -> None:
         connection: CallConnection | None = None
         try:
             connection = self._open()
-            self._publish(*await self._call(b"/api/targets", FETCH_TIME, connection))
-        except (ConnectionBrokenError, EndpointListError) as e:
-            log.info("discovery failed", code=e.code, why=str(e))
+            self._publish(await self._call(connection, TARGETS_PATH, FETCH_TIMEOUT_US))
+        except (ConnectionBrokenError, EndpointListError) as error:
+            log.info("discovery failed", code=error.code, why=str(error))
             self.on_update(interface.EndpointList(interface.ListScope.FAILED), {})
         finally:
             if connection is not None:
                 connection.close()
 
+    def _watch_connection(self) -> CallConnection:
+        if self._connection is None or not self._connection.reusable:
+            self._connection = self._open()
+        return self._connection
+
     def _open(self) -> CallConnection:
         try:
-            return CallConnection(self.descriptors, LIST_LIMIT)
-        except OSError as e:  # the module and the next call must hear of it as of any failure
-            raise NoDescriptorError(False, f"no descriptor for discovery: {e}") from e
-
-    async def _call(
-        self, target: bytes, patience: int, connection: CallConnection | None = None
-    ) -> tuple[interface.EndpointList, dict[str, Address]]:
-        """It is broken off after `patience` microseconds."""
-        mine = connection or self._connection
-        if connection is None and (mine is None or not mine.reusable):
-            mine = self._connection = self._open()
-        assert mine is not None
-        timer = self.wheel.after(patience, mine.close, awaits_peer=True)
+            return CallConnection(self.descriptors, WIRE_LIST_LIMIT_BYTES)
+        except OSError as error:
+            raise NoDescriptorError(False, f"no descriptor for discovery: {error}") from error
+
+    async def _call(self, connection: CallConnection, target: bytes, timeout_us: int) -> ParsedList:
+        """One call, closed after `timeout_us`. Raises ConnectionBrokenError and EndpointListError."""
+        timer = self.wheel.after(timeout_us, connection.close, awaits_peer=True)
+        host, port = self.address
         try:
-            if not mine.reusable:
-                await mine.connect(self.address)
-            answer = await mine.call(http1.request(b"GET", target, f"{self.address[0]}:{self.address[1]}"))
+            if not connection.reusable:
+                await connection.connect(self.address)
+            answer = await connection.call(http1.request(b"GET", target, f"{host}:{port}"))
         finally:
             timer.cancel()
         if answer.status != 200:
             raise ConnectionBrokenError(True, f"status {answer.status}")
         try:
             return await self.reader.read_in_slices(json.loads(answer.body))
-        except (ValueError, RecursionError) as e:
-            raise EndpointListError(f"not JSON: {e}") from e
+        except (ValueError, RecursionError) as error:
+            raise EndpointListError(f"not JSON: {error}") from error
--- a/badgerroad/discovery/reader.py
+++ b/badgerroad/discovery/reader.py
@@ -1,21 +1,32 @@
-"""Lists of workers as discovery writes them, read into the module's form."""
+"""Endpoint lists in discovery's wire form: the one place that knows its field names, for reading and for writing.
+
+| wire | here |
+| --- | --- |
+| `hosts`, `seq`, `whole` | the entries, the version, whether the list is complete (else incremental) |
+| `host`, `dial`, `health` | worker, address, state |
+| `site`, `class`, `block` | zone, machine type, cell; the first two by name, inside by index |
+| `share`, `born_ms` | weight, `started_at` (microseconds) |
+"""
 
 from __future__ import annotations
 
 import asyncio
 import math
-from typing import Any
+from collections.abc import Iterable
+from typing import Any, NamedTuple
 
 from badgerroad.errors import BadgerroadError
 from badgerroad.load_balancing import interface
 from badgerroad.net.connection import Address
 
-SLICE = 250  # hosts read in one go: 10,000 take 60 ms, in which nobody else would be served
-STATES = {
+SLICE_LENGTH = 250  # entries read without a break: 10,000 take 60 ms, in which nobody else would be served
+MICROSECONDS_PER_MILLISECOND = 1000
+STATE_BY_WIRE_NAME = {
     "ready": interface.WorkerState.READY,
     "draining": interface.WorkerState.DRAINING,
     "gone": interface.WorkerState.GONE,
 }
+_GONE = interface.WorkerState.GONE
 
 
 class EndpointListError(BadgerroadError):
@@ -25,98 +36,143 @@
     remedy = "ask discovery for /api/targets by hand and look at the entry named"
 
 
-def address_of(text: Any) -> Address:
+class ParsedList(NamedTuple):
+    """An endpoint list as the decisions read it, and the addresses of its workers."""
+
+    update: interface.EndpointList
+    addresses: dict[str, Address]
+
+
+def address_of(text: object) -> Address:
+    """`host:port` as a pair. Raises ValueError."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
     return host, int(port)
 
 
-class EndpointListReader:
-    """Discovery's form to the module's: names become places in the lists of the settings."""
-
-    def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        self.zones, self.machine_types = list(zones), list(kinds)
-
-    @staticmethod
-    def _index_of(names: list[str], name: Any) -> int:
-        text = str(name)
-        if text not in names:
-            names.append(text)  # one the settings do not know: a place of its own behind theirs
-        return names.index(text)
+def empty_wire_list() -> dict[str, Any]:
+    """A complete list of no workers."""
+    return {"seq": 0, "whole": True, "hosts": []}
 
-    def renumbered(self, settings: interface.Settings, zones: list[str], kinds: list[str]) -> interface.Settings:
-        """Settings whose own lists are these, in the numbers that hosts have here, which stay while it runs."""
 
-        def kind(n: int) -> int:
-            return self._index_of(self.machine_types, kinds[n]) if 0 <= n < len(kinds) else n
-
-        zone = self._index_of(self.zones, zones[settings.zone]) if settings.zone < len(zones) else settings.zone
-        return settings._replace(
-            zone=zone, classes=tuple(c._replace(machine_type=kind(c.machine_type)) for c in settings.classes)
-        )
-
-    def read(self, data: Any, cached: bool = False) -> tuple[interface.EndpointList, dict[str, Address]]:
-        """A whole list at once. Raises EndpointListError."""
+class EndpointListReader:
+    """Reads and writes endpoint lists. Zones and machine types are names on the wire and indices inside; names that the
+    settings do not have get indices after theirs."""
+
+    def __init__(self, zones: list[str], machine_types: list[str]) -> None:
+        """`zones` and `machine_types`: the names of the settings, in their order."""
+        self.zones = list(zones)
+        self.machine_types = list(machine_types)
+
+    def renumbered(
+        self, settings: interface.Settings, zones: list[str], machine_types: list[str]
+    ) -> interface.Settings:
+        """Settings whose indices refer to the given lists, with the indices of this reader, which never change."""
+        zone = settings.zone
+        if zone < len(zones):
+            zone = self._index_of(self.zones, zones[zone])
+        classes = []
+        for request_class in settings.classes:
+            machine_type = request_class.machine_type
+            if 0 <= machine_type < len(machine_types):
+                machine_type = self._index_of(self.machine_types, machine_types[machine_type])
+            classes.append(request_class._replace(machine_type=machine_type))
+        return settings._replace(zone=zone, classes=tuple(classes))
+
+    def read(self, data: Any, cached: bool = False) -> ParsedList:
+        """Read a list at once; `cached`: it may be out of date. Raises EndpointListError."""
         entries: list[interface.Endpoint] = []
-        places: dict[str, Address] = {}
+        addresses: dict[str, Address] = {}
         for hosts in self._slices(data):
-            self._take(hosts, entries, places)
-        return self._list(data, cached, entries), places
+            self._read_hosts(hosts, entries, addresses)
+        return ParsedList(self._update(data, cached, entries), addresses)
 
-    async def read_in_slices(self, data: Any) -> tuple[interface.EndpointList, dict[str, Address]]:
-        """The same, but others run between the slices of a long list. Raises EndpointListError."""
+    async def read_in_slices(self, data: Any) -> ParsedList:
+        """Read a list, letting others run between the slices of a long one. Raises EndpointListError."""
         entries: list[interface.Endpoint] = []
-        places: dict[str, Address] = {}
-        for n, hosts in enumerate(self._slices(data)):
-            if n:
+        addresses: dict[str, Address] = {}
+        for number, hosts in enumerate(self._slices(data)):
+            if number:
                 await asyncio.sleep(0)
-            self._take(hosts, entries, places)
-        return self._list(data, False, entries), places
+            self._read_hosts(hosts, entries, addresses)
+        return ParsedList(self._update(data, False, entries), addresses)
+
+    def write(
+        self, endpoints: Iterable[interface.Endpoint], addresses: dict[str, Address], version: int
+    ) -> dict[str, Any]:
+        """A complete list in wire form, for another process of this dispatcher. Leaves out workers without an address."""
+        hosts = [
+            self._wire_host(endpoint, addresses[str(endpoint.worker)])
+            for endpoint in endpoints
+            if str(endpoint.worker) in addresses
+        ]
+        return {"seq": version, "whole": True, "hosts": hosts}
+
+    def _wire_host(self, endpoint: interface.Endpoint, address: Address) -> dict[str, Any]:
+        host, port = address
+        return {
+            "host": endpoint.worker,
+            "dial": f"{host}:{port}",
+            "health": endpoint.state,
+            "site": self.zones[endpoint.zone],
+            "class": self.machine_types[endpoint.machine_type],
+            "block": endpoint.cell,
+            "share": endpoint.weight,
+            "born_ms": endpoint.started_at // MICROSECONDS_PER_MILLISECOND,
+        }
+
+    @staticmethod
+    def _index_of(names: list[str], name: object) -> int:
+        text = str(name)
+        if text not in names:
+            names.append(text)
+        return names.index(text)
 
     @staticmethod
     def _slices(data: Any) -> list[Any]:
         try:
             hosts = data["hosts"]
-            return [hosts[at : at + SLICE] for at in range(0, len(hosts), SLICE)]
-        except (KeyError, TypeError) as e:
-            raise EndpointListError(f"{type(e).__name__}: {e}") from e
+            return [hosts[start : start + SLICE_LENGTH] for start in range(0, len(hosts), SLICE_LENGTH)]
+        except (KeyError, TypeError) as error:
+            raise EndpointListError(f"{type(error).__name__}: {error}") from error
 
     @staticmethod
-    def _list(data: Any, cached: bool, entries: list[interface.Endpoint]) -> interface.EndpointList:
+    def _update(data: Any, cached: bool, entries: list[interface.Endpoint]) -> interface.EndpointList:
         try:
-            scope = (
-                interface.ListScope.CACHED
-                if cached
-                else interface.ListScope.COMPLETE
-                if data["whole"]
-                else interface.ListScope.INCREMENTAL
-            )
+            if cached:
+                scope = interface.ListScope.CACHED
+            elif data["whole"]:
+                scope = interface.ListScope.COMPLETE
+            else:
+                scope = interface.ListScope.INCREMENTAL
             return interface.EndpointList(scope, int(data["seq"]), tuple(entries))
-        except (KeyError, TypeError, ValueError) as e:
-            raise EndpointListError(f"{type(e).__name__}: {e}") from e
+        except (KeyError, TypeError, ValueError) as error:
+            raise EndpointListError(f"{type(error).__name__}: {error}") from error
 
-    def _take(self, hosts: Any, entries: list[interface.Endpoint], places: dict[str, Address]) -> None:
+    def _read_hosts(self, hosts: Any, entries: list[interface.Endpoint], addresses: dict[str, Address]) -> None:
         try:
-            for h in hosts:
-                name, state = h["host"], STATES[h["health"]]
-                if not isinstance(name, str) or not name:
-                    raise ValueError("a host without a name")
-                weight = float(h.get("share", 1.0))
-                if not math.isfinite(weight):
-                    raise ValueError(f"share of {name}")
-                if state != interface.WorkerState.GONE or "dial" in h:
-                    places[name] = address_of(h["dial"])
-                entries.append(
-                    interface.Endpoint(
-                        name,
-                        state,
-                        int(h.get("born_ms") or 0) * 1000,
-                        self._index_of(self.machine_types, h.get("class", "")),
-                        self._index_of(self.zones, h.get("site", "")),
-                        int(h.get("block") or 0),
-                        weight,
-                    )
-                )
-        except (KeyError, TypeError, ValueError, AttributeError) as e:
-            raise EndpointListError(f"{type(e).__name__}: {e}") from e
+            for host in hosts:
+                entries.append(self._endpoint(host, addresses))
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            raise EndpointListError(f"{type(error).__name__}: {error}") from error
+
+    def _endpoint(self, host: Any, addresses: dict[str, Address]) -> interface.Endpoint:
+        name = host["host"]
+        state = STATE_BY_WIRE_NAME[host["health"]]
+        if not isinstance(name, str) or not name:
+            raise ValueError("a host without a name")
+        weight = float(host.get("share", 1.0))
+        if not math.isfinite(weight):
+            raise ValueError(f"share of {name}")
+        if state != _GONE or "dial" in host:
+            addresses[name] = address_of(host["dial"])
+        return interface.Endpoint(
+            name,
+            state,
+            int(host.get("born_ms") or 0) * MICROSECONDS_PER_MILLISECOND,
+            self._index_of(self.machine_types, host.get("class", "")),
+            self._index_of(self.zones, host.get("site", "")),
+            int(host.get("block") or 0),
+            weight,
+        )
--- a/badgerroad/discovery/watch_schedule.py
+++ b/badgerroad/discovery/watch_schedule.py
@@ -45,20 +45,27 @@
 class Draws(Protocol):
     """A source of random numbers of the caller's own."""
 
-    def randint(self, a: int, b: int) -> int: ...
+    def randint(self, a: int, b: int) -> int:
+        """A number from `a` to `b`, both included."""
 
 
 class Call(NamedTuple):
+    """One call to discovery: a watch, which waits for changes, or a poll."""
+
     wait: int  # microseconds that discovery may wait for news; 0: it answers at once
     patience: int  # how long the answer is waited for
 
     @property
     def watches(self) -> bool:
+        """Whether it is a watch."""
         return self.wait > 0
 
 
 class WatchSchedule:
+    """The calls of one dispatcher, one after another. All times are in microseconds."""
+
     def __init__(self, dispatchers: int, number: int, draws: Draws) -> None:
+        """This is dispatcher `number` of `dispatchers`, which spread their calls by that."""
         self._draws, self._many = draws, dispatchers if dispatchers > FEW else 0
         self._turn = number * GOLDEN % 1  # from 0 to 1; evenly spread over any of the dispatchers
         self.within = 0  # an agent's list: the time within which sends must stop; 0: discovery is asked
@@ -80,6 +87,7 @@
         return int(self._turn * min(FIRST * self._many, MOST_FIRST))
 
     def call(self) -> Call:
+        """The next call."""
         self._begun = True
         if self._looking:
             patience = int(self.within * AGENT_SILENCE) if self.within else CALL_TIME
@@ -92,9 +100,11 @@
 
     @property
     def out(self) -> bool:
+        """Whether discovery counts as unavailable."""
         return self._failures >= LOOKS
 
     def answered(self) -> None:
+        """The call was answered: the next one is a watch."""
         self._looking, self._failures = False, 0
 
     def look(self) -> None:
--- a/benchmarks/capacity/subjects.py
+++ b/benchmarks/capacity/subjects.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from badgerroad.discovery.reader import Reader
+from badgerroad.discovery.reader import EndpointListReader
 from badgerroad.discovery.watch_schedule import WatchSchedule
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy import DispatchPolicy
@@ -19,7 +19,7 @@
 def policy_with_list(settings: bytes, entries: list[dict[str, Any]]) -> DispatchPolicy:
     """The decision module with a whole list, as discovery writes it."""
     policy = DispatchPolicy(settings_from(settings), seed=1)
-    worker_list, _addresses = Reader([], []).read({"seq": 1, "whole": True, "hosts": entries})
+    worker_list, _addresses = EndpointListReader([], []).read({"seq": 1, "whole": True, "hosts": entries})
     policy.handle(1, worker_list)
     return policy
 
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -60,7 +60,7 @@
 
 @async_test
 async def test_a_move_starts_from_the_whole_list_and_asks_again_without_a_failure(monkeypatch):
-    monkeypatch.setattr(endpoint_watch, "MOVE_PAUSE", 20_000)
+    monkeypatch.setattr(endpoint_watch, "MOVE_RETRY_DELAY_US", 20_000)
     gate, calls = asyncio.Event(), []
 
     async def slow(world, head, body):
@@ -345,7 +345,7 @@
         for wrong in (
             {"seq": 4, "whole": True, "hosts": 5},
             {"seq": 4, "whole": True, "hosts": [*many, {"host": "x"}]},
-            {"seq": 4, "whole": True, "hosts": [], "pad": "x" * endpoint_watch.LIST_LIMIT},
+            {"seq": 4, "whole": True, "hosts": [], "pad": "x" * endpoint_watch.WIRE_LIST_LIMIT_BYTES},
         ):
             calls = len(w.discovery.got)
             await w.lists.put(wrong)
