--- a/badgerroad/discovery/reader.py
+++ b/badgerroad/discovery/reader.py
@@ -101,7 +101,7 @@
     def write(
         self, endpoints: Iterable[interface.Endpoint], addresses: dict[str, Address], version: int
     ) -> dict[str, Any]:
-        """A complete list in wire form, for another process of this dispatcher. Leaves out workers without an address."""
+        """A complete list in wire form, for another process of this dispatcher; workers without an address are left out."""
         hosts = [
             self._wire_host(endpoint, addresses[str(endpoint.worker)])
             for endpoint in endpoints
