--- a/badgerroad/dispatcher/attempts.py
+++ b/badgerroad/dispatcher/attempts.py
@@ -15,7 +15,7 @@
 from badgerroad.dispatcher.open_requests import OpenRequests
 from badgerroad.load_balancing import interface
 from badgerroad.net import http1
-from badgerroad.net.connection import DescriptorBudget
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
--- a/badgerroad/dispatcher/core.py
+++ b/badgerroad/dispatcher/core.py
@@ -21,7 +21,8 @@
 from badgerroad.load_balancing.policy import DispatchPolicy
 from badgerroad.load_balancing.state import avoided
 from badgerroad.net import logs
-from badgerroad.net.connection import Address, DescriptorBudget
+from badgerroad.net.connection import Address
+from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
@@ -237,8 +238,7 @@
         reader = self.endpoint_watch.reader
         settings = reader.renumbered(config.settings, config.zones, config.machine_types)
         self._active.replace(settings, {request.request_class for request in self.open_requests.values()})
-        self.backend.settings = self.settings
-        self.backend.reload_report_fields()
+        self.backend.apply_settings(self.settings)
         if self.counts:
             self.counts.know(request_class.name for request_class in settings.classes)
         self.handle_event(interface.SettingsChanged(self.settings))
--- a/badgerroad/fleet/extension.py
+++ b/badgerroad/fleet/extension.py
@@ -13,7 +13,7 @@
 from badgerroad.fleet.messages import VERSION, Hello, Message
 from badgerroad.fleet.rules.actions import Action, Peer, SendMessage
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
-from badgerroad.fleet.settings import MICROSECONDS, FleetSettings
+from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 from badgerroad.fleet.table import fields_of
 from badgerroad.load_balancing import interface
 from badgerroad.net import logs
@@ -22,12 +22,12 @@
 
 log = logs.get("badgerroad")
 
-FIGURES = 10_000_000  # microseconds between two lines of figures
-LATEST = 2  # times the settings' ask_timeout_ms: then a request goes on whatever the rules do
-LONGEST_NAME = 32  # characters of the dispatcher's own name in its name as a peer
+FIGURES_INTERVAL_US = 10_000_000  # microseconds between two lines of figures
+DECISION_LIMIT_FACTOR = 2  # times the settings' ask_timeout_ms: then a request goes on whatever the rules do
+MAX_NAME_PREFIX_CHARS = 32  # characters of the dispatcher's own name in its name as a peer
 
 
-class HeldRequest(NamedTuple):
+class PendingRequest(NamedTuple):
     """A request that waits for its decision. `since`: when it was held, by the dispatcher's clock."""
 
     request: OpenRequest
@@ -50,14 +50,14 @@
         self._wheel, self._clock = wheel, wheel.clock
         random, incarnation = Random(os.urandom(16)), new_incarnation()
         # Two processes of one dispatcher are two peers: neither's leases are the other's.
-        peer_name = f"{name[:LONGEST_NAME] or 'dispatcher'}-{os.getpid()}-{incarnation:x}"
+        peer_name = f"{name[:MAX_NAME_PREFIX_CHARS] or 'dispatcher'}-{os.getpid()}-{incarnation:x}"
         self.leases = DispatcherLeases(settings, peer_name, zone, incarnation, self._clock.now(), random)
         hello = Hello(VERSION, peer_name, zone, ROLE_DISPATCHER, incarnation)
         addresses = {c.name: (c.host, c.port) for c in settings.controllers}
         self.connections = Connections(hello, addresses, self, random)
         self._zone = zone
         self._teams: dict[int, str] = {}  # those with a quota, by their place among the module's tenants
-        self._held: dict[int, HeldRequest] = {}
+        self._held: dict[int, PendingRequest] = {}
         self._numbers: dict[bytes, int] = {}  # of what is held, by request id
         self._wakeup: Timer | None = None
         self._over = False
@@ -68,7 +68,7 @@
             if controller.zone == self._zone:
                 self.connections.connect(controller.name)
         self._tick()
-        self._wheel.after(FIGURES, self._log_figures)
+        self._wheel.after(FIGURES_INTERVAL_US, self._log_figures)
 
     # What the dispatcher tells.
 
@@ -80,23 +80,23 @@
             proceed(event)
             return
         now = self._clock.now()
-        self._held[request.number] = HeldRequest(request, event, team, now, proceed)
+        self._held[request.number] = PendingRequest(request, event, team, now, proceed)
         self._numbers[request.forwarded.id] = request.number
         self._enter(lambda: self.leases.request(now, request.number, team))
         if request.number in self._held:
-            latest = LATEST * self.settings.ask_timeout_ms * MICROSECONDS
+            latest = DECISION_LIMIT_FACTOR * self.settings.ask_timeout_ms * US_PER_MS
             self._wheel.after(latest, lambda: self._too_late(request.number))
 
     def request_forgotten(self, request_id: bytes) -> None:
         """Its client has left, or its time is over."""
         number = self._numbers.pop(request_id, None)
         if number is not None and self._held.pop(number, None) is not None:
-            self.leases.forget(self._clock.now(), number)
+            self.leases.cancel(self._clock.now(), number)
 
     def _too_late(self, number: int) -> None:
         if number in self._held:
             log.error("fleet: a request was not decided in time; it goes on as over its quota", number=number)
-            self.leases.forget(self._clock.now(), number)
+            self.leases.cancel(self._clock.now(), number)
             self._decided(number, True)
 
     def settings_changed(self, settings: interface.Settings) -> None:
@@ -160,14 +160,14 @@
 
     def _tick(self) -> None:
         if not self._over:
-            self._wheel.after(self.settings.tick_ms * MICROSECONDS, self._tick)
+            self._wheel.after(self.settings.tick_ms * US_PER_MS, self._tick)
             self._enter(lambda: self.leases.tick(self._clock.now()))
 
     # Figures, and the end.
 
     def _log_figures(self) -> None:
         if not self._over:
-            self._wheel.after(FIGURES, self._log_figures)
+            self._wheel.after(FIGURES_INTERVAL_US, self._log_figures)
             figures = self.leases.figures(self._clock.now())
             log.info("fleet figures", **fields_of(figures), **fields_of(self.connections.traffic()))
 
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -26,8 +26,9 @@
 if TYPE_CHECKING:
     from badgerroad.admin.listener import Listener
     from badgerroad.fleet.extension import QuotaExtension
-    from badgerroad.hot_restart.process import Handover
-    from badgerroad.multiprocess.server_process import Joined, ServerProcess
+    from badgerroad.hot_restart.process import HotRestart
+    from badgerroad.multiprocess.server_process import ServerProcess
+    from badgerroad.multiprocess.startup import StartParameters
     from badgerroad.operator.schema import Operator
 
 log = logs.get("badgerroad")
@@ -86,7 +87,7 @@
     """A dispatcher from its start-up to the end of its graceful shutdown, driven by signals."""
 
     def __init__(
-        self, config: Config, operator: Operator | None, operator_file: str | None, joined: Joined | None
+        self, config: Config, operator: Operator | None, operator_file: str | None, joined: StartParameters | None
     ) -> None:
         """`joined` is what the supervisor of several server processes gave to this one. Raises ConfigError."""
         self._config = config
@@ -97,7 +98,7 @@
         self._dispatcher, self._admin = assemble(config, self._wheel, counted=joined is not None)
         limit(self._dispatcher, operator)
         self._quotas = join_fleet(self._dispatcher, operator, operator_file)
-        self._handover: Handover | None = None
+        self._hot_restart: HotRestart | None = None
         self._server_process: ServerProcess | None = None
         self._stopped_at_us: int | None = None
         self._done = asyncio.Event()
@@ -123,8 +124,8 @@
             return
         self._stopped_at_us = self._wheel.clock.now()
         log.info("stopping: answering what is owed")
-        if self._handover is not None:
-            self._handover.term()
+        if self._hot_restart is not None:
+            self._hot_restart.terminate()
         else:
             self._dispatcher.drain()
         self._check_shutdown(self._stopped_at_us)
@@ -168,14 +169,14 @@
             self._admin.listen(self._config.admin)
         except OSError as error:
             raise ListenError("ops", self._config.admin, error) from error
-        from badgerroad.hot_restart.process import Handover
+        from badgerroad.hot_restart.process import HotRestart
 
-        self._handover = Handover(self._dispatcher, self._wheel, os.environ.get("TMPDIR") or "/tmp")
+        self._hot_restart = HotRestart(self._dispatcher, self._wheel, os.environ.get("TMPDIR") or "/tmp")
 
     async def _permitted_to_listen(self, server_process: ServerProcess) -> bool:
         """Wait for the supervisor's permission; False if the shutdown came first."""
         await asyncio.wait(
-            [asyncio.ensure_future(server_process.go.wait()), asyncio.ensure_future(self._done.wait())],
+            [asyncio.ensure_future(server_process.may_listen.wait()), asyncio.ensure_future(self._done.wait())],
             return_when=asyncio.FIRST_COMPLETED,
         )
         return not self._done.is_set()
@@ -194,16 +195,16 @@
             discovery=f"{discovery_host}:{discovery_port}",
         )
         if self._server_process is not None:
-            self._server_process.listens()
+            self._server_process.report_listening()
 
     async def _start_dispatcher(self) -> Address:
-        if self._handover is not None:
-            return await self._handover.begin()
+        if self._hot_restart is not None:
+            return await self._hot_restart.begin()
         return self._dispatcher.start(shared=self._server_process is not None)
 
     def _close_with(self, resources: contextlib.ExitStack) -> None:
         """Close at the end, the last one named here first: leases go back while all else is still there."""
-        for resource in (self._dispatcher, self._server_process, self._handover, self._admin, self._quotas):
+        for resource in (self._dispatcher, self._server_process, self._hot_restart, self._admin, self._quotas):
             if resource is not None:
                 resources.callback(resource.close)
 
@@ -217,12 +218,12 @@
     def _may_end(self, elapsed_us: int) -> bool:
         """Whether no client needs this process any more, `elapsed_us` after the shutdown began. Connections that nobody
         takes over are ended here."""
-        dispatcher, handover = self._dispatcher, self._handover
+        dispatcher, hot_restart = self._dispatcher, self._hot_restart
         if dispatcher.has_pending_responses:
             return False
-        if handover is not None and handover.between and elapsed_us < PREDECESSOR_LIFETIME_US:
+        if hot_restart is not None and hot_restart.peers.relays_job_events and elapsed_us < PREDECESSOR_LIFETIME_US:
             return False
-        if handover is not None and handover.ending and dispatcher.frontend.successor is not None:
+        if hot_restart is not None and hot_restart.finishing and dispatcher.frontend.successor is not None:
             # The successor takes the clients over; only connections still to be passed need time.
             return not dispatcher.frontend.has_connections_to_pass or elapsed_us >= NEW_CONNECTIONS_GRACE_US
         return elapsed_us >= NEW_CONNECTIONS_GRACE_US and dispatcher.end_client_connections()
@@ -241,7 +242,7 @@
 
 
 async def serve(
-    config: Config, operator: Operator | None, operator_file: str | None, joined: Joined | None = None
+    config: Config, operator: Operator | None, operator_file: str | None, joined: StartParameters | None = None
 ) -> int:
     """Run a dispatcher process to its end; the exit code. Raises ConfigError."""
     return await _exit_code_of(DispatcherProcess(config, operator, operator_file, joined).run())
@@ -260,7 +261,7 @@
 
     config: Config
     operator: Operator | None
-    joined: Joined | None
+    joined: StartParameters | None
     text: bytes  # of the configuration file, for the supervisor to pass on; empty without one
 
 
@@ -278,27 +279,27 @@
     _configure_logs(start, verbose)
     gc.freeze()  # start-up's objects live as long as the process: the collector need not scan them
     if workers > 1 and start.joined is None:
-        from badgerroad.multiprocess.supervisor import supervise
+        from badgerroad.multiprocess.supervisor import SupervisorOptions, supervise
 
-        supervisor = supervise(workers, start.config, start.text, start.operator, operator_file, verbose)
-        return asyncio.run(_exit_code_of(supervisor))
+        options = SupervisorOptions(workers, start.config, start.text, start.operator, operator_file, verbose)
+        return asyncio.run(_exit_code_of(supervise(options)))
     return asyncio.run(serve(start.config, start.operator, operator_file, start.joined))
 
 
 def _read_configuration(operator_file: str | None, workers: int) -> _Start:
     operator = _load_operator(operator_file) if operator_file is not None else None
     if PROCESS_VARIABLE in os.environ:
-        from badgerroad.multiprocess.server_process import Joined
+        from badgerroad.multiprocess.startup import StartParameters
 
-        joined = Joined.with_(os.environ)
+        joined = StartParameters.receive(os.environ)
         return _Start(joined.config, joined.operator, joined, b"")
     if workers <= 1:
         return _Start(load(os.environ), operator, None, b"")
-    from badgerroad.multiprocess.server_process import Part
+    from badgerroad.multiprocess.startup import ProcessIndex
 
     text = text_of(os.environ)
     config = read(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
-    Part(0, workers).of(config)  # raises ConfigError where the descriptors are too few for so many
+    ProcessIndex(0, workers).share_of(config)  # raises ConfigError where the descriptors are too few for so many
     return _Start(config, operator, None, text)
 
 
@@ -325,6 +326,6 @@
 def _configure_logs(start: _Start, verbose: bool) -> None:
     settings = start.operator.log if start.operator is not None else logs.LogSettings()
     if start.joined is not None:
-        logs.configure(settings, debug=verbose, process=start.joined.part.number)
+        logs.configure(settings, debug=verbose, process=start.joined.process_index.number)
     else:
         logs.configure(settings, debug=verbose)
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -11,10 +11,11 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad.frontend import client as frontend_client
-from badgerroad.hot_restart import rules, transfer
-from badgerroad.hot_restart.process import Handover
+from badgerroad.hot_restart import request_transfer, rules
+from badgerroad.hot_restart.process import HotRestart
+from badgerroad.hot_restart.rules import Action
 from badgerroad.net.timer_wheel import Clock, TimerWheel
-from badgerroad.net.unix_channel import Place
+from badgerroad.net.unix_channel import UnixSocketPath
 from badgerroad.serving import assemble
 from tests.support.loopback import World, async_test, id_of, job, read_message, reply, serve, until
 
@@ -22,10 +23,10 @@
 @contextlib.asynccontextmanager
 async def with_second_process(w, folder, **over):
     """A second dispatcher in this process, with `over` in its configuration, that takes over from the one of a World."""
-    first = Handover(w.dispatcher, w.dispatcher.wheel, str(folder))
-    first._be_found()
+    first = HotRestart(w.dispatcher, w.dispatcher.wheel, str(folder))
+    first.announce()
     new, ops = assemble(w.dispatcher.config._replace(**over), TimerWheel(Clock(), IOLoop.current()))
-    second = Handover(new, new.wheel, str(folder))
+    second = HotRestart(new, new.wheel, str(folder))
     w.begin(second.begin())
     await until(lambda: new.accepts_clients)
     try:
@@ -69,7 +70,7 @@
             assert status == 400
             assert b"open request" in why
             attempt.accepted = True
-            first.term()
+            first.terminate()
             await until(
                 lambda: not first.dispatcher.has_pending_responses
                 and not first.dispatcher.frontend.has_connections_to_pass
@@ -92,19 +93,21 @@
         async with with_second_process(w, tmp_path) as (first, second):
             for back in (True, False):
                 d, ops = assemble(w.dispatcher.config, TimerWheel(Clock(), IOLoop.current()))
-                third = Handover(d, d.wheel, str(tmp_path))
+                third = HotRestart(d, d.wheel, str(tmp_path))
                 w.begin(third.begin())
-                await until(lambda: d.accepts_clients and first.predecessor.state == "passed")
-                first._arrived(rejected_socket := socket.socket())  # one at a time: it is sent away
+                await until(lambda d=d: d.accepts_clients and first.peers.predecessor.state == "passed")
+                first._on_connection(rejected_socket := socket.socket())  # one at a time: it is sent away
                 assert rejected_socket.fileno() == -1
                 if back:
-                    third.term()  # the second takes the new jobs again, and says so
-                    await until(lambda: second.dispatcher.accepts_clients and first.predecessor.state == "yielded")
+                    third.terminate()  # the second takes the new jobs again, and says so
+                    await until(
+                        lambda: second.dispatcher.accepts_clients and first.peers.predecessor.state == "yielded"
+                    )
                     third.close()
                     d.close()
-                    await until(lambda: second.newer is None)
+                    await until(lambda: second.peers.newer is None)
             second.close()
-            await until(lambda: first.newer is None)
+            await until(lambda: first.peers.newer is None)
             assert not w.dispatcher.accepts_clients
             assert not w.dispatcher.frontend._accepting
             second.dispatcher.frontend.close()
@@ -137,7 +140,7 @@
                 second.dispatcher.intake.handle_job_event(b"other", "h0", "done", {"result": str(n)})
             second.dispatcher.intake.handle_job_event(b"r1", "h0", "done", {"result": "made"})
             if ends:
-                first.newer.link.close()
+                first.peers.newer.channel.close()
             assert (await answer)[0] == 200
             assert (await w.figures())["current"] == 0
             here, there = socket.socketpair()
@@ -153,7 +156,7 @@
     tmp_path, monkeypatch
 ):
     monkeypatch.setattr(frontend_client, "REQUEST_TIMEOUT_US", 1_000_000)
-    monkeypatch.setattr(transfer, "movable", lambda request: False)  # open jobs stay: each has attempts out
+    monkeypatch.setattr(request_transfer, "can_move", lambda request: False)  # open jobs stay: each has attempts out
 
     def tallies(d):
         return {n: (x.tally, x.running) for n, x in d.decisions.workers.items()}
@@ -211,13 +214,13 @@
                 and new.requests_by_id[b"n1"].attempts
                 and tallies(old)[new.requests_by_id[b"n1"].attempts[0].worker][0] == 1
             )
-            first.term()
+            first.terminate()
             assert (
                 await w.call_back("r1", "done", again_.worker, result="made") == 200
             )  # to the new one, for the old one
             assert (await answer)[0] == 200
             assert b"close" not in (await answer)[1]
-            first.newer.link.close()
+            first.peers.newer.channel.close()
             await until(lambda: set(tallies(old).values()) == {(0, 0)})  # what it had out is forgotten
 
 
@@ -257,21 +260,25 @@
 @async_test
 async def test_the_old_process_serves_on_whatever_a_new_one_does_at_any_step(at, told, tmp_path, monkeypatch):
     """`at`: how many steps go well; then silence, an end or nonsense."""
-    for name in ("ASK_TIME", "SILENCE"):
+    for name in ("HELLO_TIMEOUT_US", "MISSING_HEARTBEAT_US"):
         monkeypatch.setattr(rules, name, 200_000)
-    monkeypatch.setattr(rules, "WAIT", {**rules.WAIT, rules.SAY_OFFER: 200_000, rules.SAY_YOURS: 200_000})
+    monkeypatch.setattr(
+        rules,
+        "REPLY_TIMEOUT_US",
+        {**rules.REPLY_TIMEOUT_US, Action.SEND_OFFER: 200_000, Action.SEND_GRANT: 200_000},
+    )
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        first = Handover(w.dispatcher, w.dispatcher.wheel, str(tmp_path))
-        first._be_found()
-        new = first.place.find()
-        await until(lambda: first.newer is not None)
+        first = HotRestart(w.dispatcher, w.dispatcher.wheel, str(tmp_path))
+        first.announce()
+        new = first.socket_path.connect()
+        await until(lambda: first.peers.newer is not None)
         for step in [*[HELLO, dict(kind="take")][:at], told]:
             say(new, step)
         if at == 0 and told != "close":  # no offer for one that is not of this dispatcher
             assert await asyncio.get_running_loop().sock_recv(new, 1) == b""
-        await until(lambda: first.newer is None and w.dispatcher.accepts_clients)
-        assert first.predecessor.state == "over"
+        await until(lambda: first.peers.newer is None and w.dispatcher.accepts_clients)
+        assert first.peers.predecessor.state == "over"
         assert (await w.ask(job()))[0] == 200
         assert w.dispatcher.descriptors.limit == w.dispatcher.descriptors.total
         first.close()
@@ -293,24 +300,24 @@
 )
 @async_test
 async def test_a_new_process_serves_whatever_the_old_one_does_at_any_step(at, told, tmp_path, monkeypatch):
-    monkeypatch.setattr(rules, "WAIT", dict.fromkeys(rules.WAIT, 200_000))
+    monkeypatch.setattr(rules, "REPLY_TIMEOUT_US", dict.fromkeys(rules.REPLY_TIMEOUT_US, 200_000))
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
         config, arrived = w.dispatcher.config._replace(listen=("127.0.0.1", w.port)), []
-        place = Place(str(tmp_path), f"badgerroad-127.0.0.1-{w.port}.sock")
-        place.bind(arrived.append)
+        place = UnixSocketPath(str(tmp_path), f"badgerroad-127.0.0.1-{w.port}.sock")
+        place.listen(arrived.append)
         d, ops = assemble(config, TimerWheel(Clock(), IOLoop.current()))
-        second = Handover(d, d.wheel, str(tmp_path))
+        second = HotRestart(d, d.wheel, str(tmp_path))
         w.begin(second.begin())
         await until(lambda: arrived)
         if at:
             say(arrived[0], dict(OFFER, known=config.cached_endpoints), w.dispatcher.frontend.listener.fileno())
-            await until(lambda: second.successor.state == "claiming")
+            await until(lambda: second.peers.successor.state == "claiming")
             assert d.descriptors.limit <= d.descriptors.total - 100
             assert not d.accepts_clients
         say(arrived[0], told, w.dispatcher.frontend.listener.fileno())
         await until(lambda: d.accepts_clients)
-        assert (second._listener is None) == (at == 0 and told != dict(kind="offer", version=2))
+        assert (second._actions.received_listener is None) == (at == 0 and told != dict(kind="offer", version=2))
         w.dispatcher.close()
         assert (await w.ask(job()))[0] == 200
         assert len(d.decisions.workers) == 1
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -10,7 +10,7 @@
 import numpy as np
 import pytest
 
-from badgerroad.emulator.errors import BadScenario
+from badgerroad.emulator.errors import ScenarioError
 from badgerroad.lab import compare, experiment, load, paper, report, runner, theory
 from badgerroad.lab.policies import POLICIES
 from badgerroad.lab.store import Store
@@ -64,7 +64,7 @@
         (dict(scenarios="['no.toml']"), "no.toml"),
         (dict(scenario="1"), "scenario"),
     ):
-        with pytest.raises(BadScenario, match=field):
+        with pytest.raises(ScenarioError, match=field):
             experiment.load(small(tmp_path, **over))
 
 
@@ -91,7 +91,7 @@
     assert c.seeds == 8
     assert c.verdict == verdict
     assert c.difference == pytest.approx(shift, abs=1e-9)
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="seed"):
         compare.compare({1: b[1]}, {2: b[2]})
 
 
