--- a/badgerroad/__main__.py
+++ b/badgerroad/__main__.py
@@ -9,6 +9,7 @@
 
 
 def start() -> int:
+    """Run the command line; the exit code."""
     # Tornado loads the system's certificates as it is imported, a fifth of the start; this program speaks no TLS.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     gc.disable()  # nothing that imports make is garbage
--- a/badgerroad/class_table.py
+++ b/badgerroad/class_table.py
@@ -1,7 +1,7 @@
-"""Classes of requests go by name; the decisions know them by a place in a list. Which place, when the settings change.
+"""The indices of request classes: clients name a class, the decisions know it by its index in the settings.
 
-A place whose class has open jobs is never given to another class: a class that vanished, or came back as another one
-under its name, keeps its place, retired, until its last job has ended.
+An index whose class has open requests is never given to another class: a class that is removed, or that comes back with
+other settings under its name, keeps its index, retired, until its last request has ended.
 """
 
 from __future__ import annotations
@@ -12,30 +12,37 @@
 
 
 class ClassTable:
-    def __init__(self, fresh: Sequence[interface.RequestClass]) -> None:
-        self.request_classes: list[interface.RequestClass] = list(fresh)
-        self.index_by_name: dict[bytes, int] = {c.name.encode(): n for n, c in enumerate(fresh)}
-
-    def update(self, fresh: Sequence[interface.RequestClass], in_use: set[int]) -> tuple[interface.RequestClass, ...]:
-        """The classes are `fresh` now. `in_use`: places that open jobs have. Returns the list, retired ones too."""
-        places: list[interface.RequestClass | None] = [
-            c if n in in_use else None for n, c in enumerate(self.request_classes)
+    """The request classes by index, retired ones included, and the index of each current name."""
+
+    def __init__(self, classes: Sequence[interface.RequestClass]) -> None:
+        """Start with the classes of the settings, in their order."""
+        self.request_classes: list[interface.RequestClass] = list(classes)
+        self.index_by_name = {request_class.name.encode(): index for index, request_class in enumerate(classes)}
+
+    def update(
+        self, classes: Sequence[interface.RequestClass], indices_in_use: set[int]
+    ) -> tuple[interface.RequestClass, ...]:
+        """Put new classes in force; open requests refer to `indices_in_use`. Returns all classes by index."""
+        slots: list[interface.RequestClass | None] = [
+            request_class if index in indices_in_use else None
+            for index, request_class in enumerate(self.request_classes)
         ]
-        by_name: dict[bytes, int] = {}
-        moved: list[interface.RequestClass] = []
-        for c in fresh:
-            place = self.index_by_name.get(c.name.encode())
-            if place is not None and (self.request_classes[place] == c or place not in in_use):
-                places[place], by_name[c.name.encode()] = c, place
+        index_by_name: dict[bytes, int] = {}
+        without_index: list[interface.RequestClass] = []
+        for request_class in classes:
+            index = self.index_by_name.get(request_class.name.encode())
+            if index is not None and (self.request_classes[index] == request_class or index not in indices_in_use):
+                slots[index] = request_class
+                index_by_name[request_class.name.encode()] = index
             else:
-                moved.append(c)
-        for c in moved:
-            place = places.index(None) if None in places else len(places)
-            places[place : place + 1] = [c]
-            by_name[c.name.encode()] = place
-        while places and places[-1] is None:
-            places.pop()
-        # A place of nobody's in between, to which no name leads, repeats one that is somebody's.
-        self.request_classes = [fresh[0] if c is None else c for c in places]
-        self.index_by_name = by_name
+                without_index.append(request_class)
+        for request_class in without_index:
+            index = slots.index(None) if None in slots else len(slots)
+            slots[index : index + 1] = [request_class]
+            index_by_name[request_class.name.encode()] = index
+        while slots and slots[-1] is None:
+            slots.pop()
+        # No name leads to an unused index in between; any class may fill it.
+        self.request_classes = [classes[0] if request_class is None else request_class for request_class in slots]
+        self.index_by_name = index_by_name
         return tuple(self.request_classes)
--- a/badgerroad/cli.py
+++ b/badgerroad/cli.py
@@ -69,6 +69,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the command that the arguments name; the exit code."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments[:1] == ["serve"] and len(arguments) == 1:
         # How the platform starts it: while a dispatcher restarts others may too, and parsing this page takes time.
--- a/badgerroad/errors.py
+++ b/badgerroad/errors.py
@@ -27,17 +27,18 @@
 
 
 class ArgumentError(BadgerroadError, ValueError):
-    """A command's argument cannot be."""
+    """A command's argument is not valid."""
 
     code = "argument"
     remedy = "see badgerroad --help"
 
 
 class ListenError(BadgerroadError):
-    """An address of this process's own cannot be had. `field`: of the configuration."""
+    """A listener's address is taken or is not one of this machine."""
 
     code = "listen"
     remedy = "see who has the address, or whether this machine has it at all"
 
     def __init__(self, field: str, address: tuple[str, int], cause: OSError) -> None:
+        """`field` names the address in the configuration; `cause` is what the system said."""
         super().__init__(f"{field}: {address[0]}:{address[1]}: {cause.strerror}")
--- a/badgerroad/operator/schema.py
+++ b/badgerroad/operator/schema.py
@@ -66,6 +66,8 @@
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    """The whole file; each field is a table, and a missing table has its defaults."""
+
     log: Log = Log()
     limits: Limits = Limits()
     fleet: Fleet | None = None
--- a/badgerroad/requests.py
+++ b/badgerroad/requests.py
@@ -43,7 +43,7 @@
 
 
 class OpenRequest:
-    """Taken and not answered yet, or answered with attempts still out."""
+    """A registered request that is not answered yet, or is answered while attempts are in flight."""
 
     __slots__ = (
         "number",
@@ -60,20 +60,25 @@
     )
 
     def __init__(
-        self, number: int, order: ForwardedRequest, exchange: Exchange, cls: interface.RequestClass, begun: int
+        self,
+        number: int,
+        forwarded: ForwardedRequest,
+        exchange: Exchange,
+        request_class: interface.RequestClass,
+        received_at: int,
     ) -> None:
-        self.number, self.forwarded, self.exchange, self.request_class, self.received_at = (
-            number,
-            order,
-            exchange,
-            cls,
-            begun,
-        )
+        """`received_at`: microseconds of this process's clock."""
+        self.number = number
+        self.forwarded = forwarded
+        self.exchange = exchange
+        self.request_class = request_class
+        self.received_at = received_at
         self.attempts: list[Attempt] = []
-        self.open_attempts = self.work_hint = 0
+        self.open_attempts = 0
+        self.work_hint = 0
         self.slots = 1.0
         self.deadline_timer: Timer | None = None
-        self.admitted = False  # the module has heard of it
+        self.admitted = False  # passed to the decisions
 
 
 def forwarded_headers(message: http1.Message) -> http1.Headers:
--- a/badgerroad/startup_signals.py
+++ b/badgerroad/startup_signals.py
@@ -1,4 +1,4 @@
-"""SIGHUPs that come before the loop is there to hear them: counted, so that none ends the program or is lost."""
+"""Counts SIGHUPs that arrive before the event loop runs, so that none ends the program or is lost."""
 
 from __future__ import annotations
 
@@ -13,4 +13,5 @@
 
 
 def install() -> None:
+    """Count SIGHUPs from now on in `reload_count`; the event loop's handler replaces this one."""
     signal.signal(signal.SIGHUP, _count)
