--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -1,7 +1,8 @@
-"""The fleet's connections: who is connected by name, what goes out, what is told to the rules' caller.
+"""The connections of one process of the fleet, by the name of the peer.
 
-A dispatcher connects to controllers. Of two controllers the one whose name sorts first connects, so that a pair has one
-connection. What cannot be delivered is dropped and counted: the rules live with loss, repetition and reordering.
+A dispatcher connects to controllers. Of two controllers the one whose name sorts first connects, so that each pair has
+one connection. A message that cannot be delivered is dropped and counted: the rules tolerate loss, repetition and
+reordering.
 """
 
 from __future__ import annotations
@@ -27,33 +28,36 @@
 
 log = logs.get("badgerroad")
 
-MAX_ACCEPTED_CONNECTIONS = 2048  # connections that others have made to this process
+MAX_ACCEPTED_CONNECTIONS = 2048  # connections accepted from others
 ROLE_DISPATCHER: Final = "dispatcher"  # of Hello.role
 ROLE_CONTROLLER: Final = "controller"
 
 
 def new_incarnation() -> int:
-    """Tells one run of a process from another of the same name; of two runs on one machine the later has the larger."""
+    """A number that grows with each start of a process on a machine: microseconds of the wall clock."""
     return time.time_ns() // 1000
 
 
 class Receiver(Protocol):
-    """Who is told. Neither may wait."""
+    """Receives the events of connections. Its methods must not block."""
 
-    def received(self, sender: Peer, message: Message) -> None: ...
+    def received(self, sender: Peer, message: Message) -> None:
+        """A message of a peer arrived."""
 
     def lost(self, name: str) -> None:
-        """A peer's connection has ended, or could not be made."""
+        """A peer's connection ended, or could not be made."""
 
 
 class Listener(TCPServer):
-    """The address at which a controller is reached."""
+    """The listening socket of a controller."""
 
     def __init__(self, accepted: Callable[[IOStream], None]) -> None:
+        """`accepted` is called with the stream of each accepted connection."""
         super().__init__()
         self._accepted = accepted
 
     def handle_stream(self, stream: IOStream, address: Address) -> None:
+        """Pass the stream on (called by Tornado)."""
         self._accepted(stream)
 
 
@@ -61,59 +65,66 @@
     """All connections of one process of the fleet, by the name of the peer."""
 
     def __init__(self, hello: Hello, controllers: Mapping[str, Address], receiver: Receiver, random: Random) -> None:
-        """`hello`: who this process is. `controllers`: the addresses of all of them, its own too if it is one."""
-        self.hello, self.controllers = hello, controllers
-        self._receiver, self._random = receiver, random
+        """`hello`: describes this process. `controllers`: the addresses of all controllers, its own included."""
+        self.hello = hello
+        self.controllers = controllers
+        self._receiver = receiver
+        self._random = random
         self._open: dict[str, PeerConnection] = {}
         self._accepted: set[PeerConnection] = set()
         self._dialers: dict[str, Dialer] = {}
         self._dialing: dict[PeerConnection, Dialer] = {}
         self._listener: Listener | None = None
-        self._ended = Traffic()  # of the connections that are no more
+        self._closed_traffic = Traffic()  # of closed connections
         self._dropped = 0
         self._closing = False
 
-    # Who is connected.
+    # Peers
 
     def listen(self, address: Address) -> Address:
-        """Be reachable, port 0: at any. Raises CannotListen."""
+        """Accept connections at `address` (port 0: any free port); return the address. Raises CannotListen."""
         self._listener = Listener(self._accept)
         try:
             self._listener.listen(address[1], address[0])
-        except OSError as e:
-            raise CannotListen("fleet.controllers", address, e) from e
+        except OSError as error:
+            raise CannotListen("fleet.controllers", address, error) from error
         sock = next(iter(self._listener._sockets.values()))
         host, port = sock.getsockname()[:2]
         return host, port
 
     def stop_listening(self) -> None:
-        """Those that are connected stay."""
+        """Accept no more connections. Present ones stay open."""
         if self._listener is not None:
             self._listener.stop()
 
     def connect_controllers(self) -> None:
-        """To those controllers that do not connect to this one by themselves."""
+        """Connect to the controllers that do not connect to this one."""
         for name in self.controllers:
             if self.hello.name < name:
                 self.connect(name)
 
     def connect(self, name: str) -> None:
-        """Hold a connection to this controller from now on."""
+        """Keep a connection to this controller from now on."""
         if name not in self._dialers and not self._closing:
             self._dialers[name] = Dialer(name, self.controllers[name], self._dialed, self._unreachable, self._random)
 
     def connected(self, name: str) -> bool:
+        """Whether the peer `name` is connected."""
         return name in self._open
 
     @property
     def names(self) -> list[str]:
-        """Of all peers connected now."""
+        """The names of all connected peers."""
         return list(self._open)
 
-    # What goes out.
+    # Sending
 
     def send(self, name: str, message: Message) -> None:
-        """To a peer. Where it is a controller without a connection, one is made first; else it is dropped."""
+        """Send a message to a peer.
+
+        A controller without a connection is connected to first if that is this side's part; otherwise the message is
+        dropped.
+        """
         framed = frame(encode(message))
         connection = self._open.get(name)
         if connection is not None:
@@ -124,21 +135,22 @@
         dialer = self._dialers.get(name)
         if dialer is None or not dialer.send(framed):
             self._dropped += 1
-            if self.hello.role == ROLE_DISPATCHER:  # it has others to ask; controllers wait for the connection
-                asyncio.get_running_loop().call_soon(self._tell_lost, name)
+            if self.hello.role == ROLE_DISPATCHER:  # it may ask another one; controllers wait for the connection
+                asyncio.get_running_loop().call_soon(self._report_lost, name)
 
     def _may_connect(self, name: str) -> bool:
         return name in self.controllers and (self.hello.role == ROLE_DISPATCHER or self.hello.name < name)
 
     @property
     def flushed(self) -> bool:
+        """Whether all messages have been written to the sockets."""
         return all(connection.flushed for connection in self._open.values())
 
-    # What happens to connections.
+    # Events of connections
 
     def _accept(self, stream: IOStream) -> None:
         if len(self._accepted) >= MAX_ACCEPTED_CONNECTIONS:
-            self._ended.rejected += 1
+            self._closed_traffic.rejected += 1
             stream.close()
             return
         connection = self._connection(stream)
@@ -162,12 +174,12 @@
                 raise PeerRejectedError(f"a newer {hello.name} is connected")
             self._replace(previous, hello)
         self._open[hello.name] = connection
-        log.info("fleet: connected", peer=hello.name, role=hello.role)
+        log.info("fleet_peer_connected", peer=hello.name, role=hello.role)
         if dialer is not None:
             dialer.opened()
 
     def _check(self, hello: Hello, dialer: Dialer | None) -> None:
-        """Raises PeerRejectedError."""
+        """Check a peer's Hello. Raises PeerRejectedError."""
         if dialer is not None and (hello.name, hello.role) != (dialer.name, ROLE_CONTROLLER):
             raise PeerRejectedError(f"{hello.role} {hello.name} answers where {dialer.name} should be")
         if hello.name == self.hello.name:
@@ -178,46 +190,45 @@
             raise PeerRejectedError(f"{hello.role} {hello.name} has a controller's name")
 
     def _replace(self, previous: PeerConnection, hello: Hello) -> None:
-        """The same peer has connected anew; its earlier connection may not have noticed its end yet."""
+        """Close the earlier connection of a peer that connected again; its end may not be noticed yet."""
         del self._open[hello.name]
-        assert previous.peer is not None
-        if previous.peer.incarnation != hello.incarnation:
-            self._tell_lost(hello.name)
+        if previous.peer is not None and previous.peer.incarnation != hello.incarnation:
+            self._report_lost(hello.name)
         previous.close()
 
     def _received(self, connection: PeerConnection, message: Message) -> None:
-        assert connection.peer is not None
-        self._receiver.received(Peer(connection.peer.name, connection.peer.incarnation), message)
+        if connection.peer is not None:  # always so: a message follows a Hello
+            self._receiver.received(Peer(connection.peer.name, connection.peer.incarnation), message)
 
     def _closed(self, connection: PeerConnection) -> None:
         self._accepted.discard(connection)
         self._dialing.pop(connection, None)
-        self._ended.add(connection.traffic)
+        self._closed_traffic.add(connection.traffic)
         if self._open.get(connection.name) is connection:
             del self._open[connection.name]
-            log.info("fleet: connection ended", peer=connection.name)
-            self._tell_lost(connection.name)
+            log.info("fleet_peer_disconnected", peer=connection.name)
+            self._report_lost(connection.name)
 
     def _unreachable(self, name: str) -> None:
-        self._tell_lost(name)
+        self._report_lost(name)
 
-    def _tell_lost(self, name: str) -> None:
+    def _report_lost(self, name: str) -> None:
         if not self._closing:
             self._receiver.lost(name)
 
-    # Figures, and the end.
+    # Counters, and the end
 
     def traffic(self) -> Traffic:
-        """Of all connections, past and present."""
+        """Counters of all connections, past and present."""
         total = Traffic()
-        total.add(self._ended)
+        total.add(self._closed_traffic)
         total.dropped += self._dropped + sum(dialer.dropped for dialer in self._dialers.values())
         for connection in {*self._accepted, *self._dialing}:
             total.add(connection.traffic)
         return total
 
     def close(self) -> None:
-        """End all of it; nobody is told any more."""
+        """Close all connections. The receiver is not called any more."""
         self._closing = True
         self.stop_listening()
         for dialer in self._dialers.values():
--- a/badgerroad/fleet/controller.py
+++ b/badgerroad/fleet/controller.py
@@ -9,6 +9,7 @@
 import sys
 import time
 from collections.abc import Callable, Iterable, Mapping
+from enum import IntEnum
 from random import Random
 
 from badgerroad import startup_signals
@@ -25,68 +26,80 @@
 
 log = logs.get("badgerroad")
 
-OK, CANNOT_LISTEN, BAD_CONFIG = 0, 1, 2  # exit codes
-DRAIN_LIMIT_S = 5.0  # from SIGTERM until the process ends even if something is still held
-FLUSH_LIMIT_S = 0.5  # and for the last messages to go
-DRAIN_POLL_INTERVAL_S = 0.02  # how often it is looked whether that is done
-FIGURES_INTERVAL_S = 10.0  # between two lines of figures
+DRAIN_LIMIT_S = 5.0  # from SIGTERM until the process ends even if credit is not returned
+FLUSH_LIMIT_S = 0.5  # further time for the last messages
+DRAIN_POLL_INTERVAL_S = 0.02  # between two checks whether that is done
+FIGURES_INTERVAL_S = 10.0  # between two log lines of statistics
+
+
+class ExitCode(IntEnum):
+    """Exit codes of `badgerroad control`."""
+
+    OK = 0
+    CANNOT_LISTEN = 1
+    BAD_CONFIG = 2
 
 
 def monotonic_us() -> int:
+    """The monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class ControllerProcess:
-    """One controller. It owns its rules, its connections and the ticks, from `start` to the end of `run`."""
+    """One controller. It owns its rules, its connections and its periodic tasks until the end of `run`."""
 
     def __init__(self, settings: FleetSettings, me: Controller, quotas: Mapping[str, float], random: Random) -> None:
-        self.settings, self.me = settings, me
+        """Create the rules with the quotas (requests per second by team); nothing is opened yet."""
+        self.settings = settings
+        self.me = me
         incarnation = new_incarnation()
         self.rules = ControllerRules(settings, me.name, incarnation, monotonic_us(), random)
         self.rules.set_quotas(monotonic_us(), quotas)
         hello = Hello(VERSION, me.name, me.zone, ROLE_CONTROLLER, incarnation)
-        addresses = {c.name: (c.host, c.port) for c in settings.controllers}
+        addresses = {controller.name: (controller.host, controller.port) for controller in settings.controllers}
         self.connections = Connections(hello, addresses, self, random)
         self._stopping = asyncio.Event()
 
     def start(self) -> None:
-        """Be reachable, and reach the others. Raises CannotListen."""
+        """Listen, and connect to other controllers. Raises CannotListen."""
         self.connections.listen((self.me.host, self.me.port))
         self.connections.connect_controllers()
 
     def stop(self) -> None:
-        """What a SIGTERM does: give back what is held, then end."""
+        """Begin a graceful shutdown, as SIGTERM does."""
         self._stopping.set()
 
     async def run(self) -> None:
-        """Until `stop` has been called and all is given back, or DRAIN_LIMIT_S is over."""
+        """Run until `stop` has been called and all credit is returned, or DRAIN_LIMIT_S has passed."""
         ticks = asyncio.ensure_future(self._tick())
-        figures = asyncio.ensure_future(self._log_figures())
+        statistics = asyncio.ensure_future(self._log_statistics())
         try:
             await self._stopping.wait()
             await self._drain()
         finally:
             ticks.cancel()
-            figures.cancel()
+            statistics.cancel()
             self.connections.close()
 
-    # What the connections report.
+    # Events of connections
 
     def received(self, sender: Peer, message: Message) -> None:
+        """Pass a message to the rules. An exception there must not end the connection."""
         try:
             self._send(self.rules.receive(monotonic_us(), sender, message))
         except Exception:
-            log.exception("fleet: unexpected exception on a message", peer=sender.name)
+            log.exception("fleet_message_exception", peer=sender.name)
 
     def lost(self, name: str) -> None:
+        """Pass the loss of a peer to the rules."""
         self.rules.peer_lost(monotonic_us(), name)
 
-    # What the rules want.
+    # Actions of the rules
 
     def _send(self, actions: Iterable[SendMessage]) -> None:
         for action in actions:
             if action.to == self.me.name:
-                # The rules are told from the loop: they are not entered while another call of theirs is performed.
+                # From the event loop, so that the rules are not entered while the actions of a call are performed.
                 asyncio.get_running_loop().call_soon(self._receive_own, action.message)
             else:
                 self.connections.send(action.to, action.message)
@@ -100,28 +113,29 @@
             try:
                 self._send(self.rules.tick(monotonic_us()))
             except Exception:
-                log.exception("fleet: unexpected exception in a tick")
+                log.exception("fleet_tick_exception")
 
     async def _drain(self) -> None:
-        log.info("stopping: giving back what is held")
+        log.info("controller_stopping")
         self.connections.stop_listening()
         self._send(self.rules.drain(monotonic_us()))
-        whole = await _until(lambda: self.rules.drained(monotonic_us()), DRAIN_LIMIT_S)
+        all_returned = await _until(lambda: self.rules.drained(monotonic_us()), DRAIN_LIMIT_S)
         await _until(lambda: self.connections.flushed, FLUSH_LIMIT_S)
-        log.info("stopped", all_given_back=whole)
+        log.info("stopped", all_given_back=all_returned)
 
-    # Figures.
+    # Statistics
 
-    async def _log_figures(self) -> None:
+    async def _log_statistics(self) -> None:
         while True:
             await asyncio.sleep(FIGURES_INTERVAL_S)
             self.log_figures()
 
     def log_figures(self) -> None:
+        """Write one log line of statistics."""
         figures = self.rules.figures(monotonic_us())
         traffic = self.connections.traffic()
         log.info(
-            "fleet figures",
+            "fleet_statistics",
             **table.fields_of(figures),
             **table.fields_of(traffic),
             peers=len(self.connections.names),
@@ -130,7 +144,7 @@
 
 
 async def _until(condition: Callable[[], bool], limit_s: float) -> bool:
-    """Wait for it; False: the limit came first."""
+    """Wait until the condition holds; False if `limit_s` passed first."""
     end = time.monotonic() + limit_s
     while not condition():
         if time.monotonic() >= end:
@@ -140,38 +154,43 @@
 
 
 class Reloader:
-    """What a SIGHUP does: the operator's file and the quotas file read anew, as a whole or not at all."""
+    """Handles SIGHUP: reads the operator's file and the quotas file again, and applies them together or not at all."""
 
     def __init__(
         self, operator_file: str, present: Fleet, settings: FleetSettings, controller: ControllerProcess
     ) -> None:
-        self._file, self._present, self._settings, self._controller = operator_file, present, settings, controller
+        """`present`: the fleet table of the start, to find changes that need a restart."""
+        self._file = operator_file
+        self._present = present
+        self._settings = settings
+        self._controller = controller
 
     def reload(self) -> None:
+        """Read the files and apply the quotas and the log settings; log why if a file is invalid."""
         try:
             operator, fleet = read_operator(self._file)
             settings = table.settings_of(fleet, self._file)
             quotas = table.quotas_of(fleet)
-        except BadConfig as e:
-            log.error("reload failed; the old configuration stays in force", **e.fields)
+        except BadConfig as error:
+            log.error("reload_failed", **error.fields)
             return
-        self._say_what_waits(fleet, settings)
+        self._log_settings_that_need_restart(fleet, settings)
         logs.configure(operator.log, controller=self._controller.me.name)
         self._controller.rules.set_quotas(monotonic_us(), quotas)
-        log.info("reload", teams=len(quotas))
+        log.info("configuration_reloaded", teams=len(quotas))
 
-    def _say_what_waits(self, fleet: Fleet, settings: FleetSettings) -> None:
-        """The membership and the times are those of the start: all processes of the fleet must agree on them."""
+    def _log_settings_that_need_restart(self, fleet: Fleet, settings: FleetSettings) -> None:
+        """Log changed members and durations: all processes of the fleet must agree on them."""
         names = settings.__struct_fields__
         changed = [name for name in names if getattr(settings, name) != getattr(self._settings, name)]
         if fleet.name != self._present.name:
             changed.append("name")
         for name in changed:
-            log.warning("reload: takes effect at the next start", field=f"fleet.{name}")
+            log.warning("setting_needs_restart", field=f"fleet.{name}")
 
 
 def read_operator(operator_file: str) -> tuple[Operator, Fleet]:
-    """Raises BadConfig, also where the file has no `[fleet]`."""
+    """Read the operator's file. Raises BadConfig, also where the file has no `[fleet]` table."""
     operator = load(operator_file)
     if operator.fleet is None:
         raise BadConfig(f"{operator_file}: fleet: missing; a controller needs this table")
@@ -179,7 +198,7 @@
 
 
 async def control(controller: ControllerProcess, reloader: Reloader) -> int:
-    """Until SIGTERM; the exit code."""
+    """Run the controller until SIGTERM or SIGINT; return the exit code."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, controller.stop)
@@ -188,29 +207,29 @@
         loop.call_soon(reloader.reload)
     try:
         controller.start()
-    except CannotListen as e:
+    except CannotListen as error:
         controller.connections.close()
-        print(f"badgerroad: {e.line}", file=sys.stderr)
-        return CANNOT_LISTEN
+        print(f"badgerroad: {error.line}", file=sys.stderr)
+        return ExitCode.CANNOT_LISTEN
     me = controller.me
     log.info("listening", name=me.name, zone=me.zone, region=me.region, address=f"{me.host}:{me.port}", voter=me.voter)
     await controller.run()
-    # The loop's end restores what signals do by themselves: one that comes then must not turn the exit into a crash.
+    # The end of the loop restores the default handlers: a signal that arrives then must not change the exit code.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
-    return OK
+    return ExitCode.OK
 
 
 def main(operator_file: str, verbose: bool) -> int:
-    """The exit code."""
+    """Run `badgerroad control`; return the exit code."""
     try:
         operator, fleet = read_operator(operator_file)
         settings = table.settings_of(fleet, operator_file)
         quotas = table.quotas_of(fleet)
         me = table.controller_of(fleet, settings, operator_file)
-    except BadConfig as e:
-        print(f"badgerroad: {e.line}", file=sys.stderr)
-        return BAD_CONFIG
+    except BadConfig as error:
+        print(f"badgerroad: {error.line}", file=sys.stderr)
+        return ExitCode.BAD_CONFIG
     logs.configure(operator.log, debug=verbose, controller=me.name)
     controller = ControllerProcess(settings, me, quotas, Random(os.urandom(16)))
-    gc.freeze()  # what start-up made stays: the collector need not look at it again
+    gc.freeze()  # objects of the start-up live as long as the process
     return asyncio.run(control(controller, Reloader(operator_file, fleet, settings, controller)))
--- a/badgerroad/fleet/dialer.py
+++ b/badgerroad/fleet/dialer.py
@@ -16,14 +16,14 @@
 log = logs.get("badgerroad")
 
 CONNECT_TIMEOUT_S = 3.0
-MAX_PENDING_BYTES = 64 * 1024  # that wait for a connection being made
-INITIAL_BACKOFF_S = 0.1  # before the second attempt to connect; doubled each time,
-MAX_BACKOFF_S = 2.0  # up to this
-STABLE_CONNECTION_S = 2.0  # a connection that lasted so long was a good one: the pauses start anew
+MAX_PENDING_BYTES = 64 * 1024  # queued while the connection is being made
+INITIAL_BACKOFF_S = 0.1  # before the second attempt to connect; doubled each time
+MAX_BACKOFF_S = 2.0  # limit of the backoff
+STABLE_CONNECTION_S = 2.0  # a connection that lasted so long resets the backoff
 
 
 class Dialer:
-    """Keeps a connection to one controller: connects again after a pause, each longer than the one before."""
+    """Keeps a connection to one controller, and connects again after a growing backoff."""
 
     def __init__(
         self,
@@ -33,17 +33,25 @@
         failed: Callable[[str], None],
         random: Random,
     ) -> None:
-        self.name, self.address = name, address
-        self._attach, self._failed, self._random = attach, failed, random
+        """Start to connect.
+
+        `attach` makes the PeerConnection of a connected stream; `failed` is called with the name if a connection could
+        not be made.
+        """
+        self.name = name
+        self.address = address
+        self._attach = attach
+        self._failed = failed
+        self._random = random
         self._connection: PeerConnection | None = None
         self._pending: list[bytes] = []
         self._pending_bytes = 0
-        self._connecting = True  # the task begins with that
+        self._connecting = True
         self._task = asyncio.ensure_future(self._run())
         self.dropped = 0
 
     def send(self, framed: bytes) -> bool:
-        """Send it, or keep it while the connection is being made. False: it is dropped."""
+        """Send a frame, or queue it while the connection is being made. Returns False if it is dropped."""
         if self._connection is not None and self._connection.peer is not None:
             self._connection.send(framed)
             return True
@@ -54,34 +62,38 @@
         return True
 
     def opened(self) -> None:
-        """The other side has said who it is: what has waited goes now."""
-        pending, self._pending, self._pending_bytes = self._pending, [], 0
+        """The Hello of the other side was accepted: send what is queued."""
+        pending = self._pending
+        self._clear_pending()
+        connection = self._connection
+        if connection is None:
+            return
         for framed in pending:
-            assert self._connection is not None
-            self._connection.send(framed)
+            connection.send(framed)
 
     def close(self) -> None:
+        """Stop connecting. The connection itself is closed by its owner."""
         self._task.cancel()
 
     async def _run(self) -> None:
         failures = 0
         loop = asyncio.get_running_loop()
         while True:
-            began = loop.time()
+            started = loop.time()
             try:
                 await self._one_connection()
             except Exception:
-                log.exception("fleet: unexpected exception on a connection", peer=self.name)
-            failures = 0 if loop.time() - began >= STABLE_CONNECTION_S else failures + 1
-            await asyncio.sleep(self._pause(failures))
+                log.exception("fleet_connection_exception", peer=self.name)
+            failures = 0 if loop.time() - started >= STABLE_CONNECTION_S else failures + 1
+            await asyncio.sleep(self._backoff_s(failures))
 
     async def _one_connection(self) -> None:
-        """From the attempt to the connection's end."""
+        """Connect, and run the connection to its end."""
         self._connecting = True
         try:
             stream = await TCPClient().connect(*self.address, timeout=CONNECT_TIMEOUT_S)
         except (TimeoutError, OSError, StreamClosedError):
-            self._forget_pending()
+            self._drop_pending()
             self._failed(self.name)
             return
         self._connection = self._attach(stream, self)
@@ -89,16 +101,20 @@
             await self._connection.run()
         finally:
             unopened = self._connecting and bool(self._pending)
-            self._forget_pending()
+            self._drop_pending()
             self._connection = None
         if unopened:
             self._failed(self.name)
 
-    def _forget_pending(self) -> None:
+    def _drop_pending(self) -> None:
         self._connecting = False
         self.dropped += len(self._pending)
-        self._pending, self._pending_bytes = [], 0
+        self._clear_pending()
+
+    def _clear_pending(self) -> None:
+        self._pending = []
+        self._pending_bytes = 0
 
-    def _pause(self, failures: int) -> float:
+    def _backoff_s(self, failures: int) -> float:
         longest = min(INITIAL_BACKOFF_S * 2 ** min(failures, 16), MAX_BACKOFF_S)
         return float(longest * self._random.uniform(0.5, 1.0))
--- a/badgerroad/fleet/errors.py
+++ b/badgerroad/fleet/errors.py
@@ -21,7 +21,7 @@
 
 
 class PeerRejectedError(Error):
-    """A connection's first message does not fit; the connection is closed."""
+    """A connection's first message is not acceptable; the connection is closed."""
 
     code = "peer"
     remedy = "compare the fleet's members in the operator's files of both sides"
--- a/badgerroad/fleet/extension.py
+++ b/badgerroad/fleet/extension.py
@@ -1,5 +1,8 @@
-"""Joins DispatcherLeases to a dispatcher: requests of teams with a quota wait here until they are known to be within it
-or over it, for at most the settings' ask_timeout_ms."""
+"""Joins DispatcherLeases to a dispatcher.
+
+Requests of teams with a quota wait here until it is decided whether they are within it, for at most the settings'
+ask_timeout_ms.
+"""
 
 from __future__ import annotations
 
@@ -22,164 +25,179 @@
 
 log = logs.get("badgerroad")
 
-FIGURES_INTERVAL_US = 10_000_000  # microseconds between two lines of figures
-DECISION_LIMIT_FACTOR = 2  # times the settings' ask_timeout_ms: then a request goes on whatever the rules do
-MAX_NAME_PREFIX_CHARS = 32  # characters of the dispatcher's own name in its name as a peer
+FIGURES_INTERVAL_US = 10_000_000  # between two log lines of statistics
+DECISION_LIMIT_FACTOR = 2  # times ask_timeout_ms: then a request proceeds even if the rules did not decide
+MAX_NAME_PREFIX_CHARS = 32  # of the dispatcher's name, in its name as a peer
 
 
 class PendingRequest(NamedTuple):
-    """A request that waits for its decision. `since`: when it was held, by the dispatcher's clock."""
+    """A request that waits for its decision. `queued_at`: microseconds of the dispatcher's clock."""
 
     request: OpenRequest
     event: interface.Request
     team: str
-    since: int
+    queued_at: int
     proceed: Callable[[interface.Request], None]
 
     def marked(self, now: int, over_quota: bool | None) -> interface.Request:
-        """What the module hears of it now."""
-        left = max(self.event.time_left - (now - self.since), 1)
-        return self.event._replace(time_left=left, over_quota=over_quota)
+        """The event for the decision module, with the remaining time and the quota decision."""
+        time_left = max(self.event.time_left - (now - self.queued_at), 1)
+        return self.event._replace(time_left=time_left, over_quota=over_quota)
 
 
 class QuotaExtension(DispatcherExtension):
-    """It owns the leases, the connections to controllers and its timers, from `start` to `close`."""
+    """Owns the leases, the connections to controllers and their timers, from `start` to `close`."""
 
     def __init__(self, wheel: TimerWheel, settings: FleetSettings, name: str, zone: str) -> None:
+        """`name`: of the dispatcher; `zone`: whose controller is asked first."""
         self.settings = settings
         self._wheel, self._clock = wheel, wheel.clock
-        random, incarnation = Random(os.urandom(16)), new_incarnation()
+        random = Random(os.urandom(16))
+        incarnation = new_incarnation()
         # Two processes of one dispatcher are two peers: neither's leases are the other's.
         peer_name = f"{name[:MAX_NAME_PREFIX_CHARS] or 'dispatcher'}-{os.getpid()}-{incarnation:x}"
         self.leases = DispatcherLeases(settings, peer_name, zone, incarnation, self._clock.now(), random)
         hello = Hello(VERSION, peer_name, zone, ROLE_DISPATCHER, incarnation)
-        addresses = {c.name: (c.host, c.port) for c in settings.controllers}
+        addresses = {controller.name: (controller.host, controller.port) for controller in settings.controllers}
         self.connections = Connections(hello, addresses, self, random)
         self._zone = zone
-        self._teams: dict[int, str] = {}  # those with a quota, by their place among the module's tenants
-        self._held: dict[int, PendingRequest] = {}
-        self._numbers: dict[bytes, int] = {}  # of what is held, by request id
+        self._teams: dict[int, str] = {}  # teams with a quota, by their position among the module's tenants
+        self._pending: dict[int, PendingRequest] = {}
+        self._numbers: dict[bytes, int] = {}  # numbers of pending requests by request id
         self._wakeup: Timer | None = None
-        self._over = False
+        self._is_closed = False
 
     def start(self) -> None:
-        """Connect to the zone's controller, and begin with the ticks."""
+        """Connect to the zone's controller and start the timers."""
         for controller in self.settings.controllers:
             if controller.zone == self._zone:
                 self.connections.connect(controller.name)
         self._tick()
-        self._wheel.after(FIGURES_INTERVAL_US, self._log_figures)
+        self._wheel.after(FIGURES_INTERVAL_US, self._log_statistics)
 
-    # What the dispatcher tells.
+    # Events of the dispatcher
 
     def admit(
         self, request: OpenRequest, event: interface.Request, proceed: Callable[[interface.Request], None]
     ) -> None:
+        """Call `proceed` with the event once its quota decision is known; at once for teams without a quota."""
         team = self._teams.get(event.tenant)
-        if team is None or self._over:
+        if team is None or self._is_closed:
             proceed(event)
             return
         now = self._clock.now()
-        self._held[request.number] = PendingRequest(request, event, team, now, proceed)
+        self._pending[request.number] = PendingRequest(request, event, team, now, proceed)
         self._numbers[request.forwarded.id] = request.number
-        self._enter(lambda: self.leases.request(now, request.number, team))
-        if request.number in self._held:
-            latest = DECISION_LIMIT_FACTOR * self.settings.ask_timeout_ms * US_PER_MS
-            self._wheel.after(latest, lambda: self._too_late(request.number))
+        self._perform(lambda: self.leases.request(now, request.number, team))
+        if request.number in self._pending:
+            limit = DECISION_LIMIT_FACTOR * self.settings.ask_timeout_ms * US_PER_MS
+            self._wheel.after(limit, lambda: self._decision_timed_out(request.number))
 
     def request_forgotten(self, request_id: bytes) -> None:
-        """Its client has left, or its time is over."""
+        """The client of a request disconnected, or its deadline passed."""
         number = self._numbers.pop(request_id, None)
-        if number is not None and self._held.pop(number, None) is not None:
+        if number is not None and self._pending.pop(number, None) is not None:
             self.leases.cancel(self._clock.now(), number)
 
-    def _too_late(self, number: int) -> None:
-        if number in self._held:
-            log.error("fleet: a request was not decided in time; it goes on as over its quota", number=number)
+    def _decision_timed_out(self, number: int) -> None:
+        if number in self._pending:
+            log.error("quota_decision_timed_out", number=number)
             self.leases.cancel(self._clock.now(), number)
             self._decided(number, True)
 
     def settings_changed(self, settings: interface.Settings) -> None:
-        self._teams = {n: t.name for n, t in enumerate(settings.tenants) if t.quota_per_s > 0}
-        places = {tenant.name: place for place, tenant in enumerate(settings.tenants)}
-        for number, held in self._held.items():
-            # A team that is not listed any more has a place beyond the list: the module knows no quota of it.
-            event = held.event._replace(tenant=places.get(held.team, len(settings.tenants)))
-            self._held[number] = held._replace(event=event)
-        if not settings.peers_allowed and not self._over:
-            log.error("fleet: the settings do not permit peers any more; quotas are this dispatcher's own from now on")
+        """Apply new settings: the teams with a quota, and whether peers are permitted."""
+        self._teams = {
+            position: tenant.name for position, tenant in enumerate(settings.tenants) if tenant.quota_per_s > 0
+        }
+        positions = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
+        for number, pending in self._pending.items():
+            # A team that is no longer listed gets a position beyond the list, for which the module has no quota.
+            event = pending.event._replace(tenant=positions.get(pending.team, len(settings.tenants)))
+            self._pending[number] = pending._replace(event=event)
+        if not settings.peers_allowed and not self._is_closed:
+            log.error("fleet_no_longer_permitted")
             self.close()
 
     def superseded(self) -> None:
-        """Another process of this dispatcher takes the new requests: it asks for leases of its own. What is held here
-        goes back, so that no request of a quota is held twice."""
-        self._enter(lambda: self.leases.release(self._clock.now()))
+        """Another process of this dispatcher takes the new requests and leases of its own.
+
+        The credit here is returned, so that no request of a quota is leased twice.
+        """
+        self._perform(lambda: self.leases.release(self._clock.now()))
 
-    # What the connections report.
+    # Events of connections
 
     def received(self, sender: Peer, message: Message) -> None:
-        self._enter(lambda: self.leases.receive(self._clock.now(), sender, message))
+        """Pass a message of a controller to the rules."""
+        self._perform(lambda: self.leases.receive(self._clock.now(), sender, message))
 
     def lost(self, name: str) -> None:
-        self._enter(lambda: self.leases.peer_lost(self._clock.now(), name))
+        """Pass the loss of a controller to the rules."""
+        self._perform(lambda: self.leases.peer_lost(self._clock.now(), name))
+
+    # Actions of the rules
 
-    # What the rules want.
+    def _perform(self, call: Callable[[], Sequence[Action]]) -> None:
+        """Call the rules and perform the actions that they return.
 
-    def _enter(self, call: Callable[[], Sequence[Action]]) -> None:
-        """Call the rules and do what they want. What breaks there must not end a connection or lose a request."""
+        An exception of the rules must not end a connection or lose a request.
+        """
         try:
             actions = call()
         except Exception:
-            log.exception("fleet: the rules broke")
+            log.exception("fleet_rules_exception")
             return
         for action in actions:
             if isinstance(action, SendMessage):
                 self.connections.send(action.to, action.message)
             else:
                 self._decided(action.request, action.over_quota)
-        self._arm()
+        self._schedule_wakeup()
 
     def _decided(self, number: int, over_quota: bool) -> None:
-        held = self._held.pop(number, None)
-        if held is not None:
-            self._numbers.pop(held.request.forwarded.id, None)
-            held.proceed(held.marked(self._clock.now(), over_quota))
-
-    def _arm(self) -> None:
-        """Be awake when a waiting request must be decided."""
-        due = self.leases.next_wakeup()
-        if due is None or self._over or self._wakeup is not None and self._wakeup.due_at <= due:
+        pending = self._pending.pop(number, None)
+        if pending is not None:
+            self._numbers.pop(pending.request.forwarded.id, None)
+            pending.proceed(pending.marked(self._clock.now(), over_quota))
+
+    def _schedule_wakeup(self) -> None:
+        """Set the timer for the next waiting request that must be decided."""
+        deadline = self.leases.next_wakeup()
+        if deadline is None or self._is_closed or self._wakeup is not None and self._wakeup.due_at <= deadline:
             return
         if self._wakeup is not None:
             self._wakeup.cancel()
-        self._wakeup = self._wheel.after(due - self._clock.now(), self._wake)
+        self._wakeup = self._wheel.after(deadline - self._clock.now(), self._wake)
 
     def _wake(self) -> None:
         self._wakeup = None
-        self._enter(lambda: self.leases.tick(self._clock.now()))
+        self._perform(lambda: self.leases.tick(self._clock.now()))
 
     def _tick(self) -> None:
-        if not self._over:
+        if not self._is_closed:
             self._wheel.after(self.settings.tick_ms * US_PER_MS, self._tick)
-            self._enter(lambda: self.leases.tick(self._clock.now()))
+            self._perform(lambda: self.leases.tick(self._clock.now()))
 
-    # Figures, and the end.
+    # Statistics, and the end
 
-    def _log_figures(self) -> None:
-        if not self._over:
-            self._wheel.after(FIGURES_INTERVAL_US, self._log_figures)
+    def _log_statistics(self) -> None:
+        if not self._is_closed:
+            self._wheel.after(FIGURES_INTERVAL_US, self._log_statistics)
             figures = self.leases.figures(self._clock.now())
-            log.info("fleet figures", **fields_of(figures), **fields_of(self.connections.traffic()))
+            log.info("fleet_statistics", **fields_of(figures), **fields_of(self.connections.traffic()))
 
     def close(self) -> None:
-        """What is held goes back. Requests that wait go on unmarked: the module's own reckoning decides."""
-        if self._over:
+        """Return the credit. Pending requests proceed without a decision: the module's own quota counts."""
+        if self._is_closed:
             return
         self.superseded()
-        self._over = True
+        self._is_closed = True
         if self._wakeup is not None:
             self._wakeup.cancel()
         self.connections.close()
-        all_held, self._held, self._numbers = self._held, {}, {}
-        for held in all_held.values():
-            held.proceed(held.marked(self._clock.now(), None))
+        undecided = list(self._pending.values())
+        self._pending = {}
+        self._numbers = {}
+        for pending in undecided:
+            pending.proceed(pending.marked(self._clock.now(), None))
--- a/badgerroad/fleet/joining.py
+++ b/badgerroad/fleet/joining.py
@@ -1,4 +1,4 @@
-"""Joins a dispatcher to the fleet that the operator's file names, or refuses it."""
+"""Joins a dispatcher to the fleet that the operator's file names, if the deployment's settings permit it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def zone_of(config: Config, fleet: Fleet) -> str:
-    """The table's, or the name of that in which the dispatcher's own settings place it."""
+    """The zone in the table, or else the zone of the dispatcher's own settings."""
     place = config.settings.zone
     return fleet.zone or (config.zones[place] if 0 <= place < len(config.zones) else "")
 
--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -1,13 +1,13 @@
-"""What controllers and dispatchers of a fleet tell each other: typed messages, each field bounded, as MessagePack.
+"""The messages between controllers and dispatchers of a fleet: typed, each field bounded, encoded as MessagePack.
 
 Counters (`granted`, `used`, `returned`, `carried`, `wanted`) are whole requests. `granted`, `used` and `returned` are
-totals since the session began and never fall, so a message that is lost, repeated or late does no harm. Durations end
-in `_ms`. A message is an array that begins with its kind; fields that a newer version appends are ignored.
+totals since the session began and never fall, so a lost, repeated or late message does no harm. Durations end in
+`_ms`. A message is an array that begins with its kind; fields that a newer version appends are ignored.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, Any, Literal, Union, get_args
+from typing import Annotated, Any, Literal, get_args
 
 import msgspec
 
@@ -35,7 +35,10 @@
 
 
 class Holding(msgspec.Struct, array_like=True, frozen=True):
-    """What a voter knows of a shard. `holder` is empty if no grant runs; `term`: the highest that it has seen."""
+    """What a voter knows of a shard.
+
+    `holder` is empty if no grant runs; `term`: the highest term seen.
+    """
 
     shard: Shard
     term: Number
@@ -45,8 +48,11 @@
 
 
 class QuotaNeed(msgspec.Struct, array_like=True, frozen=True):
-    """A zone's account of one team. `wanted`: the stock that it would like. `carried`: requests held unused when its
-    session of an earlier term ended; only in requests that open a session."""
+    """A zone's account of one team.
+
+    `wanted`: the stock that it would like. `carried`: unused requests at the end of its session of an earlier term;
+    only in requests that open a session.
+    """
 
     team: Name
     used: Number
@@ -56,7 +62,10 @@
 
 
 class QuotaCredit(msgspec.Struct, array_like=True, frozen=True):
-    """An owner's account of one team. `rate`: the quota in requests a second. Not `known`: the team has no quota."""
+    """An owner's account of one team.
+
+    `rate`: the quota in requests per second. Not `known`: the team has no quota.
+    """
 
     team: Name
     granted: Number
@@ -73,7 +82,7 @@
 
 
 class LeaseNeed(msgspec.Struct, array_like=True, frozen=True):
-    """A dispatcher's account of one team. `wanted`: how many requests it would like to hold."""
+    """A dispatcher's account of one team. `wanted`: how many requests it would like to lease."""
 
     team: Name
     used: Number
@@ -82,8 +91,10 @@
 
 
 class LeaseCredit(msgspec.Struct, array_like=True, frozen=True):
-    """A zone controller's account of one team at one dispatcher. `valid_ms` counts from the sending of the request
-    that is answered; 0 extends nothing."""
+    """A zone controller's account of one team at one dispatcher.
+
+    `valid_ms` counts from the sending of the request that is answered; 0 extends nothing.
+    """
 
     team: Name
     granted: Number
@@ -102,7 +113,7 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """First on each connection, in both directions. `incarnation` grows with each start of the process."""
+    """The first message on each connection, in both directions. `incarnation` grows with each start of the process."""
 
     version: Number
     name: Name
@@ -112,7 +123,7 @@
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A candidate asks a voter for ownership of `claims`, or with none for its table only."""
+    """A candidate requests ownership of `claims`; without claims it requests only the table of the voter."""
 
     sequence: Number
     claims: Claims
@@ -128,23 +139,29 @@
 
 
 class VoteRelease(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """The sender's grants of exactly these terms are free again."""
+    """Frees the sender's grants of exactly these terms."""
 
     claims: Claims
 
 
 class OwnerAnnouncement(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """The sender owns these shards and no others. Sent to all controllers when that changes and every renew_ms, so that
-    they know who is alive. `leaving`: the sender ends and takes no shard any more."""
+    """The sender owns these shards and no others.
+
+    Sent to all controllers when that changes and every renew_ms, so that they know which controllers are alive.
+    `leaving`: the sender shuts down and claims no more shards.
+    """
 
     claims: Claims
     leaving: bool = False
 
 
 class QuotaRequest(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """A zone controller asks an owner. `acknowledged`: the highest QuotaGrant.number heard in this session. `stamp`:
-    the newest heard from this owner, 0 if none. `lending`: the zone's reserve may be minted by the owner until
-    `stamp` + lending_ms. `needs`: teams that changed since the last answered request."""
+    """A zone controller requests credit from an owner.
+
+    `acknowledged`: the highest QuotaGrant.number received in this session. `stamp`: the newest received from this
+    owner, 0 if none. `lending`: the owner may mint the zone's reserve until `stamp` + lending_ms. `needs`: teams that
+    changed since the last request that was answered.
+    """
 
     shard: Shard
     term: Number
@@ -157,8 +174,11 @@
 
 
 class QuotaGrant(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """An owner answers, or (with `valid_ms` 0) tells of more credit without being asked. `sequence`: the highest
-    request heard. `stamp`: the owner's clock, opaque. `credits`: teams changed since the last acknowledged grant."""
+    """An owner replies, or (with `valid_ms` 0) grants more credit unasked.
+
+    `sequence`: the highest request received. `stamp`: the owner's clock, opaque. `credits`: teams changed since the
+    last acknowledged grant.
+    """
 
     shard: Shard
     term: Number
@@ -171,7 +191,7 @@
 
 
 class QuotaReturn(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """A zone controller that ends tells its totals; what it returns may be granted to others at once."""
+    """The totals of a zone controller that shuts down; what it returns may be granted to others at once."""
 
     shard: Shard
     term: Number
@@ -180,15 +200,18 @@
 
 
 class NotOwner(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """The sender doesn't own the shard in that term."""
+    """The sender does not own the shard in that term."""
 
     shard: Shard
     term: Number
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """A dispatcher asks its zone controller. `controller`: the incarnation of it that the totals belong to, 0 if none
-    is known; totals of another are ignored."""
+    """A dispatcher requests leases from a controller.
+
+    `controller`: the incarnation of it that the totals belong to, 0 if none is known; totals of another one are
+    ignored.
+    """
 
     sequence: Number
     needs: LeaseNeeds
@@ -196,38 +219,38 @@
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """A zone controller answers a dispatcher: one credit for each team of the request."""
+    """A zone controller replies to a dispatcher: one credit for each team of the request."""
 
     sequence: Number
     credits: LeaseCredits
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """A dispatcher tells its totals without asking for more. `controller` as in LeaseRequest."""
+    """The totals of a dispatcher that requests no more. `controller` as in LeaseRequest."""
 
     usages: Usages
     controller: Number = 0
 
 
-Message = Union[
-    Hello,
-    VoteRequest,
-    VoteReply,
-    VoteRelease,
-    OwnerAnnouncement,
-    QuotaRequest,
-    QuotaGrant,
-    QuotaReturn,
-    NotOwner,
-    LeaseRequest,
-    LeaseGrant,
-    LeaseReturn,
-]
+Message = (
+    Hello
+    | VoteRequest
+    | VoteReply
+    | VoteRelease
+    | OwnerAnnouncement
+    | QuotaRequest
+    | QuotaGrant
+    | QuotaReturn
+    | NotOwner
+    | LeaseRequest
+    | LeaseGrant
+    | LeaseReturn
+)
 TAGS = frozenset(kind.__struct_config__.tag for kind in get_args(Message))
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """A message of a kind that this version doesn't know."""
+    """A message of a kind that this version does not know."""
 
     tag: int
 
@@ -244,7 +267,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message without framing."""
+    """The message as bytes, without framing."""
     return _encoder.encode(message)
 
 
@@ -259,7 +282,7 @@
 
 
 def _unknown(data: bytes, cause: Exception) -> Unknown:
-    """Raises MalformedMessageError unless only the kind is unknown."""
+    """The unknown message in `data`. Raises MalformedMessageError unless only its kind is unknown."""
     try:
         fields: Any = msgspec.msgpack.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
--- a/badgerroad/fleet/peer_connection.py
+++ b/badgerroad/fleet/peer_connection.py
@@ -17,15 +17,17 @@
 log = logs.get("badgerroad")
 
 HELLO_TIMEOUT_S = 3.0  # for the first message, and for the rest of a message that has begun
-READ_BYTES = 16 * 1024  # handled in one turn of the loop
-MAX_OUTGOING_BYTES = 2 << 20  # that wait for a peer that does not read; more, and it is closed
-# A peer whose machine has vanished is given up after some 5 s, also on an idle connection.
-KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_PROBES = 2, 1, 3
+READ_BYTES = 16 * 1024  # read at once
+MAX_OUTGOING_BYTES = 2 << 20  # queued for a peer that does not read; beyond this the connection is closed
+# A peer whose machine has vanished is detected after some 5 s, also on an idle connection.
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 3
 UNACKNOWLEDGED_MS = 5_000
 
 
 class Traffic(msgspec.Struct):
-    """What has gone over a connection, or over all of a process."""
+    """Counters of one connection, or of all connections of a process."""
 
     messages_in: int = 0
     messages_out: int = 0
@@ -39,12 +41,13 @@
     full: int = 0  # connections closed: the peer did not read
 
     def add(self, other: Traffic) -> None:
+        """Add the counters of `other`."""
         for name in self.__struct_fields__:
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
 
 class PeerConnection:
-    """One connection. It owns its stream; `closed` is called once, whoever ended it."""
+    """One connection. It owns its stream; `closed` is called once, whichever side closed it."""
 
     def __init__(
         self,
@@ -54,49 +57,51 @@
         received: Callable[[PeerConnection, Message], None],
         closed: Callable[[PeerConnection], None],
     ) -> None:
-        """`hello`: what this side says of itself. `opened` may raise PeerRejectedError at what the other side says."""
-        self.stream, self._hello = stream, hello
-        self.peer: Hello | None = None  # until it has said who it is
+        """`hello`: sent to the other side. `opened` may raise PeerRejectedError for the Hello received."""
+        self.stream = stream
+        self._hello = hello
+        self.peer: Hello | None = None  # None until its Hello is accepted
         self.traffic = Traffic()
         self._opened, self._received, self._closed = opened, received, closed
         self._frames = FrameReader()
         self._deadline: asyncio.TimerHandle | None = None
-        self._over = False
+        self._is_closed = False
         stream.max_write_buffer_size = MAX_OUTGOING_BYTES
 
     async def run(self) -> None:
-        """From this side's Hello until the connection ends."""
+        """Run from this side's Hello until the connection ends."""
         try:
             _prepare(self.stream)
             self._expect_frame()
             self.send(frame(encode(self._hello)))
-            while not self._over:
+            while not self._is_closed:
                 data = await self.stream.read_bytes(READ_BYTES, partial=True)
                 self._read(data)
         except StreamClosedError:
             self.traffic.broken += self._frames.unfinished
-        except FrameError as e:
+        except FrameError as error:
             self.traffic.broken += 1
-            log.warning("fleet: connection closed", peer=self.name, **e.fields)
-        except PeerRejectedError as e:
+            log.warning("fleet_connection_closed", peer=self.name, **error.fields)
+        except PeerRejectedError as error:
             self.traffic.rejected += 1
-            log.warning("fleet: connection closed", peer=self.name, **e.fields)
+            log.warning("fleet_connection_closed", peer=self.name, **error.fields)
         finally:
             self.close()
 
     @property
     def name(self) -> str:
+        """The peer's name; empty before its Hello."""
         return self.peer.name if self.peer is not None else ""
 
     def send(self, framed: bytes) -> None:
-        """Queue it for the socket. A peer that has not read MAX_OUTGOING_BYTES is closed."""
-        if self._over:
+        """Queue a frame for the socket. A peer that lets MAX_OUTGOING_BYTES queue up is disconnected."""
+        if self._is_closed:
             return
         try:
             written = self.stream.write(framed)
         except StreamBufferFullError:
             self.traffic.full += 1
-            log.warning("fleet: connection closed", peer=self.name, why="it does not read")
+            log.warning("fleet_connection_closed", peer=self.name, why="peer does not read")
             self.close()
             return
         except StreamClosedError:
@@ -108,13 +113,14 @@
 
     @property
     def flushed(self) -> bool:
-        """Has all of it gone to the socket?"""
-        return self._over or not self.stream.writing()
+        """Whether all frames have been written to the socket."""
+        return self._is_closed or not self.stream.writing()
 
     def close(self) -> None:
-        if self._over:
+        """Close the connection; further calls do nothing."""
+        if self._is_closed:
             return
-        self._over = True
+        self._is_closed = True
         if self._deadline is not None:
             self._deadline.cancel()
         self.stream.close()
@@ -129,29 +135,29 @@
         if self._frames.unfinished and self._deadline is None:
             self._expect_frame()
         for payload in payloads:
-            if not self._over:
+            if not self._is_closed:
                 self._handle(payload)
 
     def _expect_frame(self) -> None:
-        self._deadline = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self._too_silent)
+        self._deadline = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self._frame_timed_out)
 
-    def _too_silent(self) -> None:
+    def _frame_timed_out(self) -> None:
         self.traffic.silent += 1
-        log.warning("fleet: connection closed", peer=self.name, why="no whole message in time")
+        log.warning("fleet_connection_closed", peer=self.name, why="no complete message in time")
         self.close()
 
     def _handle(self, payload: bytes) -> None:
         self.traffic.messages_in += 1
         message = _decoded(payload)
         if self.peer is None:
-            self._greet(message)
+            self._accept_hello(message)
         elif message is None or isinstance(message, Hello):
             self.traffic.unknown += 1
         else:
             self._received(self, message)
 
-    def _greet(self, message: Message | None) -> None:
-        """Raises PeerRejectedError."""
+    def _accept_hello(self, message: Message | None) -> None:
+        """Handle the first message. Raises PeerRejectedError."""
         if not isinstance(message, Hello):
             raise PeerRejectedError("its first message is no Hello")
         self.peer = message
@@ -163,7 +169,7 @@
 
 
 def _decoded(payload: bytes) -> Message | None:
-    """None: of an unknown kind, or malformed."""
+    """The message in `payload`; None if its kind is unknown or it is malformed."""
     try:
         message = decode(payload)
     except MalformedMessageError:
@@ -172,13 +178,13 @@
 
 
 def _ignore_result(written: asyncio.Future[None]) -> None:
-    """The connection's end is seen by the reader; the write's own exception must not go to the log."""
+    """Retrieve the exception of a write: the reader handles the end of the connection."""
     if not written.cancelled():
         written.exception()
 
 
 def _prepare(stream: IOStream) -> None:
-    """Raises StreamClosedError: the other side may have closed at once."""
+    """Set the socket options. Raises StreamClosedError, since the other side may have closed at once."""
     sock: socket.socket | None = stream.socket
     if sock is None:
         raise StreamClosedError()
--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -1,4 +1,4 @@
-"""What all controllers and dispatchers of a fleet must agree on. Durations in `_ms` milliseconds, in `_s` seconds."""
+"""The settings on which all controllers and dispatchers of a fleet must agree. Durations end in `_ms` or `_s`."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 
 class FleetSettingsError(Error, ValueError):
-    """The fleet's settings cannot be. `field` names the one."""
+    """A value of the fleet's settings is invalid. `field` names it."""
 
     code = "fleet-settings"
     remedy = "put right the named field in the [fleet] table; it must be the same on all controllers and dispatchers"
 
     def __init__(self, field: str, reason: str) -> None:
+        """`field`: its name in the fleet table; `reason`: why the value is invalid."""
         super().__init__(f"fleet.{field}: {reason}")
         self.field = field
 
@@ -45,8 +46,11 @@
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, dict=True):
-    """`clock_margin`: leases are counted longer by this share where they were granted. Each machine's clock may be
-    wrong in rate by r, with (1 + r) / (1 - r) - 1 within the margin: by 1% either way for 0.0203 and up."""
+    """All settings of the rules.
+
+    `clock_margin`: the granting side counts leases longer by this share. The clock of each machine may be wrong in
+    rate by r, where (1 + r) / (1 - r) - 1 is within the margin: 1% either way from 0.0203 on.
+    """
 
     controllers: tuple[Controller, ...]
     shards: Annotated[int, msgspec.Meta(ge=1, lt=MAX_LIST)] = 19
@@ -63,43 +67,51 @@
     tick_ms: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 50
 
     def check(self) -> None:
-        """Raises FleetSettingsError, which names the field."""
+        """Check the settings. Raises FleetSettingsError, which names the field."""
         self._check_controllers()
         self._check_voters()
         self._check_durations()
 
     @cached_property
     def zones(self) -> tuple[str, ...]:
+        """The zone of each controller."""
         return tuple(controller.zone for controller in self.controllers)
 
     @cached_property
     def voters(self) -> tuple[str, ...]:
+        """The names of the controllers that vote."""
         return tuple(controller.name for controller in self.controllers if controller.voter)
 
     @cached_property
     def names(self) -> tuple[str, ...]:
+        """The names of all controllers."""
         return tuple(controller.name for controller in self.controllers)
 
     @cached_property
     def by_name(self) -> dict[str, Controller]:
+        """The controllers by name."""
         return {controller.name: controller for controller in self.controllers}
 
     @property
     def majority(self) -> int:
+        """How many voters are a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def carry_ms(self) -> int:
-        """So long after the end of its session (by its own clock) a zone may carry unused credit to the next owner;
-        shorter than any term's length, so it reaches the next owner or none."""
+        """How long after the end of its session (by its own clock) a zone may carry unused credit to the next owner.
+
+        Shorter than any term, so that the credit reaches the next owner or none.
+        """
         return int(self.ownership_lease_ms * CARRY_SHARE)
 
     @property
     def claim_ms(self) -> int:
-        """So long a candidate waits for votes."""
+        """How long a candidate waits for votes."""
         return max(1, int(self.ownership_lease_ms * CLAIM_SHARE))
 
     def shard_of(self, team: str) -> int:
+        """The shard of a team."""
         return crc32(team.encode()) % self.shards
 
     def depth(self, quota: float) -> float:
@@ -109,11 +121,11 @@
         return self.requests_per_zone * len(self.controllers) + self.burst_s * quota
 
     def longer(self, duration: int) -> int:
-        """`duration`, of any unit, as counted by the one that granted it."""
+        """`duration`, of any unit, as counted by the side that granted it."""
         return int(duration * (1 + self.clock_margin)) + 1
 
     def shorter(self, duration: int) -> int:
-        """The longest duration that may be granted if one has `duration` left oneself."""
+        """The longest duration that may be granted by a side that has `duration` left itself."""
         return max(0, int(duration / (1 + self.clock_margin)) - 1)
 
     def _check_controllers(self) -> None:
--- a/badgerroad/fleet/table.py
+++ b/badgerroad/fleet/table.py
@@ -1,4 +1,4 @@
-"""The operator's `[fleet]` table, the members file and the quotas file, to what the rules take."""
+"""Decodes the operator's `[fleet]` table, the members file and the quotas file into the types of the rules."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 
 TeamName = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Rate = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # requests a second over all dispatchers
-IDENTITY_FIELDS = frozenset(("name", "zone", "members", "quotas", "controllers"))  # of the table; all else is a setting
+IDENTITY_FIELDS = frozenset(
+    ("name", "zone", "members", "quotas", "controllers")
+)  # fields of the table that are no FleetSettings of the same name
 
 
 class Members(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -24,23 +26,26 @@
 
 
 def settings_of(table: Fleet, file: str) -> FleetSettings:
-    """The rules' settings. `file`: that the table is from. Raises BadConfig, whose one line names file and field."""
-    told = {name: value for name, value in msgspec.structs.asdict(table).items() if value is not None}
-    times = {name: value for name, value in told.items() if name not in IDENTITY_FIELDS}
+    """The settings of the rules. `file`: the file that contains the table.
+
+    Raises BadConfig, whose one line names file and field.
+    """
+    given = {name: value for name, value in msgspec.structs.asdict(table).items() if value is not None}
+    tunables = {name: value for name, value in given.items() if name not in IDENTITY_FIELDS}
     controllers = [msgspec.structs.asdict(controller) for controller in _controllers(table, file)]
     try:
-        settings = msgspec.convert({**times, "controllers": controllers}, FleetSettings)
+        settings = msgspec.convert({**tunables, "controllers": controllers}, FleetSettings)
         settings.check()
-    except msgspec.ValidationError as e:
-        reason, _, where = str(e).partition(" - at `")
-        raise BadConfig(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from e
-    except FleetSettingsError as e:
-        raise BadConfig(f"{file}: {e}") from e
+    except msgspec.ValidationError as error:
+        reason, _, where = str(error).partition(" - at `")
+        raise BadConfig(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from error
+    except FleetSettingsError as error:
+        raise BadConfig(f"{file}: {error}") from error
     return settings
 
 
 def _controllers(table: Fleet, file: str) -> tuple[FleetController, ...]:
-    """Raises BadConfig."""
+    """The controllers of the table or of its members file. Raises BadConfig."""
     if table.members and table.controllers:
         raise BadConfig(f"{file}: fleet.members: beside a list of controllers; one of the two is needed")
     if table.members:
@@ -49,14 +54,14 @@
 
 
 def controller_of(table: Fleet, settings: FleetSettings, file: str) -> Controller:
-    """The one that this process is to be. Raises BadConfig."""
+    """The controller that this process runs as. Raises BadConfig."""
     if table.name not in settings.by_name:
         raise BadConfig(f"{file}: fleet.name: none of the controllers: {table.name!r}")
     return settings.by_name[table.name]
 
 
 def quotas_of(table: Fleet) -> dict[str, float]:
-    """What the quotas file holds; nothing where there is none. Raises BadConfig."""
+    """The quotas file: requests per second by team; empty if there is none. Raises BadConfig."""
     if not table.quotas:
         return {}
     listed = toml_files.decode(Path(table.quotas), dict[str, Any], BadConfig)
@@ -64,19 +69,19 @@
 
 
 def _team(file: str, team: str) -> str:
-    """Raises BadConfig."""
+    """A checked team name. Raises BadConfig."""
     try:
         return msgspec.convert(team, TeamName)
-    except msgspec.ValidationError as e:
-        raise BadConfig(f"{file}: {team!r}: {e}") from e
+    except msgspec.ValidationError as error:
+        raise BadConfig(f"{file}: {team!r}: {error}") from error
 
 
 def _rate(file: str, team: str, value: Any) -> float:
-    """Raises BadConfig."""
+    """A checked rate in requests per second. Raises BadConfig."""
     try:
         return msgspec.convert(value, Rate)
-    except msgspec.ValidationError as e:
-        raise BadConfig(f"{file}: {team}: {e}") from e
+    except msgspec.ValidationError as error:
+        raise BadConfig(f"{file}: {team}: {error}") from error
 
 
 def fields_of(figures: msgspec.Struct) -> dict[str, Any]:
--- a/tests/fleet/test_controller_process.py
+++ b/tests/fleet/test_controller_process.py
@@ -88,7 +88,7 @@
         await fleet.start()
         for name, program in fleet.running.items():
             for other in {*fleet.running} - {name}:
-                await program.says(f"fleet: connected .*peer={other} ")
+                await program.says(f"fleet_peer_connected .*peer={other} ")
         for name, program in fleet.running.items():
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGTERM)
@@ -104,13 +104,13 @@
         program = fleet.running["c0"]
         fleet.write_quotas({"a": 5, "b": -2})
         program.process.send_signal(signal.SIGHUP)
-        line = await program.says("reload failed")
+        line = await program.says("reload_failed")
         assert "quotas.toml" in line
         assert "code=config" in line
-        assert not [line for line in program.lines if " info reload " in line]
+        assert not [line for line in program.lines if " info configuration_reloaded " in line]
         fleet.write_quotas({"a": 5, "b": 2.5})
         program.process.send_signal(signal.SIGHUP)
-        await program.says(r" reload .*teams=2")
+        await program.says(r" configuration_reloaded .*teams=2")
         assert program.process.returncode is None
 
 
@@ -122,8 +122,8 @@
         with (tmp_path / "members.toml").open("a") as members:
             members.write(MEMBER.replace('"c0"', '"c9"').replace('"z"', '"z9"').replace('"r"', '"r9"'))
         fleet.running["c0"].process.send_signal(signal.SIGHUP)
-        await fleet.running["c0"].says(r" reload .*teams=1")
-        said = [line for line in fleet.running["c0"].lines if "takes effect at the next start" in line]
+        await fleet.running["c0"].says(r" configuration_reloaded .*teams=1")
+        said = [line for line in fleet.running["c0"].lines if "setting_needs_restart" in line]
         assert {re.search(r"field=(\S+)", line)[1] for line in said} == {"fleet.controllers", "fleet.renew_ms"}
 
 
@@ -148,7 +148,7 @@
 async def test_figures_are_logged(tmp_path):
     async with Controllers(tmp_path, 1) as fleet:
         await fleet.start("c0")
-        line = await fleet.running["c0"].says("fleet figures")
+        line = await fleet.running["c0"].says("fleet_statistics")
         for field in ("owned_shards", "messages_in", "messages_out", "bytes_in", "bytes_out", "unknown", "cpu_s"):
             assert f" {field}=" in line
 
@@ -158,7 +158,7 @@
 
 def owned(program, since):
     """How many shards the last line of figures says, from the `since`-th line of the log on."""
-    told = [re.search(r"owned_shards=(\d+)", line) for line in program.lines[since:] if "fleet figures" in line]
+    told = [re.search(r"owned_shards=(\d+)", line) for line in program.lines[since:] if "fleet_statistics" in line]
     return int(told[-1][1]) if told else 0
 
 
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -189,7 +189,7 @@
     """A dispatcher process that is ready."""
     config, operator = program_files(fleet, w)
     program = await Program.start("serve", "--operator", str(operator), PROXY_CONFIG=str(config), **environment)
-    await program.says("fleet: connected")
+    await program.says("fleet_peer_connected")
     return program
 
 
