--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -16,7 +16,7 @@
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
-from badgerroad.errors import CannotListen
+from badgerroad.errors import ListenError
 from badgerroad.fleet.dialer import Dialer
 from badgerroad.fleet.errors import PeerRejectedError
 from badgerroad.fleet.framing import frame
@@ -24,7 +24,8 @@
 from badgerroad.fleet.peer_connection import PeerConnection, Traffic
 from badgerroad.fleet.rules.actions import Peer
 from badgerroad.net import logs
-from badgerroad.net.connection import Address, spawn
+from badgerroad.net.background_tasks import spawn
+from badgerroad.net.connection import Address
 
 log = logs.get("badgerroad")
 
@@ -82,12 +83,12 @@
     # Peers
 
     def listen(self, address: Address) -> Address:
-        """Accept connections at `address` (port 0: any free port); return the address. Raises CannotListen."""
+        """Accept connections at `address` (port 0: any free port); return the address. Raises ListenError."""
         self._listener = Listener(self._accept)
         try:
             self._listener.listen(address[1], address[0])
         except OSError as error:
-            raise CannotListen("fleet.controllers", address, error) from error
+            raise ListenError("fleet.controllers", address, error) from error
         sock = next(iter(self._listener._sockets.values()))
         host, port = sock.getsockname()[:2]
         return host, port
--- a/badgerroad/fleet/controller.py
+++ b/badgerroad/fleet/controller.py
@@ -13,8 +13,8 @@
 from random import Random
 
 from badgerroad import startup_signals
-from badgerroad.config import BadConfig
-from badgerroad.errors import CannotListen
+from badgerroad.config import ConfigError
+from badgerroad.errors import ListenError
 from badgerroad.fleet import table
 from badgerroad.fleet.connections import ROLE_CONTROLLER, Connections, new_incarnation
 from badgerroad.fleet.messages import VERSION, Hello, Message
@@ -61,7 +61,7 @@
         self._stopping = asyncio.Event()
 
     def start(self) -> None:
-        """Listen, and connect to other controllers. Raises CannotListen."""
+        """Listen, and connect to other controllers. Raises ListenError."""
         self.connections.listen((self.me.host, self.me.port))
         self.connections.connect_controllers()
 
@@ -171,7 +171,7 @@
             operator, fleet = read_operator(self._file)
             settings = table.settings_of(fleet, self._file)
             quotas = table.quotas_of(fleet)
-        except BadConfig as error:
+        except ConfigError as error:
             log.error("reload_failed", **error.fields)
             return
         self._log_settings_that_need_restart(fleet, settings)
@@ -190,10 +190,10 @@
 
 
 def read_operator(operator_file: str) -> tuple[Operator, Fleet]:
-    """Read the operator's file. Raises BadConfig, also where the file has no `[fleet]` table."""
+    """Read the operator's file. Raises ConfigError, also where the file has no `[fleet]` table."""
     operator = load(operator_file)
     if operator.fleet is None:
-        raise BadConfig(f"{operator_file}: fleet: missing; a controller needs this table")
+        raise ConfigError(f"{operator_file}: fleet: missing; a controller needs this table")
     return operator, operator.fleet
 
 
@@ -203,11 +203,11 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, controller.stop)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
-    for _ in range(startup_signals.hups):
+    for _ in range(startup_signals.reload_count):
         loop.call_soon(reloader.reload)
     try:
         controller.start()
-    except CannotListen as error:
+    except ListenError as error:
         controller.connections.close()
         print(f"badgerroad: {error.line}", file=sys.stderr)
         return ExitCode.CANNOT_LISTEN
@@ -226,7 +226,7 @@
         settings = table.settings_of(fleet, operator_file)
         quotas = table.quotas_of(fleet)
         me = table.controller_of(fleet, settings, operator_file)
-    except BadConfig as error:
+    except ConfigError as error:
         print(f"badgerroad: {error.line}", file=sys.stderr)
         return ExitCode.BAD_CONFIG
     logs.configure(operator.log, debug=verbose, controller=me.name)
--- a/badgerroad/fleet/joining.py
+++ b/badgerroad/fleet/joining.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from badgerroad.config import BadConfig, Config
+from badgerroad.config import Config, ConfigError
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.fleet import table
 from badgerroad.fleet.errors import FleetNotPermittedError
@@ -16,14 +16,14 @@
 def check(config: Config, fleet: Fleet, file: str) -> FleetSettings:
     """Check the fleet table of the operator's file and return the fleet's settings.
 
-    Raises FleetNotPermittedError where the deployment's settings do not permit peers, and BadConfig.
+    Raises FleetNotPermittedError where the deployment's settings do not permit peers, and ConfigError.
     """
     if not config.settings.peers_allowed:
         raise FleetNotPermittedError(f"{file}: fleet: the settings do not permit it (permissions.peers)")
     settings = table.settings_of(fleet, file)
     zone = zone_of(config, fleet)
     if zone not in settings.zones:
-        raise BadConfig(f"{file}: fleet.zone: no controller is in this dispatcher's zone, {zone!r}")
+        raise ConfigError(f"{file}: fleet.zone: no controller is in this dispatcher's zone, {zone!r}")
     return settings
 
 
@@ -36,7 +36,7 @@
 def join(dispatcher: Dispatcher, fleet: Fleet, file: str) -> QuotaExtension:
     """Attach the quota extension to the dispatcher and start it.
 
-    Raises FleetNotPermittedError and BadConfig, before anything is changed.
+    Raises FleetNotPermittedError and ConfigError, before anything is changed.
     """
     settings = check(dispatcher.config, fleet, file)
     zone = zone_of(dispatcher.config, fleet)
--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 
 VERSION = 1
 MAX_NAME = 64
@@ -255,7 +255,7 @@
     tag: int
 
 
-class MalformedMessageError(Error, ValueError):
+class MalformedMessageError(BadgerroadError, ValueError):
     """Bytes that are no message of this protocol."""
 
     code = "fleet-message"
--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from badgerroad.errors import Error
+from badgerroad.errors import BadgerroadError
 from badgerroad.fleet.messages import MAX_LIST, MAX_NAME
 
 US_PER_MS = 1000  # in a millisecond
@@ -22,7 +22,7 @@
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 
 
-class FleetSettingsError(Error, ValueError):
+class FleetSettingsError(BadgerroadError, ValueError):
     """A value of the fleet's settings is invalid. `field` names it."""
 
     code = "fleet-settings"
--- a/badgerroad/fleet/table.py
+++ b/badgerroad/fleet/table.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from badgerroad import toml_files
-from badgerroad.config import BadConfig
+from badgerroad.config import ConfigError
 from badgerroad.fleet.settings import Controller, FleetSettings, FleetSettingsError
 from badgerroad.operator.schema import Fleet, FleetController
 
@@ -28,7 +28,7 @@
 def settings_of(table: Fleet, file: str) -> FleetSettings:
     """The settings of the rules. `file`: the file that contains the table.
 
-    Raises BadConfig, whose one line names file and field.
+    Raises ConfigError, whose one line names file and field.
     """
     given = {name: value for name, value in msgspec.structs.asdict(table).items() if value is not None}
     tunables = {name: value for name, value in given.items() if name not in IDENTITY_FIELDS}
@@ -38,50 +38,50 @@
         settings.check()
     except msgspec.ValidationError as error:
         reason, _, where = str(error).partition(" - at `")
-        raise BadConfig(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from error
+        raise ConfigError(f"{file}: fleet.{where.rstrip('`').lstrip('$.')}: {reason}") from error
     except FleetSettingsError as error:
-        raise BadConfig(f"{file}: {error}") from error
+        raise ConfigError(f"{file}: {error}") from error
     return settings
 
 
 def _controllers(table: Fleet, file: str) -> tuple[FleetController, ...]:
-    """The controllers of the table or of its members file. Raises BadConfig."""
+    """The controllers of the table or of its members file. Raises ConfigError."""
     if table.members and table.controllers:
-        raise BadConfig(f"{file}: fleet.members: beside a list of controllers; one of the two is needed")
+        raise ConfigError(f"{file}: fleet.members: beside a list of controllers; one of the two is needed")
     if table.members:
-        return toml_files.decode(Path(table.members), Members, BadConfig).controllers
+        return toml_files.decode(Path(table.members), Members, ConfigError).controllers
     return table.controllers
 
 
 def controller_of(table: Fleet, settings: FleetSettings, file: str) -> Controller:
-    """The controller that this process runs as. Raises BadConfig."""
+    """The controller that this process runs as. Raises ConfigError."""
     if table.name not in settings.by_name:
-        raise BadConfig(f"{file}: fleet.name: none of the controllers: {table.name!r}")
+        raise ConfigError(f"{file}: fleet.name: none of the controllers: {table.name!r}")
     return settings.by_name[table.name]
 
 
 def quotas_of(table: Fleet) -> dict[str, float]:
-    """The quotas file: requests per second by team; empty if there is none. Raises BadConfig."""
+    """The quotas file: requests per second by team; empty if there is none. Raises ConfigError."""
     if not table.quotas:
         return {}
-    listed = toml_files.decode(Path(table.quotas), dict[str, Any], BadConfig)
+    listed = toml_files.decode(Path(table.quotas), dict[str, Any], ConfigError)
     return {_team(table.quotas, team): _rate(table.quotas, team, value) for team, value in listed.items()}
 
 
 def _team(file: str, team: str) -> str:
-    """A checked team name. Raises BadConfig."""
+    """A checked team name. Raises ConfigError."""
     try:
         return msgspec.convert(team, TeamName)
     except msgspec.ValidationError as error:
-        raise BadConfig(f"{file}: {team!r}: {error}") from error
+        raise ConfigError(f"{file}: {team!r}: {error}") from error
 
 
 def _rate(file: str, team: str, value: Any) -> float:
-    """A checked rate in requests per second. Raises BadConfig."""
+    """A checked rate in requests per second. Raises ConfigError."""
     try:
         return msgspec.convert(value, Rate)
     except msgspec.ValidationError as error:
-        raise BadConfig(f"{file}: {team}: {error}") from error
+        raise ConfigError(f"{file}: {team}: {error}") from error
 
 
 def fields_of(figures: msgspec.Struct) -> dict[str, Any]:
--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -14,9 +14,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from badgerroad.emulator.live.wire import Caller, Gone, Pool
+from badgerroad.emulator.live.wire import Caller, CallFailedError, Pool
 from badgerroad.emulator.model.kernel import Draws
-from badgerroad.errors import BadArgument
+from badgerroad.errors import ArgumentError
 from badgerroad.net import http1
 
 LONGEST = 600.0  # seconds; a load is bounded
@@ -27,6 +27,8 @@
 
 
 class Arrival(NamedTuple):
+    """One request to send."""
+
     at: float  # seconds from the start
     cls: str
     work_ms: float  # 0: no hint
@@ -38,14 +40,15 @@
     for part in text.split(","):
         name, equals, share = part.partition("=")
         if not name or not equals or not re.match(r"\d+(\.\d+)?\Z", share):
-            raise BadArgument(f"--classes: name=share expected: {part!r}")
+            raise ArgumentError(f"--classes: name=share expected: {part!r}")
         out.append((name.strip(), float(share)))
     if sum(s for _, s in out) <= 0:
-        raise BadArgument("--classes: shares must be above 0 together")
+        raise ArgumentError("--classes: shares must be above 0 together")
     return out
 
 
 def poisson(rate: float, seconds: float, seed: int, classes: list[tuple[str, float]]) -> list[Arrival]:
+    """Poisson arrivals, `rate` a second for `seconds`."""
     draws, at, out = Draws(seed, "load"), 0.0, []
     while (at := at + draws.exponential(1 / rate)) < seconds:
         out.append(Arrival(at, classes[draws.index([s for _, s in classes])][0], 0.0))
@@ -62,7 +65,7 @@
         try:
             out.append(Arrival(float(cells[0]), cells[1], float(cells[2]) if len(cells) > 2 else 0.0))
         except (ValueError, IndexError) as e:
-            raise BadArgument(f"{path}: line {number}: at_s, class[, work_ms] expected") from e
+            raise ArgumentError(f"{path}: line {number}: at_s, class[, work_ms] expected") from e
     return sorted(out)
 
 
@@ -70,10 +73,12 @@
     """What one class got, with its latencies in microseconds."""
 
     def __init__(self) -> None:
+        """Nothing sent yet."""
         self.counts: dict[str, int] = {}
         self.histogram = HdrHistogram(1, TOP_US, 3)
 
     def add(self, what: str, took: int) -> None:
+        """Count one answer; `took` in microseconds from the intended sending."""
         self.counts[what] = self.counts.get(what, 0) + 1
         self.histogram.record_value(min(max(took, 1), TOP_US))
 
@@ -82,7 +87,7 @@
     """Loopback only: this is a tool for one's own machine. Raises ValueError."""
     match = re.match(r"http://(127(?:\.\d{1,3}){3}|localhost):(\d{1,5})/?\Z", url)
     if not match:
-        raise BadArgument(f"URL: http://127.0.0.1:PORT expected: {url!r}")
+        raise ArgumentError(f"URL: http://127.0.0.1:PORT expected: {url!r}")
     return ("127.0.0.1" if match[1] == "localhost" else match[1]), int(match[2])
 
 
@@ -114,7 +119,7 @@
             what = "unanswered"
             for caller in held:
                 caller.close()
-        except Gone as e:
+        except CallFailedError as e:
             what = str(e)
         outcomes.setdefault(a.cls, Outcome()).add(what, int((loop.time() - due) * 1e6))
 
@@ -153,14 +158,15 @@
     trace_file: str | None,
     json_file: str | None,
 ) -> int:
+    """Run `badgerroad load`; returns the exit code."""
     targets = [address_of(u) for u in urls]
     if not 0 < rate <= MOST_RATE:
-        raise BadArgument(f"--rate: must be above 0 and at most {MOST_RATE:.0f}")
+        raise ArgumentError(f"--rate: must be above 0 and at most {MOST_RATE:.0f}")
     if not 0 < seconds <= LONGEST:
-        raise BadArgument(f"--seconds: must be above 0 and at most {LONGEST:.0f}")
+        raise ArgumentError(f"--seconds: must be above 0 and at most {LONGEST:.0f}")
     arrivals = trace(Path(trace_file)) if trace_file else poisson(rate, seconds, seed, classes_of(classes))
     if arrivals and arrivals[-1].at > LONGEST:
-        raise BadArgument(f"--trace: must end within {LONGEST:.0f} s")
+        raise ArgumentError(f"--trace: must end within {LONGEST:.0f} s")
     began = time.perf_counter()
     outcomes = asyncio.run(send(targets, arrivals, f"l{seed:x}{time.time_ns():x}"))
     data = msgspec.json.format(msgspec.json.encode(summary(outcomes, time.perf_counter() - began)), indent=1)
