--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -17,7 +17,7 @@
 MAX_NAME = 64
 MAX_LIST = 4096
 MAX_MESSAGE_BYTES = 1 << 20  # bytes of one encoded message
-UNKNOWN_SESSION = 0  # in a QuotaRequest: no number of a session of this term has been heard yet
+UNKNOWN_SESSION = 0  # in a QuotaRequest: no number of a session of this term has been received yet
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
 OptionalName = Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
--- a/badgerroad/fleet/rules/team_leases.py
+++ b/badgerroad/fleet/rules/team_leases.py
@@ -6,7 +6,7 @@
 from badgerroad.fleet.rules.credits import HolderCredit
 from badgerroad.fleet.rules.demand import Demand
 
-PREFETCH_S = 0.5  # so many seconds of recent demand are held in advance
+PREFETCH_S = 0.5  # so many seconds of recent demand are leased in advance
 INHERITED = Peer("", 0)  # the account of what was taken over from another process
 
 
--- a/tests/fleet/test_broken_rules.py
+++ b/tests/fleet/test_broken_rules.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(DIRECTED))
-def test_whole_rules_hold_in_the_directed_schedules(name: str) -> None:
+def test_unbroken_rules_pass_the_directed_schedules(name: str) -> None:
     for seed in range(5):
         findings = run_schedule(DIRECTED[name](seed)).findings
         assert not findings, "\n".join(str(violation) for violation in findings.first.values())
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -125,7 +125,7 @@
 
 
 @asynchronous
-async def test_a_dispatchers_first_message_waits_for_the_connection_and_one_to_nobody_is_told_as_lost():
+async def test_a_dispatchers_first_message_is_queued_for_the_connection_and_one_to_an_unreachable_peer_is_reported_lost():
     async with Network("a", "b") as network:
         a, dispatcher = network.controller("a"), network.node("d")
         dispatcher.connections.send("a", A)
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\0", frame(encode(A))[:-1]])
-def test_who_says_nothing_or_half_a_message_is_closed(data, monkeypatch):
+def test_a_peer_that_sends_nothing_or_half_a_message_is_disconnected(data, monkeypatch):
     monkeypatch.setattr(peer_connection, "HELLO_TIMEOUT_S", 0.2)
 
     @asynchronous
@@ -219,7 +219,7 @@
 
 
 @asynchronous
-async def test_after_the_hello_too_half_a_message_is_not_waited_for_for_ever():
+async def test_after_the_hello_an_incomplete_message_times_out():
     async with Network("a") as network:
         a = network.controller("a")
         reader, writer = await asyncio.open_connection(*network.addresses["a"])
@@ -231,7 +231,7 @@
 
 
 @asynchronous
-async def test_unknown_and_malformed_messages_are_counted_and_the_connection_goes_on():
+async def test_unknown_and_malformed_messages_are_counted_and_the_connection_stays_open():
     async with Network("a") as network:
         a = network.controller("a")
         _, writer = await asyncio.open_connection(*network.addresses["a"])
--- a/tests/fleet/test_controller_process.py
+++ b/tests/fleet/test_controller_process.py
@@ -60,7 +60,7 @@
     assert field in done.stderr, done.stderr
 
 
-def test_controllers_may_stand_in_the_operators_file_itself(tmp_path):
+def test_controllers_may_be_listed_in_the_operators_file_itself(tmp_path):
     (tmp_path / "o.toml").write_text("[fleet]\nname = 'c0'\n[[fleet.controllers]]\n" + MEMBER.split("\n", 1)[1])
     fleet = load(str(tmp_path / "o.toml")).fleet
     settings = table.settings_of(fleet, "o.toml")
@@ -115,7 +115,7 @@
 
 
 @asynchronous
-async def test_sighup_says_that_members_and_times_wait_for_a_restart(tmp_path):
+async def test_sighup_logs_that_members_and_durations_need_a_restart(tmp_path):
     async with Controllers(tmp_path, 1) as fleet:
         await fleet.start("c0")
         fleet.write_operator("c0", renew_ms=900)
@@ -128,7 +128,7 @@
 
 
 @asynchronous
-async def test_a_controller_outlives_bad_bytes(tmp_path):
+async def test_a_controller_survives_malformed_bytes(tmp_path):
     async with Controllers(tmp_path, 1) as fleet:
         await fleet.start("c0")
         port = fleet.members[0]["port"]
@@ -198,7 +198,7 @@
 
 
 @asynchronous
-async def test_a_controller_that_is_told_to_end_gives_all_back_and_the_others_go_on(tmp_path):
+async def test_a_controller_returns_all_credit_on_sigterm_and_the_others_continue(tmp_path):
     async with Controllers(tmp_path, 3, quotas=TEAMS, **QUICK) as fleet:
         await fleet.start()
         asker = fleet.asker("z0")
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -68,7 +68,7 @@
 
 
 @asynchronous
-async def test_the_module_hears_which_requests_are_within_the_quota_and_which_are_over(tmp_path):
+async def test_the_decision_module_learns_which_requests_are_within_the_quota_and_which_are_over(tmp_path):
     async with Controllers(tmp_path, 1, quotas={"a": 50}, **QUICK) as fleet:
         await fleet.start()
         async with Dispatching(fleet) as w:
@@ -84,7 +84,7 @@
 
 
 @asynchronous
-async def test_a_tenant_without_a_quota_is_not_asked_for(tmp_path):
+async def test_no_lease_is_requested_for_a_tenant_without_a_quota(tmp_path):
     async with Controllers(tmp_path, 1, **QUICK) as fleet, Dispatching(fleet) as w:
         assert (await w.ask(order(1, "free")))[0] == 200
         assert w.got[0].over_quota is None
@@ -92,7 +92,7 @@
 
 
 @asynchronous
-async def test_where_no_controller_answers_a_request_goes_on_as_over_the_quota(tmp_path):
+async def test_without_a_reply_of_a_controller_a_request_proceeds_as_over_the_quota(tmp_path):
     async with (
         Controllers(tmp_path, 1) as fleet,
         ScriptedController(fleet, answers=False) as controller,
@@ -106,7 +106,7 @@
 
 
 @asynchronous
-async def test_whatever_the_rules_do_a_request_goes_on(tmp_path, monkeypatch):
+async def test_a_request_proceeds_even_if_the_rules_fail(tmp_path, monkeypatch):
     async with Controllers(tmp_path, 1) as fleet, Dispatching(fleet) as w:
 
         def breaks(*_):
@@ -120,7 +120,7 @@
 
 
 @asynchronous
-async def test_a_client_that_leaves_while_the_controller_thinks_is_forgotten(tmp_path):
+async def test_a_client_that_disconnects_while_its_request_waits_is_removed(tmp_path):
     async with (
         Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet,
         ScriptedController(fleet, answers=False) as controller,
@@ -137,7 +137,7 @@
 
 
 @asynchronous
-async def test_a_request_whose_tenant_has_another_place_after_a_reload_goes_on_under_its_own_name(tmp_path):
+async def test_a_waiting_request_keeps_its_tenant_when_a_reload_reorders_tenants(tmp_path):
     async with (
         Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet,
         ScriptedController(fleet, answers=False) as controller,
@@ -154,7 +154,7 @@
 
 
 @asynchronous
-async def test_settings_that_withdraw_the_permission_end_the_talk_and_what_waits_goes_on_unmarked(tmp_path):
+async def test_withdrawn_permission_closes_the_connections_and_waiting_requests_proceed_undecided(tmp_path):
     async with (
         Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet,
         ScriptedController(fleet) as controller,
@@ -230,7 +230,7 @@
 
 
 @asynchronous
-async def test_at_sigterm_all_that_is_held_goes_back_and_the_process_ends_with_code_0(tmp_path):
+async def test_on_sigterm_all_leases_are_returned_and_the_process_exits_with_code_0(tmp_path):
     async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, Around(serve) as w:
         program = await serving(fleet, w)
         await w.ready()
@@ -257,7 +257,7 @@
 
 
 @asynchronous
-async def test_of_two_processes_of_an_upgrade_the_older_gives_back_what_it_holds(tmp_path):
+async def test_in_an_upgrade_the_older_process_returns_its_leases(tmp_path):
     async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, Around(serve) as w:
         variables = {"TMPDIR": str(tmp_path), "PROXY_OPS": f"127.0.0.1:{free_port()}"}
         old = await serving(fleet, w, **variables)
@@ -281,7 +281,7 @@
 
 
 @asynchronous
-async def test_several_processes_on_one_address_hold_leases_of_their_own_and_give_them_back(tmp_path):
+async def test_server_processes_on_one_address_lease_separately_and_return_their_leases(tmp_path):
     async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, Around(serve) as w:
         config, operator = program_files(fleet, w)
         arguments = ("serve", "--workers", "2", "--operator", str(operator))
@@ -328,7 +328,7 @@
     assert "permissions.peers" in done.stderr
 
 
-def test_check_config_accepts_the_table_and_says_what_it_holds(files):
+def test_check_config_accepts_the_table_and_reports_its_content(files):
     done = run("check-config", *files(**PERMITTED))
     assert done.returncode == 0, done
     assert "shared by the fleet" in done.stdout, done
--- a/tests/fleet/test_rules_bucket.py
+++ b/tests/fleet/test_rules_bucket.py
@@ -13,14 +13,14 @@
     assert (bucket.level, bucket.unknown) == (0, 10 * MICRO)
 
 
-def test_refill_takes_the_place_of_what_might_still_be_carried_over() -> None:
+def test_refill_replaces_credit_that_might_still_be_carried_over() -> None:
     bucket = Bucket(10 * MICRO, 10 * MICRO)
     bucket.refill(4 * MICRO)
     assert (bucket.level, bucket.unknown) == (4 * MICRO, 6 * MICRO)
     assert bucket.carry(9) == 6
 
 
-def test_refill_stops_when_zones_hold_all() -> None:
+def test_refill_stops_when_all_credit_is_granted() -> None:
     bucket = Bucket(10 * MICRO, 0)
     bucket.refill(10 * MICRO)
     bucket.grant(10 * MICRO)
@@ -31,7 +31,7 @@
     assert bucket.level == 2 * MICRO
 
 
-def test_what_a_lost_session_held_keeps_its_place_until_it_is_forgotten() -> None:
+def test_credit_of_a_lost_session_keeps_its_capacity_until_it_is_forgotten() -> None:
     bucket = Bucket(10 * MICRO, 0)
     bucket.refill(10 * MICRO)
     bucket.grant(10 * MICRO)
@@ -116,9 +116,7 @@
 
 
 @given(STEPS, st.integers(0, 10))
-def test_nothing_is_there_but_what_was_there_before_and_what_was_refilled(
-    steps: list[tuple[str, int]], depth: int
-) -> None:
+def test_credit_grows_by_refill_alone(steps: list[tuple[str, int]], depth: int) -> None:
     """The bound's core: usable credit (level, outstanding, and what might come back) grows by refill alone, and fits in
     the deepest depth that there was."""
     history = BucketHistory(depth)
--- a/tests/fleet/test_rules_controller.py
+++ b/tests/fleet/test_rules_controller.py
@@ -78,7 +78,7 @@
     assert network.owner() is None
 
 
-def test_a_vote_that_was_asked_for_long_ago_makes_nobody_owner() -> None:
+def test_a_vote_of_an_old_round_elects_nobody() -> None:
     settings = fleet()
     rules = ControllerRules(settings, "c0", 1, START, Random(1))
     rules.receive(START, Peer("c1", 1), VoteReply(1, (), ()))
@@ -134,7 +134,7 @@
     assert answer.message.credits[0].granted == 0  # type: ignore[union-attr]
 
 
-def test_all_controllers_that_start_anew_at_once_elect_after_a_lease_and_under_new_terms() -> None:
+def test_after_a_restart_of_all_controllers_owners_are_elected_after_a_lease_and_under_new_terms() -> None:
     network = started()
     term = network.controllers["c0"].owned(network.now)[0].term
     for name in network.settings.names:
@@ -146,7 +146,7 @@
     assert network.controllers["c0"].owned(network.now)[0].term != term
 
 
-def test_voters_that_start_anew_elect_nobody_beside_an_owner_that_runs() -> None:
+def test_restarted_voters_elect_nobody_beside_a_running_owner() -> None:
     network = Network(one_region(3))  # c0 is the only voter
     network.set_quotas({"team": 100.0})
     network.run(ELECTED)
@@ -157,7 +157,7 @@
     assert network.owner() is not None
 
 
-def test_a_controller_that_is_drained_hands_on_within_one_quota_lease_and_zones_keep_what_they_held() -> None:
+def test_a_draining_controller_hands_over_within_one_quota_lease_and_zones_keep_their_credit() -> None:
     network = started()
     network.run(6 * S)
     held = network.controllers["c2"].zone.shards[0].stocks["team"].available
@@ -193,7 +193,7 @@
     assert 0 < max(ends) <= owner.owned(network.now)[0].start
 
 
-def test_a_shard_goes_back_to_its_first_choice_once_that_has_been_alive_for_ten_seconds() -> None:
+def test_a_shard_returns_to_its_preferred_owner_once_that_has_been_alive_for_ten_seconds() -> None:
     network = started()
     network.stopped = {"c0"}
     network.run(8 * S)
@@ -217,7 +217,7 @@
         assert not controller.zone.shards[0].stocks["team"].known
 
 
-def test_controllers_hear_nothing_but_leases_from_those_that_are_none() -> None:
+def test_controllers_accept_only_lease_messages_from_dispatchers() -> None:
     network = started()
     stranger = Peer("d", 1)
     term = network.controllers["c0"].owned(network.now)[0].term
@@ -275,7 +275,7 @@
     assert network.decided == {0: False, 1: False, 2: False}
 
 
-def test_a_zone_that_is_cut_off_goes_on_with_its_reserve_and_comes_back_after_one_period() -> None:
+def test_a_partitioned_zone_uses_its_reserve_and_recovers_within_one_period() -> None:
     network = started(dispatchers={"d2": "z2"}, quota=30.0)  # the part of a zone: two a second
     network.cut = {"c2"}
     network.run(12 * S)
@@ -292,7 +292,7 @@
     assert network.decided[1000] is False
 
 
-def test_a_dispatcher_whose_controller_is_lost_goes_on_with_the_next_of_the_region() -> None:
+def test_a_dispatcher_whose_controller_is_lost_uses_the_next_of_the_region() -> None:
     network = Network(one_region(3), {"d": "z1"})
     network.set_quotas({"team": 100.0})
     network.run(ELECTED + 5 * S)
@@ -306,7 +306,7 @@
     assert network.dispatchers["d"].figures(network.now).controller == "c1"
 
 
-def test_a_dispatcher_that_starts_anew_is_served_at_once() -> None:
+def test_a_restarted_dispatcher_is_served_at_once() -> None:
     network = started(dispatchers={"d": "z1"})
     network.run(5 * S)
     network.request("d", 1, "team")
@@ -315,7 +315,7 @@
     assert network.decided == {1: False, 2: False}
 
 
-def test_a_zone_controller_that_starts_anew_serves_after_one_period_and_lends_no_credit_of_its_earlier_life() -> None:
+def test_a_restarted_zone_controller_serves_after_one_period_and_leases_no_credit_of_its_earlier_incarnation() -> None:
     network = started(dispatchers={"d": "z1"})
     network.run(5 * S)
     network.request("d", 1, "team")
@@ -330,7 +330,7 @@
     assert bucket.suspended > 0  # what the earlier life held keeps its place for some time
 
 
-def test_figures_tell_what_a_controller_does() -> None:
+def test_figures_count_what_a_controller_does() -> None:
     network = started(dispatchers={"d": "z0"})
     network.run(5 * S)
     network.request("d", 1, "team")
@@ -340,7 +340,7 @@
     assert (figures.elections_won, figures.ownerships_lost, figures.reserve_used) == (1, 0, 0)
 
 
-def test_a_graceful_end_passes_all_credit_on_to_the_next_owner() -> None:
+def test_a_graceful_shutdown_transfers_all_credit_to_the_next_owner() -> None:
     network = started(quota=0.2)
     network.run(60 * S)
     bucket = network.controllers["c0"].owners[0].teams["team"].bucket
--- a/tests/fleet/test_rules_credits.py
+++ b/tests/fleet/test_rules_credits.py
@@ -43,7 +43,7 @@
     assert credit.report(2, 3) == Progress(2, 3)
 
 
-def test_an_account_that_was_forgotten_begins_anew_with_the_others_totals() -> None:
+def test_a_forgotten_account_adopts_the_totals_of_the_other_side() -> None:
     credit = GrantorCredit()
     credit.begin_anew(40, 2)
     assert (credit.granted, credit.outstanding) == (42, 0)
@@ -51,7 +51,7 @@
     assert credit.report(41, 2) == Progress(1, 0)
 
 
-def test_an_account_begins_not_anew_while_credit_is_out_nor_out_of_all_proportion() -> None:
+def test_an_account_adopts_no_totals_while_credit_is_outstanding_nor_implausible_ones() -> None:
     credit = GrantorCredit()
     credit.begin_anew(1 << 62, 0)
     assert credit.granted == 0
@@ -61,7 +61,7 @@
 
 
 @given(st.integers(0, 1 << 62), st.integers(0, 1 << 62))
-def test_a_number_far_ahead_keeps_no_later_one_from_being_the_newest(known: int, number: int) -> None:
+def test_a_number_far_ahead_does_not_hide_the_newest_message(known: int, number: int) -> None:
     assert is_newest(number, known) or 0 < known - number <= LATE_WINDOW
 
 
@@ -78,7 +78,7 @@
     ),
     st.randoms(),
 )
-def test_the_holder_never_holds_more_than_the_granter_counts_as_outstanding(steps, random) -> None:  # type: ignore[no-untyped-def]
+def test_the_holder_never_has_more_than_the_grantor_counts_as_outstanding(steps, random) -> None:  # type: ignore[no-untyped-def]
     """Messages both ways arrive late, in any order, several times or never. After a write-off the holder's lease has
     ended, so it counts what it held as returned."""
     granted, held = GrantorCredit(), HolderCredit()
--- a/tests/fleet/test_rules_dispatcher.py
+++ b/tests/fleet/test_rules_dispatcher.py
@@ -12,7 +12,7 @@
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 
 
-def test_a_request_waits_for_its_zones_controller_and_goes_on_with_its_lease() -> None:
+def test_a_request_waits_for_the_lease_of_its_zones_controller() -> None:
     leases = dispatcher()
     (action,) = leases.request(START, 1, "team")
     assert isinstance(action, SendMessage)
@@ -23,11 +23,11 @@
     assert leases.figures(START).within == 1
 
 
-def test_a_request_that_finds_a_lease_goes_on_at_once() -> None:
+def test_a_request_with_a_lease_is_decided_at_once() -> None:
     assert decided(holding(3).request(START + MS, 2, "team")) == {2: False}
 
 
-def test_a_request_that_nobody_answers_in_time_is_over() -> None:
+def test_a_request_without_a_reply_in_time_is_over_quota() -> None:
     leases = dispatcher()
     leases.request(START, 1, "team")
     assert leases.next_wakeup() == START + 20 * MS
@@ -45,7 +45,7 @@
     assert decided(leases.request(START + 40 * MS, 2, "team")) == {2: False}
 
 
-def test_requests_of_a_team_that_wait_together_ask_once_and_then_for_all() -> None:
+def test_waiting_requests_of_a_team_share_one_lease_request() -> None:
     leases = dispatcher()
     first = asked(leases.request(START, 1, "team"))
     assert leases.request(START, 2, "team") == leases.request(START, 3, "team") == []
@@ -55,7 +55,7 @@
     assert decided(leases.receive(START + 2 * MS, OWN, answer(asked(actions), 3))) == {2: False, 3: False}
 
 
-def test_a_refusal_decides_all_that_wait_and_is_remembered_shortly() -> None:
+def test_a_rejection_decides_all_waiting_requests_and_is_remembered_briefly() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
     leases.request(START, 2, "team")
@@ -64,7 +64,7 @@
     assert messages(leases.request(START + 50 * MS, 4, "team"), LeaseRequest)
 
 
-def test_a_team_without_a_quota_is_over_at_once_and_asked_for_again_later() -> None:
+def test_a_team_without_a_quota_is_over_at_once_and_requested_again_later() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "stranger"))
     assert leases.receive(START, OWN, answer(request, 0, 0, known=False)) == [QuotaDecision(1, True)]
@@ -100,7 +100,7 @@
     assert request.needs[0].team == "other"
 
 
-def test_what_an_ended_lease_left_is_told_as_returned() -> None:
+def test_unused_credit_of_an_ended_lease_is_reported_as_returned() -> None:
     leases = holding(3)
     (need,) = asked(leases.request(START + 2 * S, 2, "team")).needs
     assert (need.used, need.returned) == (1, 3)
@@ -123,14 +123,14 @@
     assert leases.figures(START).unused == 1
 
 
-def test_an_answer_from_another_than_was_asked_is_ignored() -> None:
+def test_a_reply_of_a_controller_that_was_not_asked_is_ignored() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
     assert leases.receive(START, Peer("c2", 1), answer(request, 3)) == []
     assert leases.figures(START).unused == 0
 
 
-def test_messages_for_others_and_of_an_earlier_life_are_ignored() -> None:
+def test_messages_for_others_and_of_an_earlier_incarnation_are_ignored() -> None:
     leases = holding(1)
     assert leases.receive(START, OWN, QuotaGrant(0, 1, 1, 1, 1, 1, 1, ())) == []
     leases.receive(START, Peer("c1", 2), LeaseGrant(77, ()))
@@ -138,7 +138,7 @@
     assert leases.receive(START, OWN, answer(request, 1)) == []
 
 
-def test_a_controller_that_starts_anew_is_told_totals_of_its_own_life_only() -> None:
+def test_a_restarted_controller_gets_reports_of_its_own_incarnation_only() -> None:
     leases = holding(0)
     request = asked(leases.request(START + 100 * MS, 2, "team"))
     assert (request.controller, request.needs[0].used) == (1, 1)
@@ -149,7 +149,7 @@
     assert (request.needs[0].used, request.needs[0].returned) == (1, 0)  # of 2 in all, 1 was of the earlier life
 
 
-def test_a_lease_from_a_controllers_earlier_life_runs_to_its_own_end() -> None:
+def test_a_lease_of_a_controllers_earlier_incarnation_runs_to_its_end() -> None:
     leases = holding(2)
     leases.receive(START, Peer("c1", 2), LeaseGrant(77, ()))
     assert decided(leases.request(START + S, 2, "team")) == {2: False}
@@ -172,7 +172,7 @@
     assert leases.figures(now).lease_requests <= 100
 
 
-def test_leases_without_demand_go_back_before_their_end_and_are_told() -> None:
+def test_leases_without_demand_are_returned_and_reported_before_their_end() -> None:
     leases = holding(3)
     returns = []
     for tick in range(1, 31):
@@ -181,14 +181,14 @@
     assert leases.figures(START + 1500 * MS).unused == 0
 
 
-def test_what_was_used_is_told_within_half_a_second_and_once() -> None:
+def test_used_requests_are_reported_once_within_half_a_second() -> None:
     leases = holding(0)
     returns = [messages(leases.tick(START + tick * 50 * MS), LeaseReturn) for tick in range(1, 40)]
     assert [message for told in returns for message in told] == [LeaseReturn((Usage("team", 1, 0),), 1)]
     assert returns[9]
 
 
-def test_release_gives_all_back_and_later_requests_are_asked_for_one_by_one() -> None:
+def test_release_returns_all_credit_and_later_requests_are_leased_one_by_one() -> None:
     leases = holding(3)
     assert leases.release(START + MS) == [SendMessage("c1", LeaseReturn((Usage("team", 1, 3),), 1))]
     assert leases.figures(START + MS).unused == 0
@@ -196,7 +196,7 @@
     assert request.needs[0].wanted == 1
 
 
-def test_what_is_passed_on_is_held_by_the_next_process_alone() -> None:
+def test_transferred_credit_is_usable_by_the_next_process_alone() -> None:
     old = holding(3)
     exported = old.export(START + S)
     assert old.figures(START + S).unused == 0
@@ -208,7 +208,7 @@
     assert (need.used, need.returned) == (0, 0)
 
 
-def test_the_old_process_counts_what_it_passed_on_as_used_when_its_lease_has_ended_and_not_before() -> None:
+def test_the_old_process_counts_transferred_credit_as_used_only_when_its_lease_has_ended() -> None:
     """Before, the other process may still use it; told as used, it would be granted to others at once."""
     old = holding(3)
     old.export(START + MS)
@@ -221,7 +221,7 @@
     assert usages == (Usage("team", 4, 0),)
 
 
-def test_a_process_that_passed_on_what_it_held_asks_for_more_by_itself() -> None:
+def test_a_process_that_transferred_its_credit_requests_more_for_itself() -> None:
     old = holding(3)
     old.export(START + MS)
     request = asked(old.request(START + 2 * MS, 2, "team"))
@@ -230,7 +230,7 @@
     assert old.figures(START + 2 * MS).unused == 0
 
 
-def test_nothing_that_has_ended_is_passed_on() -> None:
+def test_ended_leases_are_not_transferred() -> None:
     assert holding(3).export(START + 2 * S).leases == ()
 
 
--- a/tests/fleet/test_rules_dispatcher_failover.py
+++ b/tests/fleet/test_rules_dispatcher_failover.py
@@ -23,14 +23,14 @@
     return actions
 
 
-def test_after_three_unanswered_asks_the_next_controller_of_the_region_is_asked() -> None:
+def test_after_three_unanswered_requests_the_next_controller_of_the_region_is_asked() -> None:
     leases = dispatcher()
     actions = silence(leases, START, START + 600 * MS)
     assert {action.to for action in actions if isinstance(action, SendMessage)} == {"c1", NEXT}
     assert leases.figures(START).controller == NEXT
 
 
-def test_after_a_second_of_silence_the_next_controller_is_asked() -> None:
+def test_after_a_second_without_a_reply_the_next_controller_is_asked() -> None:
     leases = dispatcher()
     leases.request(START, 1, "team")
     for tick in range(1, 20):
@@ -40,7 +40,7 @@
     assert leases.figures(START).controller == NEXT
 
 
-def test_a_lost_connection_turns_what_waits_to_the_next_controller_at_once() -> None:
+def test_a_lost_connection_sends_waiting_requests_to_the_next_controller_at_once() -> None:
     leases = dispatcher()
     leases.request(START, 1, "team")
     (action,) = leases.peer_lost(START + MS, "c1")
@@ -49,7 +49,7 @@
     assert leases.peer_lost(START + 3 * MS, "c1") == []
 
 
-def test_the_own_controller_is_tried_every_five_seconds_and_asked_again_once_it_answers() -> None:
+def test_the_zones_controller_is_polled_every_five_seconds_and_used_again_once_it_replies() -> None:
     leases = dispatcher()
     leases.peer_lost(START, "c1")
     tries = []
@@ -63,7 +63,7 @@
     assert leases.figures(now).controller == "c1"
 
 
-def test_a_dispatcher_that_was_stopped_draws_nothing_from_the_silence() -> None:
+def test_a_dispatcher_that_was_stopped_ignores_missing_replies() -> None:
     leases = dispatcher()
     leases.tick(START)
     leases.request(START, 1, "team")
@@ -187,7 +187,7 @@
     assert history.leases.next_wakeup() is None
 
 
-def test_more_than_was_asked_for_goes_back_and_a_lease_longer_than_agreed_on_is_cut() -> None:
+def test_credit_beyond_the_request_is_returned_and_a_lease_beyond_its_limit_is_cut() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
     leases.receive(START, OWN, answer(request, 1_000_000, valid_ms=600_000))
@@ -211,7 +211,7 @@
     assert leases.receive(START + MS, OWN, answer(again, 1)) == [QuotaDecision(1, False)]
 
 
-def test_a_controllers_life_is_learnt_anew_with_its_connection() -> None:
+def test_a_controllers_incarnation_is_learnt_again_with_its_connection() -> None:
     leases = holding(0)
     leases.receive(START, Peer("c1", 1 << 62), LeaseGrant(77, ()))
     leases.peer_lost(START, "c1")
--- a/tests/fleet/test_rules_owner.py
+++ b/tests/fleet/test_rules_owner.py
@@ -78,7 +78,7 @@
     assert shard.teams["team"].bucket.level == level + 5 * MICRO
 
 
-def test_scarce_credit_is_shared_in_proportion_to_need_and_told_without_being_asked() -> None:
+def test_scarce_credit_is_shared_in_proportion_to_need_and_granted_unasked() -> None:
     shard = owner(quota=1.0)
     for peer, wanted in ((Z0, 2), (Z1, 2), (Z2, 4)):
         ask(shard, START, peer, 1, need(wanted))
@@ -104,7 +104,7 @@
     assert ask(shard, START + S, Z0, 4, session=100, acknowledged=third.number).credits == ()
 
 
-def test_a_lost_session_keeps_its_place_while_its_zone_may_bring_it_elsewhere_and_no_longer() -> None:
+def test_a_lost_session_keeps_its_capacity_only_while_its_zone_may_carry_credit_elsewhere() -> None:
     shard = owner()
     shard.tick(START + 10 * S)
     now = START + 10 * S
@@ -123,7 +123,7 @@
     assert bucket.level == 9 * MICRO
 
 
-def test_a_zone_that_comes_back_soon_goes_on_with_what_it_held() -> None:
+def test_a_zone_that_returns_soon_continues_with_its_credit() -> None:
     shard = owner()
     ask(shard, START, Z0, 1, need(5))
     ask(shard, START + S, Z0, 2, need(5), session=100)
@@ -173,7 +173,7 @@
     assert carried == [20, DEPTH - 20, 0]
 
 
-def test_nothing_is_carried_over_once_refill_has_taken_its_place_or_its_time_is_over() -> None:
+def test_nothing_is_carried_over_after_refill_or_expiry() -> None:
     shard = owner()
     shard.tick(START + 2 * S)
     assert granted(ask(shard, START + 2 * S, Z0, 1, need(0, carried=DEPTH))) == DEPTH - 20
@@ -182,7 +182,7 @@
     assert granted(ask(slow, START + CARRY, Z0, 1, need(0, carried=5))) == 0
 
 
-def test_a_lowered_quota_cuts_the_level_at_once_and_every_zone_hears_the_new_rate() -> None:
+def test_a_lowered_quota_cuts_the_level_at_once_and_every_zone_receives_the_new_rate() -> None:
     shard = owner()
     first = ask(shard, START, Z0, 1, need(0))
     shard.tick(START + 3 * S)
@@ -203,7 +203,7 @@
     assert grant.credits == () or granted(grant) == 0
 
 
-def test_a_quota_that_is_removed_grants_no_more_and_is_told_as_unknown() -> None:
+def test_a_removed_quota_grants_no_more_and_is_reported_as_unknown() -> None:
     shard = owner()
     first = ask(shard, START, Z0, 1, need(2))
     shard.set_quotas(START + S, {})
@@ -272,7 +272,7 @@
     assert shard.lending.lent_until == {}
 
 
-def test_all_credits_are_told_again_every_ten_seconds_whatever_was_acknowledged() -> None:
+def test_all_credits_are_sent_again_every_ten_seconds_whatever_was_acknowledged() -> None:
     shard = owner()
     grant = ask(shard, START, Z0, 1, need(1))
     told = []
@@ -309,7 +309,7 @@
     assert shard.distribute_remaining(START + S, None) == []
 
 
-def test_a_zone_controller_that_leaves_gets_nothing_of_what_is_left() -> None:
+def test_a_zone_controller_that_shuts_down_gets_no_remaining_credit() -> None:
     shard = owner()
     for peer in (Z0, Z1, Z2):
         ask(shard, START, peer, 1, need(0))
--- a/tests/fleet/test_rules_reserve.py
+++ b/tests/fleet/test_rules_reserve.py
@@ -34,7 +34,7 @@
     assert reserve.may_lend(START + 12 * S)
 
 
-def test_a_reserve_accrues_from_nothing_and_holds_a_second_or_one_request() -> None:
+def test_a_reserve_accrues_from_zero_up_to_a_second_or_one_request() -> None:
     stock = ReserveStock(START)
     assert stock.available(START, 0.5) == 0
     assert stock.available(START + 2 * S, 0.5) == 1
--- a/tests/fleet/test_rules_settings.py
+++ b/tests/fleet/test_rules_settings.py
@@ -64,7 +64,7 @@
 
 
 @given(st.integers(1, 600_000_000), st.floats(0.99, 1.01), st.floats(0.99, 1.01))
-def test_the_granter_waits_longer_than_the_holder_for_clocks_a_hundredth_off(
+def test_the_grantor_waits_longer_than_the_holder_with_clocks_one_percent_off(
     duration: int, one: float, other: float
 ) -> None:
     assert fleet().longer(duration) / one >= duration / other
--- a/tests/fleet/test_rules_voter.py
+++ b/tests/fleet/test_rules_voter.py
@@ -32,7 +32,7 @@
     assert grants(voter, AWAKE, A, 1)
 
 
-def test_a_voter_that_starts_anew_outwaits_what_it_has_forgotten() -> None:
+def test_a_restarted_voter_outwaits_the_grants_it_lost() -> None:
     voter = Voter(SETTINGS, START)
     assert grants(voter, AWAKE, A, 1)
     restarted = Voter(SETTINGS, AWAKE + 1)
@@ -48,7 +48,7 @@
     assert grants(voter, end, B, 2)
 
 
-def test_another_life_of_the_same_name_is_another_candidate() -> None:
+def test_another_incarnation_of_the_same_name_is_another_candidate() -> None:
     voter = Voter(SETTINGS, START)
     assert grants(voter, AWAKE, A, 1)
     assert not grants(voter, AWAKE + S, Peer("c0", 2), 2)
@@ -106,7 +106,7 @@
     assert reply.table == ()
 
 
-def test_the_table_tells_holder_term_and_time_left_and_keeps_the_term_after_the_end() -> None:
+def test_the_table_has_holder_term_and_remaining_time_and_keeps_the_term_after_the_end() -> None:
     voter = Voter(SETTINGS, START)
     ask(voter, AWAKE, A, 5)
     (holding,) = voter.table(AWAKE + 1 * S)
@@ -183,7 +183,7 @@
     assert not view.alive(now, "c0")
 
 
-def test_a_new_life_has_been_alive_since_its_own_first_word() -> None:
+def test_a_new_incarnation_is_alive_since_its_own_first_announcement() -> None:
     view = View(SETTINGS)
     view.receive_announcement(START, A, OwnerAnnouncement(()))
     view.receive_announcement(START + S, Peer("c0", 2), OwnerAnnouncement(()))
@@ -203,7 +203,7 @@
     assert view.highest_terms == {}
 
 
-def test_a_grant_longer_than_agreed_on_is_not_believed() -> None:
+def test_a_grant_beyond_the_limit_is_ignored() -> None:
     view = View(SETTINGS)
     for name in ("c0", "c1"):
         view.receive_table(START, name, (Holding(0, 3, "c0", 1, 600_000),))
--- a/tests/fleet/test_rules_zone.py
+++ b/tests/fleet/test_rules_zone.py
@@ -124,7 +124,7 @@
     assert zone.lease(START, D0, 4, sequence=3).granted == 2
 
 
-def test_a_dispatcher_that_starts_anew_has_an_account_of_its_own() -> None:
+def test_a_restarted_dispatcher_has_an_account_of_its_own() -> None:
     zone = Zone()
     zone.open()
     zone.lease(START, D0, 2)
@@ -132,7 +132,7 @@
     assert zone.stock.leased_out == 3
 
 
-def test_totals_that_belong_to_an_earlier_life_of_the_controller_are_ignored() -> None:
+def test_totals_of_an_earlier_incarnation_of_the_controller_are_ignored() -> None:
     zone = Zone()
     zone.open()
     assert zone.lease(START, D0, 2, used=70, controller=8).granted == 2
@@ -142,7 +142,7 @@
     assert (zone.stock.leased_out, zone.stock.credit.used) == (0, 2)
 
 
-def test_an_account_forgotten_for_idleness_goes_on_from_the_dispatchers_totals() -> None:
+def test_an_idle_account_that_was_forgotten_continues_from_the_dispatchers_totals() -> None:
     zone = Zone()
     zone.open()
     zone.lease(START, D0, 2)
@@ -152,7 +152,7 @@
     assert zone.lease(START + 122 * S, D0, 2, used=2).granted == 4
 
 
-def test_a_low_stock_is_told_to_the_owner_at_once_but_not_too_often() -> None:
+def test_a_low_stock_is_reported_to_the_owner_at_once_but_not_too_often() -> None:
     zone = Zone()
     zone.open()
     zone.rules.expire(START + 60 * MS)
--- a/tests/fleet/test_rules_zone_limits.py
+++ b/tests/fleet/test_rules_zone_limits.py
@@ -39,7 +39,7 @@
     assert zone.lease(START, D0, 1) == LeaseCredit("team", 0, 0, True)
 
 
-def test_a_zone_that_ends_returns_what_no_dispatcher_holds_and_lends_no_more() -> None:
+def test_a_zone_that_shuts_down_returns_unleased_credit_and_leases_no_more() -> None:
     zone = Zone()
     zone.open()
     zone.lease(START, D0, 3)
@@ -50,7 +50,7 @@
     assert zone.tick(START + 5 * S) == []
 
 
-def test_what_is_above_the_wanted_stock_goes_back_with_the_next_periods_request() -> None:
+def test_stock_above_the_target_is_returned_with_the_next_periods_request() -> None:
     zone = Zone()
     zone.open(granted=50)
     (request,) = messages(zone.tick(START + S), QuotaRequest)
@@ -113,7 +113,7 @@
     assert zone.stock.rate == 2.0
 
 
-def test_all_teams_are_told_again_every_ten_seconds() -> None:
+def test_all_teams_are_sent_again_every_ten_seconds() -> None:
     zone = Zone()
     zone.open(granted=7)
     told = []
@@ -125,7 +125,7 @@
     assert told == [11]
 
 
-def test_a_controller_that_has_just_started_says_that_it_serves_once_it_has_its_owners() -> None:
+def test_a_new_controller_answers_polls_once_it_has_its_owners() -> None:
     zone = Zone()
     nothing = LeaseRequest(1, (), 0)
     assert zone.rules.lease(START, D0, nothing) == []
@@ -135,7 +135,7 @@
     assert zone.rules.lease(START, D0, nothing) == []
 
 
-def test_a_controller_that_finds_no_owners_says_that_it_serves_after_ten_seconds() -> None:
+def test_a_controller_without_owners_answers_polls_after_ten_seconds() -> None:
     zone = Zone()
     nothing = LeaseRequest(1, (), 0)
     assert zone.rules.lease(START + 10 * S - 1, D0, nothing) == []
--- a/tests/fleet/test_rules_zone_sessions.py
+++ b/tests/fleet/test_rules_zone_sessions.py
@@ -41,7 +41,7 @@
     assert request.needs[0].carried == 0
 
 
-def test_a_zone_never_goes_back_to_an_owner_whose_session_it_has_left() -> None:
+def test_a_zone_never_returns_to_an_owner_whose_session_it_left() -> None:
     zone = Zone()
     zone.open()
     zone.announce(START + 3 * S, NEXT_OWNER, 6)
@@ -65,7 +65,7 @@
     assert zone.rules.shards[0].number == 101
 
 
-def test_a_zone_that_comes_back_in_the_same_session_goes_on_with_its_stock() -> None:
+def test_a_zone_that_returns_in_the_same_session_keeps_its_stock() -> None:
     zone = Zone()
     zone.open()
     zone.lease(START, D0, 3)
--- a/tests/fleet/test_simulation.py
+++ b/tests/fleet/test_simulation.py
@@ -102,7 +102,7 @@
     assert world.now == 20
 
 
-def test_a_stopped_node_handles_what_waited_once_it_wakes_and_a_dead_one_never() -> None:
+def test_a_stopped_node_handles_queued_messages_once_it_wakes_and_a_dead_one_never() -> None:
     world = World(small_setup(Random(1)), Random(1))
     world.start_all()
     node = world.dispatchers[0]
