--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -23,8 +23,9 @@
 if TYPE_CHECKING:
     from badgerroad.admin.listener import Listener
     from badgerroad.fleet.extension import QuotaExtension
-    from badgerroad.hot_restart.process import Handover
-    from badgerroad.multiprocess.server_process import Joined, ServerProcess
+    from badgerroad.hot_restart.process import HotRestart
+    from badgerroad.multiprocess.server_process import ServerProcess
+    from badgerroad.multiprocess.startup import StartParameters
 
 log = logs.get("badgerroad")
 
@@ -43,13 +44,13 @@
     of one that is `counted` elsewhere."""
     if config.admin is None and not counted:
         return Dispatcher(config, wheel), None
-    from badgerroad.admin.counts import Counts
+    from badgerroad.admin.counters import Counters
 
     if config.admin is None:
-        return Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes)), None
-    from badgerroad.admin.listener import KEPT, Listener
+        return Dispatcher(config, wheel, Counters(c.name for c in config.settings.classes)), None
+    from badgerroad.admin.listener import RESERVED_DESCRIPTORS, Listener
 
-    dispatcher = Dispatcher(config, wheel, Counts(c.name for c in config.settings.classes), KEPT)
+    dispatcher = Dispatcher(config, wheel, Counters(c.name for c in config.settings.classes), RESERVED_DESCRIPTORS)
     return dispatcher, Listener(wheel, lambda: dispatcher.accepts_clients, dispatcher.metrics)
 
 
@@ -70,7 +71,7 @@
     return joining.join(dispatcher, operator.fleet, operator_file or OPERATORS_FILE)
 
 
-async def serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None = None) -> int:
+async def serve(config: Config, operator: Any, operator_file: str | None, joined: StartParameters | None = None) -> int:
     """The exit code."""
     return await _to_its_end(_serve(config, operator, operator_file, joined))
 
@@ -83,22 +84,22 @@
         return CANNOT_LISTEN
 
 
-async def _serve(config: Config, operator: Any, operator_file: str | None, joined: Joined | None) -> int:
+async def _serve(config: Config, operator: Any, operator_file: str | None, joined: StartParameters | None) -> int:
     """Raises ListenError."""
     wheel = TimerWheel(Clock(), IOLoop.current())
     dispatcher, ops = assemble(config, wheel, counted=joined is not None)
     limit(dispatcher, operator)
     quotas = join_fleet(dispatcher, operator, operator_file)
-    handover: Handover | None = None
+    hot_restart: HotRestart | None = None
     process: ServerProcess | None = None
     done = asyncio.Event()
 
     def check(since: int) -> None:
         after = wheel.clock.now() - since
-        finishing = handover is not None and handover.ending and dispatcher.frontend.successor is not None
+        finishing = hot_restart is not None and hot_restart.finishing and dispatcher.frontend.successor is not None
         # Clients whose connections go to another process need no grace here, but each connection has to get there.
         wait = dispatcher.frontend.has_connections_to_pass and after < GRACE if finishing else after < GRACE
-        if handover is not None and handover.between and after < BETWEEN:
+        if hot_restart is not None and hot_restart.peers.relays_job_events and after < BETWEEN:
             wait = True
         # Where another process has the clients, none of them is ended for the end of this one.
         if dispatcher.has_pending_responses or wait or not finishing and not dispatcher.end_client_connections():
@@ -113,8 +114,8 @@
         if not stopping:
             stopping = True
             log.info("stopping: answering what is owed")
-            if handover is not None:
-                handover.term()
+            if hot_restart is not None:
+                hot_restart.terminate()
             else:
                 dispatcher.drain()
             check(wheel.clock.now())
@@ -130,7 +131,7 @@
         except ConfigError as e:
             log.error("reload failed; the old configuration stays in force", **e.fields)
             if dispatcher.counts:
-                dispatcher.counts.conf_invalid += 1
+                dispatcher.counts.failed_reloads += 1
         else:
             dispatcher.reload(fresh)
             if operator_file is not None:
@@ -138,7 +139,7 @@
                 if operator_now.fleet != operator.fleet:
                     log.warning("reload: takes effect at the next start", field="fleet")
             if dispatcher.counts:
-                dispatcher.counts.conf_loaded += 1
+                dispatcher.counts.reloads += 1
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -157,18 +158,18 @@
             ops.listen(config.admin)  # before anything is taken from another process
         except OSError as e:
             raise ListenError("ops", config.admin, e) from e
-        from badgerroad.hot_restart.process import Handover
+        from badgerroad.hot_restart.process import HotRestart
 
-        handover = Handover(dispatcher, wheel, os.environ.get("TMPDIR") or "/tmp")
+        hot_restart = HotRestart(dispatcher, wheel, os.environ.get("TMPDIR") or "/tmp")
     if process is not None:
         await asyncio.wait(
-            [asyncio.ensure_future(process.go.wait()), asyncio.ensure_future(done.wait())],
+            [asyncio.ensure_future(process.may_listen.wait()), asyncio.ensure_future(done.wait())],
             return_when=asyncio.FIRST_COMPLETED,
         )
         if done.is_set():
             return OK  # told to end before it has begun
     try:
-        host, port = await handover.begin() if handover is not None else dispatcher.start(process is not None)
+        host, port = await hot_restart.begin() if hot_restart is not None else dispatcher.start(process is not None)
     except OSError as e:
         raise ListenError("listen", config.listen, e) from e
     log.info(
@@ -179,7 +180,7 @@
         discovery=f"{config.discovery[0]}:{config.discovery[1]}",
     )
     if process is not None:
-        process.listens()
+        process.report_listening()
     await done.wait()
     # The loop's end restores what signals do by themselves: one that comes then must not turn the exit into a crash.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
@@ -187,8 +188,8 @@
         quotas.close()
     if ops is not None:
         ops.close()
-    if handover is not None:
-        handover.close()
+    if hot_restart is not None:
+        hot_restart.close()
     if process is not None:
         process.close()
     dispatcher.close()
@@ -198,7 +199,7 @@
 
 def main(check_only: bool, operator_file: str | None, verbose: bool, workers: int = 1) -> int:
     operator: Any = None
-    joined: Joined | None = None
+    joined: StartParameters | None = None
     text = b""
     try:
         if operator_file is not None:
@@ -207,16 +208,16 @@
 
             operator = load_operator(operator_file)
         if PROCESS_VARIABLE in os.environ:
-            from badgerroad.multiprocess.server_process import Joined
+            from badgerroad.multiprocess.startup import StartParameters
 
-            joined = Joined.with_(os.environ)
+            joined = StartParameters.receive(os.environ)
             config, operator = joined.config, joined.operator
         elif workers > 1:
-            from badgerroad.multiprocess.server_process import Part
+            from badgerroad.multiprocess.startup import ProcessIndex
 
             text = text_of(os.environ)
             config = read(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
-            Part(0, workers).of(config)  # is there enough for each?
+            ProcessIndex(0, workers).share_of(config)  # is there enough for each?
         else:
             config = load(os.environ)
         check_fleet(config, operator, operator_file)
@@ -236,12 +237,13 @@
         return OK
     choice = operator.log if operator is not None else logs.LogSettings()
     if joined is not None:
-        logs.configure(choice, debug=verbose, process=joined.part.number)
+        logs.configure(choice, debug=verbose, process=joined.process_index.number)
     else:
         logs.configure(choice, debug=verbose)
     gc.freeze()  # what start-up made stays: the collector need not look at it again
     if workers > 1 and joined is None:
-        from badgerroad.multiprocess.supervisor import supervise
+        from badgerroad.multiprocess.supervisor import SupervisorOptions, supervise
 
-        return asyncio.run(_to_its_end(supervise(workers, config, text, operator, operator_file, verbose)))
+        options = SupervisorOptions(workers, config, text, operator, operator_file, verbose)
+        return asyncio.run(_to_its_end(supervise(options)))
     return asyncio.run(serve(config, operator, operator_file, joined))
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -15,10 +15,11 @@
 
 from badgerroad.config import ConfigError, read
 from badgerroad.multiprocess import rules
-from badgerroad.multiprocess.figures import Sums
-from badgerroad.multiprocess.server_process import Joined, Part, ServerProcess
-from badgerroad.multiprocess.supervisor import Supervisor
-from badgerroad.net.unix_channel import Link
+from badgerroad.multiprocess.metric_sums import MetricSums
+from badgerroad.multiprocess.server_process import ServerProcess
+from badgerroad.multiprocess.startup import ProcessIndex, StartParameters
+from badgerroad.multiprocess.supervisor import Supervisor, SupervisorOptions
+from badgerroad.net.unix_channel import UnixChannel
 from tests.support.loopback import CLASS, SETTINGS, World, async_test, serve, until
 from tests.support.service import Service
 
@@ -34,67 +35,90 @@
 )
 
 
-@given(st.lists(STEP, max_size=40))
-def test_any_history_of_deaths_and_messages_has_one_process_a_place_and_one_end(steps):
-    multiprocess, now, running, waiting, told, exits = rules.ProcessGroup(3), 0, set(), {}, set(), []
-
-    def do(actions):
-        for a in actions:
-            if isinstance(a, rules.Start):
-                assert a.process not in running
-                assert not exits
-                assert not multiprocess.ending
-                running.add(a.process)
-            elif isinstance(a, rules.StartLater):
-                assert a.process not in running
-                assert 0 <= a.pause <= rules.LONGEST_PAUSE
-                waiting[a.process] = a.pause
-            elif isinstance(a, rules.Exit):
-                exits.append(a.code)
-            else:
-                assert a.process in running  # End or Kill
-                told.update([a.process] if isinstance(a, rules.End) else [])
-
-    do(multiprocess.begin(now))
-    assert running == {0, 1, 2}
-    for step, n in [*steps, *[("due", n) for n in range(3)], ("term", 0), *[("ended 0", n) for n in range(3)]]:
+class GroupUnderTest:
+    """Performs the actions of a ProcessGroup, and checks each against what runs."""
+
+    def __init__(self):
+        self.group = rules.ProcessGroup(3)
+        self.now = 0
+        self.running = set()
+        self.waiting = {}
+        self.terminated = set()
+        self.exit_codes = []
+
+    def perform(self, actions):
+        for action in actions:
+            match action:
+                case rules.Start(number):
+                    assert number not in self.running
+                    assert not self.exit_codes
+                    assert not self.group.terminating
+                    self.running.add(number)
+                case rules.StartLater(number, delay_us):
+                    assert number not in self.running
+                    assert 0 <= delay_us <= rules.MAX_BACKOFF_US
+                    self.waiting[number] = delay_us
+                case rules.Exit(code):
+                    self.exit_codes.append(code)
+                case rules.Terminate(number):
+                    assert number in self.running
+                    self.terminated.add(number)
+                case _:
+                    assert action.process in self.running  # Kill
+
+    def step(self, step, number):
         if step == "pass":
-            now += 4_000_000 * n
+            self.now += 4_000_000 * number
         elif step == "term":
-            do(multiprocess.term())
-            assert multiprocess.ending
-            assert told >= running
-        elif step == "due" and waiting.pop(n, None) is not None:
-            do(multiprocess.due(now, n))
-            assert multiprocess.ending or n in running
-        elif step == "listens" and n in running:
-            multiprocess.listens(n)
+            self.terminate()
+        elif step == "due" and self.waiting.pop(number, None) is not None:
+            self.perform(self.group.start_due(self.now, number))
+            assert self.group.terminating or number in self.running
+        elif step == "listens" and number in self.running:
+            self.group.listening(number)
         elif step == "silent":
-            do(multiprocess.silent(n))
-        elif step.startswith("ended") and n in running:
-            running.remove(n)
-            do(multiprocess.ended(now, n, int(step[6:])))
-            assert multiprocess.ending or n in waiting
-    assert len(exits) == 1
-    assert not running
+            self.perform(self.group.message_overdue(number))
+        elif step.startswith("ended") and number in self.running:
+            self.end(number, int(step[6:]))
+
+    def terminate(self):
+        self.perform(self.group.terminate())
+        assert self.group.terminating
+        assert self.terminated >= self.running
+
+    def end(self, number, code):
+        self.running.remove(number)
+        self.perform(self.group.ended(self.now, number, code))
+        assert self.group.terminating or number in self.waiting
+
+
+@given(st.lists(STEP, max_size=40))
+def test_any_history_of_ends_and_messages_has_one_process_a_slot_and_one_exit(steps):
+    group = GroupUnderTest()
+    group.perform(group.group.start(group.now))
+    assert group.running == {0, 1, 2}
+    for step, number in [*steps, *[("due", n) for n in range(3)], ("term", 0), *[("ended 0", n) for n in range(3)]]:
+        group.step(step, number)
+    assert len(group.exit_codes) == 1
+    assert not group.running
 
 
-def test_deaths_at_the_start_are_spaced_and_a_configuration_that_never_worked_ends_all():
+def test_failures_at_the_start_back_off_and_a_configuration_that_never_worked_ends_all():
     multiprocess, pauses = rules.ProcessGroup(1), []
-    multiprocess.begin(0)
-    multiprocess.listens(0)
+    multiprocess.start(0)
+    multiprocess.listening(0)
     for _ in range(8):
-        pauses += [later.pause for later in multiprocess.ended(0, 0, 1)]
-        multiprocess.due(0, 0)
+        pauses += [later.delay_us for later in multiprocess.ended(0, 0, 1)]
+        multiprocess.start_due(0, 0)
     assert pauses == [100_000 << n for n in range(6)] + [5_000_000] * 2
-    assert multiprocess.ended(rules.STEADY, 0, -9) == [rules.StartLater(0, 0)]  # it had lived
+    assert multiprocess.ended(rules.STABLE_RUN_US, 0, -9) == [rules.StartLater(0, 0)]  # it had lived
     fresh = rules.ProcessGroup(2)
-    fresh.begin(0)
-    assert fresh.ended(0, 1, 2) == [rules.End(0)]
+    fresh.start(0)
+    assert fresh.ended(0, 1, 2) == [rules.Terminate(0)]
     assert fresh.ended(0, 0, -15) == [rules.Exit(2)]
 
 
-def test_what_a_dead_process_had_counted_stays_and_what_it_held_does_not():
+def test_counters_of_an_ended_process_stay_and_its_gauges_do_not():
     def told(n, **more):
         return {
             "answered": {"a": n},
@@ -107,13 +131,13 @@
             **more,
         }
 
-    sums = Sums(2)
-    sums.know(["a", "b"])
+    sums = MetricSums(2)
+    sums.add_classes(["a", "b"])
     for process, n in ((0, 5), (1, 5), (0, 6)):
-        sums.told(process, told(n))
-    sums.died(0)
-    sums.told(0, told(1, answered={"a": 1, "c": 4}))
-    assert sums.figures() == {
+        sums.report(process, told(n))
+    sums.ended(0)
+    sums.report(0, told(1, answered={"a": 1, "c": 4}))
+    assert sums.totals() == {
         "answered": {"a": 12, "b": 0, "c": 4},
         "deferred": {"a": 0, "b": 0},
         "errored": {"a": 3, "b": 0},
@@ -126,14 +150,14 @@
 
 def test_server_processes_share_out_fleet_and_descriptors():
     config = read({**DATA, "ops": "127.0.0.1:3"}, {})
-    parts = [Part(n, 4).of(config) for n in range(4)]
+    parts = [ProcessIndex(n, 4).share_of(config) for n in range(4)]
     assert [(p.settings.dispatcher_count, p.settings.dispatcher_index, p.admin) for p in parts] == [
         (12, 4 + n, None) for n in range(4)
     ]
     assert sum(p.max_sockets for p in parts) <= config.max_sockets - 36
     assert len({p.seed for p in parts}) == 4
     with pytest.raises(ConfigError, match="limits.sockets"):
-        Part(0, 8).of(config)
+        ProcessIndex(0, 8).share_of(config)
 
 
 class ProcessGroup(Service):
@@ -163,7 +187,9 @@
 
     async def pids(self, count):
         """Of the server processes, the latest of each."""
-        fields = [dict(f.split("=") for f in ln.split()[4:]) for ln in await self.lines("worker started", count)]
+        fields = [
+            dict(f.split("=") for f in ln.split()[3:]) for ln in await self.lines("server_process_started", count)
+        ]
         return {int(f["process"]): int(f["pid"]) for f in fields}
 
     async def figures(self):
@@ -183,7 +209,7 @@
 
 
 @async_test
-async def test_call_backs_find_their_attempt_whichever_process_they_reach_and_figures_are_sums(tmp_path):
+async def test_job_events_reach_their_attempt_through_any_process_and_metrics_are_sums(tmp_path):
     async with ProcessGroup(tmp_path) as s:
         assert await s.load(40) == 0
         assert Counter(s.ends) == {(200, b"made"): 40}
@@ -201,7 +227,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
 @async_test
-async def test_a_process_that_dies_or_stops_takes_only_its_own_clients_along_and_is_replaced(number, tmp_path):
+async def test_a_process_that_dies_or_stops_breaks_only_its_own_clients_and_is_replaced(number, tmp_path):
     async with ProcessGroup(tmp_path, hold=0.5) as s:
         pids, load = await s.pids(3), await s.begun(30, 9)
         os.kill(pids[1], number)
@@ -225,9 +251,9 @@
         good = json.loads((tmp_path / "c.json").read_text())
         (tmp_path / "c.json").write_text("{")
         s.supervisor.send_signal(signal.SIGHUP)
-        assert "c.json" in (await s.lines("reload failed", 1))[0]
+        assert "c.json" in (await s.lines("reload_failed", 1))[0]
         os.kill((await s.pids(3))[2], signal.SIGKILL)
-        await s.lines("worker ended", 1)
+        await s.lines("server_process_ended", 1)
         (tmp_path / "o.toml").write_text("[log]\nformat = 'json'\n")
         good["settings"]["requestClasses"].append({**CLASS, "name": "other"})
         (tmp_path / "c.json").write_text(json.dumps(good))
@@ -242,7 +268,7 @@
 
 
 @async_test
-async def test_without_its_supervisor_each_process_answers_what_it_owes_and_ends(tmp_path):
+async def test_without_its_supervisor_each_process_answers_its_open_requests_and_ends(tmp_path):
     async with ProcessGroup(tmp_path, hold=0.5) as s:
         pids, load = await s.pids(3), await s.begun(9, 9)
         s.supervisor.kill()
@@ -252,24 +278,28 @@
 
 
 @async_test
-async def test_server_processes_that_lose_their_link_to_each_other_get_a_new_one():
+async def test_server_processes_that_lose_their_channel_to_each_other_get_a_new_one():
     async with World(serve, ops=True) as w:
         d = w.dispatcher
-        supervisor = Supervisor(2, d.config, b"", None, None, False, d.wheel)
+        supervisor = Supervisor(SupervisorOptions(2, d.config, b"", None, None, False), d.wheel)
         got, ends = [], [socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET) for _ in range(2)]
         for n, slot in enumerate(supervisor.slots):
-            slot.here, slot.link = (
+            slot.started, slot.channel = (
                 True,
-                Link(ends[n][0], lambda *told: supervisor._told(0, supervisor.slots[0], *told), lambda: None),
+                UnixChannel(ends[n][0], lambda *message: supervisor._on_message(0, *message), lambda: None),
             )
-        process = ServerProcess(Joined(Part(0, 2), ends[0][1], d.config, None), d, d.wheel, lambda: None)
-        other = Link(ends[1][1], lambda kind, head, payload, fd: got.append(socket.socket(fileno=fd)), lambda: None)
-        await until(lambda: got and process.peers and process.go.is_set())
+        process = ServerProcess(
+            StartParameters(ProcessIndex(0, 2), ends[0][1], d.config, None), d, d.wheel, lambda: None
+        )
+        other = UnixChannel(
+            ends[1][1], lambda kind, head, payload, fd: got.append(socket.socket(fileno=fd)), lambda: None
+        )
+        await until(lambda: got and process.peers and process.may_listen.is_set())
         process.peers[1].close()
         await until(lambda: len(got) == 2 and process.peers)
         process.unknown_job_event(b"r9", "h0", "done", {})
         assert b'"id":"r9"' in got[1].recv(999)
-        for link in (process, other, *(slot.link for slot in supervisor.slots)):
+        for link in (process, other, *(slot.channel for slot in supervisor.slots)):
             link.close()
 
 
@@ -283,7 +313,7 @@
         ("2", "taken", 1, "listen: 127.0.0.1"),
     ],
 )
-def test_what_cannot_start_ends_with_one_line(workers, text, code, said, tmp_path):
+def test_a_start_that_cannot_succeed_ends_with_one_line(workers, text, code, said, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as s:
         taken = {**DATA, "listen": f"127.0.0.1:{s.getsockname()[1]}"}
         (tmp_path / "c.json").write_text(json.dumps(taken) if text == "taken" else text)
