--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -68,7 +68,7 @@
 
 
 @asynchronous
-async def test_the_module_hears_which_requests_are_within_the_quota_and_which_are_over(tmp_path):
+async def test_the_decision_module_learns_which_requests_are_within_the_quota_and_which_are_over(tmp_path):
     async with Controllers(tmp_path, 1, quotas={"a": 50}, **QUICK) as fleet:
         await fleet.start()
         async with Dispatching(fleet) as w:
@@ -84,27 +84,29 @@
 
 
 @asynchronous
-async def test_a_tenant_without_a_quota_is_not_asked_for(tmp_path):
-    async with Controllers(tmp_path, 1, **QUICK) as fleet:
-        async with Dispatching(fleet) as w:
-            assert (await w.ask(order(1, "free")))[0] == 200
-            assert w.got[0].over_quota is None
-            assert w.figures().lease_requests == 0
+async def test_no_lease_is_requested_for_a_tenant_without_a_quota(tmp_path):
+    async with Controllers(tmp_path, 1, **QUICK) as fleet, Dispatching(fleet) as w:
+        assert (await w.ask(order(1, "free")))[0] == 200
+        assert w.got[0].over_quota is None
+        assert w.figures().lease_requests == 0
 
 
 @asynchronous
-async def test_where_no_controller_answers_a_request_goes_on_as_over_the_quota(tmp_path):
-    async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet, answers=False) as controller:
-        async with Dispatching(fleet) as w:
-            assert (await w.ask(order(1)))[0] == 200
-            assert w.got[0].over_quota is True
-            assert w.figures().over_unanswered == 1
-            await until(lambda: controller.asked)
-            assert w.got[0].time_left < 6_000_000  # what it has waited is not given back to it
+async def test_without_a_reply_of_a_controller_a_request_proceeds_as_over_the_quota(tmp_path):
+    async with (
+        Controllers(tmp_path, 1) as fleet,
+        ScriptedController(fleet, answers=False) as controller,
+        Dispatching(fleet) as w,
+    ):
+        assert (await w.ask(order(1)))[0] == 200
+        assert w.got[0].over_quota is True
+        assert w.figures().over_unanswered == 1
+        await until(lambda: controller.asked)
+        assert w.got[0].time_left < 6_000_000  # what it has waited is not given back to it
 
 
 @asynchronous
-async def test_whatever_the_rules_do_a_request_goes_on(tmp_path, monkeypatch):
+async def test_a_request_proceeds_even_if_the_rules_fail(tmp_path, monkeypatch):
     async with Controllers(tmp_path, 1) as fleet, Dispatching(fleet) as w:
 
         def breaks(*_):
@@ -118,51 +120,58 @@
 
 
 @asynchronous
-async def test_a_client_that_leaves_while_the_controller_thinks_is_forgotten(tmp_path):
-    async with Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet:
-        async with ScriptedController(fleet, answers=False) as controller, Dispatching(fleet) as w:
-            _, writer = await w.connect()
-            writer.write(order(1))
-            await until(lambda: controller.asked)
-            assert w.figures().waiting == 1
-            writer.close()
-            await until(lambda: not w.dispatcher.open_requests)
-            assert w.figures().waiting == 0
-            assert not w.got
+async def test_a_client_that_disconnects_while_its_request_waits_is_removed(tmp_path):
+    async with (
+        Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet,
+        ScriptedController(fleet, answers=False) as controller,
+        Dispatching(fleet) as w,
+    ):
+        _, writer = await w.connect()
+        writer.write(order(1))
+        await until(lambda: controller.asked)
+        assert w.figures().waiting == 1
+        writer.close()
+        await until(lambda: not w.dispatcher.open_requests)
+        assert w.figures().waiting == 0
+        assert not w.got
 
 
 @asynchronous
-async def test_a_request_whose_tenant_has_another_place_after_a_reload_goes_on_under_its_own_name(tmp_path):
-    async with Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet:
-        async with ScriptedController(fleet, answers=False) as controller, Dispatching(fleet) as w:
-            answer = w.begin(w.ask(order(1)))
-            await until(lambda: controller.asked)
-            tenants = w.dispatcher.settings.tenants
-            w.dispatcher.reload(
-                w.dispatcher.config._replace(settings=w.dispatcher.settings._replace(tenants=tenants[::-1]))
-            )
-            assert (await answer)[0] == 200
-            assert w.dispatcher.settings.tenants[w.got[0].tenant].name == "a"
+async def test_a_waiting_request_keeps_its_tenant_when_a_reload_reorders_tenants(tmp_path):
+    async with (
+        Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet,
+        ScriptedController(fleet, answers=False) as controller,
+        Dispatching(fleet) as w,
+    ):
+        answer = w.begin(w.ask(order(1)))
+        await until(lambda: controller.asked)
+        tenants = w.dispatcher.settings.tenants
+        w.dispatcher.reload(
+            w.dispatcher.config._replace(settings=w.dispatcher.settings._replace(tenants=tenants[::-1]))
+        )
+        assert (await answer)[0] == 200
+        assert w.dispatcher.settings.tenants[w.got[0].tenant].name == "a"
 
 
 @asynchronous
-async def test_settings_that_withdraw_the_permission_end_the_talk_and_what_waits_goes_on_unmarked(tmp_path):
-    async with Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet:
-        async with ScriptedController(fleet) as controller, Dispatching(fleet) as w:
-            assert (await w.ask(order(1)))[0] == 200
-            assert w.got[0].over_quota is False
-            controller.answers = False
-            waiting = [w.begin(w.ask(order(n))) for n in range(2, 12)]  # more than it holds by now
-            await until(lambda: w.figures().waiting)
-            w.dispatcher.reload(
-                w.dispatcher.config._replace(settings=w.dispatcher.settings._replace(peers_allowed=False))
-            )
-            assert [(await answer)[0] for answer in waiting] == [200] * 10
-            assert None in [event.over_quota for event in w.got]
-            await until(lambda: controller.losses)
-            assert controller.held() == {"a": 0}
-            assert (await w.ask(order("late")))[0] == 200
-            assert w.got[-1].over_quota is None
+async def test_withdrawn_permission_closes_the_connections_and_waiting_requests_proceed_undecided(tmp_path):
+    async with (
+        Controllers(tmp_path, 1, ask_timeout_ms=900) as fleet,
+        ScriptedController(fleet) as controller,
+        Dispatching(fleet) as w,
+    ):
+        assert (await w.ask(order(1)))[0] == 200
+        assert w.got[0].over_quota is False
+        controller.answers = False
+        waiting = [w.begin(w.ask(order(n))) for n in range(2, 12)]  # more than it holds by now
+        await until(lambda: w.figures().waiting)
+        w.dispatcher.reload(w.dispatcher.config._replace(settings=w.dispatcher.settings._replace(peers_allowed=False)))
+        assert [(await answer)[0] for answer in waiting] == [200] * 10
+        assert None in [event.over_quota for event in w.got]
+        await until(lambda: controller.losses)
+        assert controller.held() == {"a": 0}
+        assert (await w.ask(order("late")))[0] == 200
+        assert w.got[-1].over_quota is None
 
 
 # As a process.
@@ -189,7 +198,7 @@
     """A dispatcher process that is ready."""
     config, operator = program_files(fleet, w)
     program = await Program.start("serve", "--operator", str(operator), PROXY_CONFIG=str(config), **environment)
-    await program.says("fleet: connected")
+    await program.says("fleet_peer_connected")
     return program
 
 
@@ -221,7 +230,7 @@
 
 
 @asynchronous
-async def test_at_sigterm_all_that_is_held_goes_back_and_the_process_ends_with_code_0(tmp_path):
+async def test_on_sigterm_all_leases_are_returned_and_the_process_exits_with_code_0(tmp_path):
     async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, Around(serve) as w:
         program = await serving(fleet, w)
         await w.ready()
@@ -248,7 +257,7 @@
 
 
 @asynchronous
-async def test_of_two_processes_of_an_upgrade_the_older_gives_back_what_it_holds(tmp_path):
+async def test_in_an_upgrade_the_older_process_returns_its_leases(tmp_path):
     async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, Around(serve) as w:
         variables = {"TMPDIR": str(tmp_path), "PROXY_OPS": f"127.0.0.1:{free_port()}"}
         old = await serving(fleet, w, **variables)
@@ -272,7 +281,7 @@
 
 
 @asynchronous
-async def test_several_processes_on_one_address_hold_leases_of_their_own_and_give_them_back(tmp_path):
+async def test_server_processes_on_one_address_lease_separately_and_return_their_leases(tmp_path):
     async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, Around(serve) as w:
         config, operator = program_files(fleet, w)
         arguments = ("serve", "--workers", "2", "--operator", str(operator))
@@ -319,9 +328,10 @@
     assert "permissions.peers" in done.stderr
 
 
-def test_check_config_accepts_the_table_and_says_what_it_holds(files):
+def test_check_config_accepts_the_table_and_reports_its_content(files):
     done = run("check-config", *files(**PERMITTED))
-    assert done.returncode == 0 and "shared by the fleet" in done.stdout, done
+    assert done.returncode == 0, done
+    assert "shared by the fleet" in done.stdout, done
 
 
 @pytest.mark.parametrize(("operator", "field"), [({"zone": "nowhere"}, "fleet.zone"), ({"shards": 0}, "fleet.shards")])
--- a/tests/fleet/test_rules_bucket.py
+++ b/tests/fleet/test_rules_bucket.py
@@ -13,14 +13,14 @@
     assert (bucket.level, bucket.unknown) == (0, 10 * MICRO)
 
 
-def test_refill_takes_the_place_of_what_might_still_be_carried_over() -> None:
+def test_refill_replaces_credit_that_might_still_be_carried_over() -> None:
     bucket = Bucket(10 * MICRO, 10 * MICRO)
     bucket.refill(4 * MICRO)
     assert (bucket.level, bucket.unknown) == (4 * MICRO, 6 * MICRO)
     assert bucket.carry(9) == 6
 
 
-def test_refill_stops_when_zones_hold_all() -> None:
+def test_refill_stops_when_all_credit_is_granted() -> None:
     bucket = Bucket(10 * MICRO, 0)
     bucket.refill(10 * MICRO)
     bucket.grant(10 * MICRO)
@@ -31,7 +31,7 @@
     assert bucket.level == 2 * MICRO
 
 
-def test_what_a_lost_session_held_keeps_its_place_until_it_is_forgotten() -> None:
+def test_credit_of_a_lost_session_keeps_its_capacity_until_it_is_forgotten() -> None:
     bucket = Bucket(10 * MICRO, 0)
     bucket.refill(10 * MICRO)
     bucket.grant(10 * MICRO)
@@ -50,11 +50,65 @@
     assert (bucket.level, bucket.unknown) == (0, 3 * MICRO)
 
 
+class BucketHistory:
+    """A bucket under random steps. `budget`: credit that there may be; `deepest`: the largest depth so far, in requests."""
+
+    def __init__(self, depth: int) -> None:
+        self.bucket = Bucket(depth * MICRO, depth * MICRO)
+        self.deepest = depth
+        self.budget = self.bucket.total
+
+    def refill(self, count: int) -> None:
+        self.bucket.refill(count * MICRO)
+        self.budget += count * MICRO
+
+    def grant(self, count: int) -> None:
+        self.bucket.grant(min(count * MICRO, self.bucket.level // MICRO * MICRO))
+
+    def spend(self, count: int) -> None:
+        spent = min(count * MICRO, self.bucket.outstanding)
+        self.bucket.spend(spent)
+        self.budget -= spent
+
+    def put_back(self, count: int) -> None:
+        self.bucket.put_back(min(count * MICRO, self.bucket.outstanding))
+
+    def suspend(self, count: int) -> None:
+        self.bucket.suspend(min(count * MICRO, self.bucket.outstanding))
+
+    def revive(self, count: int) -> None:
+        self.bucket.revive(min(count * MICRO, self.bucket.suspended))
+
+    def forget(self, count: int) -> None:
+        self.bucket.forget(min(count * MICRO, self.bucket.suspended))
+
+    def carry(self, count: int) -> None:
+        assert self.bucket.carry(count) <= count
+
+    def set_depth(self, count: int) -> None:
+        self.bucket.set_depth(count * MICRO)
+        self.deepest = max(self.deepest, count)
+
+    def forget_unknown(self, count: int) -> None:
+        self.bucket.forget_unknown()
+
+    STEPS = {
+        "refill": refill,
+        "grant": grant,
+        "spend": spend,
+        "put back": put_back,
+        "suspend": suspend,
+        "revive": revive,
+        "forget": forget,
+        "carry": carry,
+        "depth": set_depth,
+        "unknown": forget_unknown,
+    }
+
+
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(
-            ["refill", "grant", "spend", "put back", "suspend", "revive", "forget", "carry", "depth", "unknown"]
-        ),
+        st.sampled_from(list(BucketHistory.STEPS)),
         st.integers(0, 12),
     ),
     max_size=80,
@@ -62,41 +116,14 @@
 
 
 @given(STEPS, st.integers(0, 10))
-def test_nothing_is_there_but_what_was_there_before_and_what_was_refilled(
-    steps: list[tuple[str, int]], depth: int
-) -> None:
+def test_credit_grows_by_refill_alone(steps: list[tuple[str, int]], depth: int) -> None:
     """The bound's core: usable credit (level, outstanding, and what might come back) grows by refill alone, and fits in
     the deepest depth that there was."""
-    bucket = Bucket(depth * MICRO, depth * MICRO)
-    deepest = depth
-    budget = bucket.total
+    history = BucketHistory(depth)
+    bucket = history.bucket
     for step, count in steps:
-        amount = count * MICRO
-        if step == "refill":
-            bucket.refill(amount)
-            budget += amount
-        elif step == "grant":
-            bucket.grant(min(amount, bucket.level // MICRO * MICRO))
-        elif step == "spend":
-            spent = min(amount, bucket.outstanding)
-            bucket.spend(spent)
-            budget -= spent
-        elif step == "put back":
-            bucket.put_back(min(amount, bucket.outstanding))
-        elif step == "suspend":
-            bucket.suspend(min(amount, bucket.outstanding))
-        elif step == "revive":
-            bucket.revive(min(amount, bucket.suspended))
-        elif step == "forget":
-            bucket.forget(min(amount, bucket.suspended))
-        elif step == "carry":
-            assert bucket.carry(count) <= count
-        elif step == "depth":
-            bucket.set_depth(amount)
-            deepest = max(deepest, count)
-        else:
-            bucket.forget_unknown()
+        BucketHistory.STEPS[step](history, count)
         assert min(bucket.level, bucket.outstanding, bucket.suspended, bucket.unknown) >= 0
-        assert bucket.total <= min(budget, deepest * MICRO)
+        assert bucket.total <= min(history.budget, history.deepest * MICRO)
         if bucket.outstanding + bucket.suspended <= bucket.depth:
             assert bucket.total <= bucket.depth
--- a/tests/fleet/test_rules_dispatcher_failover.py
+++ b/tests/fleet/test_rules_dispatcher_failover.py
@@ -23,14 +23,14 @@
     return actions
 
 
-def test_after_three_unanswered_asks_the_next_controller_of_the_region_is_asked() -> None:
+def test_after_three_unanswered_requests_the_next_controller_of_the_region_is_asked() -> None:
     leases = dispatcher()
     actions = silence(leases, START, START + 600 * MS)
     assert {action.to for action in actions if isinstance(action, SendMessage)} == {"c1", NEXT}
     assert leases.figures(START).controller == NEXT
 
 
-def test_after_a_second_of_silence_the_next_controller_is_asked() -> None:
+def test_after_a_second_without_a_reply_the_next_controller_is_asked() -> None:
     leases = dispatcher()
     leases.request(START, 1, "team")
     for tick in range(1, 20):
@@ -40,7 +40,7 @@
     assert leases.figures(START).controller == NEXT
 
 
-def test_a_lost_connection_turns_what_waits_to_the_next_controller_at_once() -> None:
+def test_a_lost_connection_sends_waiting_requests_to_the_next_controller_at_once() -> None:
     leases = dispatcher()
     leases.request(START, 1, "team")
     (action,) = leases.peer_lost(START + MS, "c1")
@@ -49,7 +49,7 @@
     assert leases.peer_lost(START + 3 * MS, "c1") == []
 
 
-def test_the_own_controller_is_tried_every_five_seconds_and_asked_again_once_it_answers() -> None:
+def test_the_zones_controller_is_polled_every_five_seconds_and_used_again_once_it_replies() -> None:
     leases = dispatcher()
     leases.peer_lost(START, "c1")
     tries = []
@@ -63,7 +63,7 @@
     assert leases.figures(now).controller == "c1"
 
 
-def test_a_dispatcher_that_was_stopped_draws_nothing_from_the_silence() -> None:
+def test_a_dispatcher_that_was_stopped_ignores_missing_replies() -> None:
     leases = dispatcher()
     leases.tick(START)
     leases.request(START, 1, "team")
@@ -84,72 +84,110 @@
     assert seconds == {"c0", "c2", "c3", "c4"}
 
 
+class DispatcherHistory:
+    """A dispatcher's leases under random steps; each request must be decided once and in time."""
+
+    def __init__(self) -> None:
+        self.leases = dispatcher()
+        self.now = START
+        self.number = 0
+        self.incarnation = 1
+        self.waiting: dict[int, int] = {}
+        self.cancelled: set[int] = set()
+        self.sent: list[SendMessage] = []
+        self.granted: dict[tuple[str, str, int], int] = {}
+
+    def take(self, actions: list[Any]) -> None:
+        for action in actions:
+            if isinstance(action, SendMessage):
+                self.sent.append(action)
+            else:
+                assert self.waiting.pop(action.request) + 20 * MS >= self.now
+                assert action.request not in self.cancelled
+
+    def request(self, count: int) -> None:
+        self.number += 1
+        self.waiting[self.number] = self.now
+        self.take(self.leases.request(self.now, self.number, f"team{count}"))
+
+    def wait(self, count: int) -> None:
+        for _ in range(count * 20):
+            self.now += 5 * MS
+            wakeup = self.leases.next_wakeup()
+            if wakeup is not None and wakeup <= self.now:
+                self.tick(count)
+
+    def answer_newest(self, count: int) -> None:
+        self._answer(count, -1)
+
+    def answer_oldest(self, count: int) -> None:
+        self._answer(count, 0)
+
+    def lose(self, count: int) -> None:
+        self.take(self.leases.peer_lost(self.now, f"c{count % 3}"))
+
+    def restart(self, count: int) -> None:
+        self.incarnation += 1
+
+    def release(self, count: int) -> None:
+        self.take(list(self.leases.release(self.now)))
+
+    def cancel(self, count: int) -> None:
+        if not self.waiting:
+            self.tick(count)
+            return
+        first = next(iter(self.waiting))
+        del self.waiting[first]
+        self.cancelled.add(first)
+        self.leases.cancel(self.now, first)
+
+    def tick(self, count: int) -> None:
+        self.take(self.leases.tick(self.now))
+
+    def _answer(self, count: int, position: int) -> None:
+        requests = [(sent.to, sent.message) for sent in self.sent if isinstance(sent.message, LeaseRequest)]
+        if not requests:
+            return
+        controller, request = requests[position]
+        answers = []
+        for need in request.needs:
+            key = (controller, need.team, self.incarnation)
+            self.granted[key] = max(self.granted.get(key, 0), need.used + need.returned) + min(count, need.wanted)
+            answers.append(LeaseCredit(need.team, self.granted[key], 2000))
+        grant = LeaseGrant(request.sequence, tuple(answers))
+        self.take(self.leases.receive(self.now, Peer(controller, self.incarnation), grant))
+
+    STEPS = {
+        "request": request,
+        "tick": tick,
+        "answer": answer_newest,
+        "answer late": answer_oldest,
+        "lose": lose,
+        "wait": wait,
+        "restart": restart,
+        "release": release,
+        "forget": cancel,
+    }
+
+
 STEPS = st.lists(
-    st.tuples(
-        st.sampled_from(["request", "tick", "answer", "answer late", "lose", "wait", "restart", "release", "forget"]),
-        st.integers(0, 5),
-    ),
+    st.tuples(st.sampled_from(list(DispatcherHistory.STEPS)), st.integers(0, 5)),
     max_size=80,
 )
 
 
 @given(STEPS)
 def test_each_request_is_decided_once_and_in_time_whatever_happens(steps: list[tuple[str, int]]) -> None:
-    leases, now, number, life = dispatcher(), START, 0, 1
-    waiting: dict[int, int] = {}
-    forgotten: set[int] = set()
-    asks: list[SendMessage] = []
-    granted: dict[tuple[str, str, int], int] = {}
+    history = DispatcherHistory()
+    for step, count in steps:
+        DispatcherHistory.STEPS[step](history, count)
+    history.now += 20 * MS
+    history.tick(0)
+    assert not history.waiting
+    assert history.leases.next_wakeup() is None
 
-    def take(actions: list[Any]) -> None:
-        for action in actions:
-            if isinstance(action, SendMessage):
-                asks.append(action)
-            else:
-                assert waiting.pop(action.request) + 20 * MS >= now
-                assert action.request not in forgotten
 
-    for step, count in steps:
-        if step == "request":
-            number += 1
-            waiting[number] = now
-            take(leases.request(now, number, f"team{count}"))
-        elif step == "wait":
-            for _ in range(count * 20):
-                now += 5 * MS
-                wakeup = leases.next_wakeup()
-                if wakeup is not None and wakeup <= now:
-                    take(leases.tick(now))
-        elif step in ("answer", "answer late"):
-            requests = [ask for ask in asks if isinstance(ask.message, LeaseRequest)]
-            if requests:
-                ask = requests[-1 if step == "answer" else 0]
-                credits = []
-                for need in ask.message.needs:  # type: ignore[union-attr]
-                    key = (ask.to, need.team, life)
-                    granted[key] = max(granted.get(key, 0), need.used + need.returned) + min(count, need.wanted)
-                    credits.append(LeaseCredit(need.team, granted[key], 2000))
-                take(leases.receive(now, Peer(ask.to, life), LeaseGrant(ask.message.sequence, tuple(credits))))  # type: ignore[union-attr]
-        elif step == "lose":
-            take(leases.peer_lost(now, f"c{count % 3}"))
-        elif step == "restart":
-            life += 1
-        elif step == "release":
-            take(leases.release(now))
-        elif step == "forget" and waiting:
-            first = next(iter(waiting))
-            del waiting[first]
-            forgotten.add(first)
-            leases.cancel(now, first)
-        else:
-            take(leases.tick(now))
-    now += 20 * MS
-    take(leases.tick(now))
-    assert not waiting
-    assert leases.next_wakeup() is None
-
-
-def test_more_than_was_asked_for_goes_back_and_a_lease_longer_than_agreed_on_is_cut() -> None:
+def test_credit_beyond_the_request_is_returned_and_a_lease_beyond_its_limit_is_cut() -> None:
     leases = dispatcher()
     request = asked(leases.request(START, 1, "team"))
     leases.receive(START, OWN, answer(request, 1_000_000, valid_ms=600_000))
@@ -173,7 +211,7 @@
     assert leases.receive(START + MS, OWN, answer(again, 1)) == [QuotaDecision(1, False)]
 
 
-def test_a_controllers_life_is_learnt_anew_with_its_connection() -> None:
+def test_a_controllers_incarnation_is_learnt_again_with_its_connection() -> None:
     leases = holding(0)
     leases.receive(START, Peer("c1", 1 << 62), LeaseGrant(77, ()))
     leases.peer_lost(START, "c1")
