--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -384,19 +384,3 @@
         await until(lambda: w.dispatcher.endpoint_watch.version == 3)
         assert w.dispatcher.clock.now() - began < TOLD
         assert (await w.ask(job("r1")))[0] == 200
-
-
-@async_test
-async def test_a_new_address_of_a_host_is_not_reached_by_connections_to_the_old_one():
-    async with World(serve, serve) as w:
-        await until(lambda: w.dispatcher.ready)
-        w.dispatcher.decisions.workers["h1"].ejected_until = w.dispatcher.clock.now() + 60 * SEC
-        assert (await w.ask(job("r1")))[0] == 200
-        worker = w.dispatcher.backend.workers["h0"]
-        ((connection, timer),) = worker.idle
-        worker.idle = []
-        timer.cancel()
-        w.dispatcher.backend.set_address("h0", ("127.0.0.1", w.hosts[1].port))  # while it was in use
-        w.dispatcher.backend.pools.checkin(worker, connection)
-        assert not worker.idle
-        assert connection.closed
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -212,7 +212,7 @@
 async def test_clients_cannot_take_the_last_descriptors():
     async with World(serve, limits=224) as w:  # 200 without the reserve
         mute = [await w.connect() for _ in range(220)]
-        for n, (_, writer) in enumerate(mute):
+        for _, writer in mute:
             writer.write(b"POST")  # none of them is idle
         descriptors, seen = w.dispatcher.descriptors, []
         for _ in range(60):  # the listener rests and tries again
--- a/tests/load_balancing/test_random_histories.py
+++ b/tests/load_balancing/test_random_histories.py
@@ -25,7 +25,6 @@
 
 ANSWER_SLACK = 20 * MS  # that the deployment allows after a deadline
 SLOTS = 2  # of each worker, each of speed 1: its true capacity
-ANSWER_SLACK = 20 * MS  # that the deployment allows after a deadline
 FAILURES = (
     interface.AttemptResult.ERROR,
     interface.AttemptResult.QUEUE_FULL,
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -85,19 +85,18 @@
 async def test_the_log_changes_on_sighup_and_a_wrong_file_changes_nothing(tmp_path):
     operator = tmp_path / "o.toml"
     operator.write_text("[log]\nformat = 'console'\n")
-    async with World(serve) as w:
-        async with program(w, tmp_path / "config.json", operator=operator) as process:
-            for text, mark in (
-                ("[log]\nformat = 'xml'", b"log.format"),
-                ("[log]\nformat = 'json'", b'"event":"answered"'),
-            ):
-                operator.write_text(text)
-                process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(0.1)
-                assert (await w.ask(job(f"r{len(text)}")))[0] == 200
-                line = b""
-                while mark not in line:
-                    line = await process.stderr.readline()
+    async with World(serve) as w, program(w, tmp_path / "config.json", operator=operator) as process:
+        for text, mark in (
+            ("[log]\nformat = 'xml'", b"log.format"),
+            ("[log]\nformat = 'json'", b'"event":"answered"'),
+        ):
+            operator.write_text(text)
+            process.send_signal(signal.SIGHUP)
+            await asyncio.sleep(0.1)
+            assert (await w.ask(job(f"r{len(text)}")))[0] == 200
+            line = b""
+            while mark not in line:
+                line = await process.stderr.readline()
 
 
 def test_serve_imports_nothing_of_the_emulator_the_laboratory_or_the_operators_schema(tmp_path):
