--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -102,8 +102,6 @@
         else:
             call()
 
-    # The module.
-
     def feed(self, event: interface.Event) -> None:
         """Give the decisions an event and perform their actions; events raised meanwhile wait in line."""
         self._line.append(event)
@@ -149,8 +147,6 @@
         for _ in self.idle.pop(str(action.worker), []):
             self.world.by_name[str(action.worker)].disconnect()
 
-    # Clients.
-
     def take(self, client_try: Try) -> None:
         """A client's request has arrived."""
         self._count += 1
@@ -339,8 +335,6 @@
         )
         self._settle(request)
 
-    # Discovery and probes.
-
     def _infos(self, entries: tuple[Any, ...]) -> tuple[interface.Endpoint, ...]:
         return tuple(interface.Endpoint(e.node, e.state, e.since, e.kind, e.zone, e.rack, e.weight) for e in entries)
 
