--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -137,7 +137,7 @@
         self.states = {worker: endpoint.state for worker, endpoint in self.endpoints.items()}
         self.zones = {worker: self.reader.zones[endpoint.zone] for worker, endpoint in self.endpoints.items()}
         log.info(
-            "worker list",
+            "endpoint_list_received",
             scope=update.scope,
             seq=update.version,
             entries=len(update.entries),
@@ -201,7 +201,7 @@
     ) -> None:
         """Wait before the next call. The failure is reported only once discovery counts as unavailable, and not for
         some time after a change of address."""
-        log.info("discovery failed", code=error.code, why=str(error), again=delay_us // 1000)
+        log.info("discovery_failed", code=error.code, error=str(error), again=delay_us // 1000)
         if address_changes != self._address_changes:
             self.schedule.look()
             return
@@ -233,7 +233,7 @@
             connection = self._open()
             self._publish(await self._call(connection, TARGETS_PATH, FETCH_TIMEOUT_US))
         except (ConnectionBrokenError, EndpointListError) as error:
-            log.info("discovery failed", code=error.code, why=str(error))
+            log.info("discovery_failed", code=error.code, error=str(error))
             self.on_update(interface.EndpointList(interface.ListScope.FAILED), {})
         finally:
             if connection is not None:
--- a/badgerroad/dispatcher/decision_host.py
+++ b/badgerroad/dispatcher/decision_host.py
@@ -54,12 +54,12 @@
         for action in actions:
             handler = self._action_handlers.get(type(action))
             if handler is None:
-                log.error("an action that this deployment has no use for", action=repr(action))
+                log.error("action_unknown", action=repr(action))
                 continue
             try:
                 handler(action)
             except Exception:
-                log.exception("could not perform an action", action=repr(action))
+                log.exception("action_failed", action=repr(action))
                 self._fail_request(getattr(action, "request", _NO_REQUEST))
 
     def _handle_next(self, event: interface.Event) -> None:
@@ -69,7 +69,7 @@
         try:
             actions = self.decisions.handle(self._clock.now(), event)
         except Exception:
-            log.exception("the module broke", on=repr(event))
+            log.exception("decisions_failed", event_received=repr(event))
             self._fail_request(getattr(event, "request", _NO_REQUEST))
             return
         self.perform_actions(actions)
--- a/badgerroad/dispatcher/intake.py
+++ b/badgerroad/dispatcher/intake.py
@@ -97,7 +97,7 @@
         """The client has left before its answer."""
         request = self._requests.by_number.get(exchange.number)
         if request:
-            log.info("the client has left", request=request.forwarded.id.decode("latin-1"))
+            log.info("client_disconnected", request=request.forwarded.id.decode("latin-1"))
             self._requests.client_disconnected(request)
             self._host.handle_event(interface.ClientDisconnected(request.number))
             self._requests.release_if_finished(request)
--- a/badgerroad/errors.py
+++ b/badgerroad/errors.py
@@ -23,7 +23,7 @@
     @property
     def fields(self) -> dict[str, str]:
         """For a log line."""
-        return {"code": self.code, "why": " ".join(str(self).split()), "do": self.remedy}
+        return {"code": self.code, "error": " ".join(str(self).split()), "remedy": self.remedy}
 
 
 class ArgumentError(BadgerroadError, ValueError):
--- a/badgerroad/fleet/peer_connection.py
+++ b/badgerroad/fleet/peer_connection.py
@@ -101,7 +101,7 @@
             written = self.stream.write(framed)
         except StreamBufferFullError:
             self.traffic.full += 1
-            log.warning("fleet_connection_closed", peer=self.name, why="peer does not read")
+            log.warning("fleet_connection_closed", peer=self.name, error="peer does not read")
             self.close()
             return
         except StreamClosedError:
@@ -143,7 +143,7 @@
 
     def _frame_timed_out(self) -> None:
         self.traffic.silent += 1
-        log.warning("fleet_connection_closed", peer=self.name, why="no complete message in time")
+        log.warning("fleet_connection_closed", peer=self.name, error="no complete message in time")
         self.close()
 
     def _handle(self, payload: bytes) -> None:
--- a/badgerroad/request_log.py
+++ b/badgerroad/request_log.py
@@ -30,7 +30,7 @@
 def log_attempt_ended(request: OpenRequest, attempt: Attempt, zone: str, result: str, now: int) -> None:
     """An attempt has ended; `result` in the module's words. `now`: microseconds."""
     log.info(
-        "attempt ended",
+        "attempt_ended",
         request=request.forwarded.id.decode("latin-1"),
         attempt=attempt.number,
         host=attempt.worker,
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -123,7 +123,7 @@
         if self._stopped_at_us is not None:
             return
         self._stopped_at_us = self._wheel.clock.now()
-        log.info("stopping: answering what is owed")
+        log.info("stopping")
         if self._hot_restart is not None:
             self._hot_restart.terminate()
         else:
@@ -137,7 +137,7 @@
             config = reload(os.environ, self._dispatcher.config)
             operator = self._reload_operator_file()
         except ConfigError as error:
-            log.error("reload failed; the old configuration stays in force", **error.fields)
+            log.error("reload_failed", **error.fields)
             if counts:
                 counts.failed_reloads += 1
             return
@@ -238,7 +238,7 @@
     def _apply_operator(self, operator: Operator) -> None:
         limit(self._dispatcher, operator)
         if self._operator is not None and operator.fleet != self._operator.fleet:
-            log.warning("reload: takes effect at the next start", field="fleet")
+            log.warning("setting_needs_restart", field="fleet")
 
 
 async def serve(
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -47,7 +47,7 @@
                 config.write_text(wrong)
                 process.send_signal(signal.SIGHUP)
                 line = b""
-                while b" error reload failed" not in line:
+                while b" error reload_failed" not in line:
                     line = await process.stderr.readline()
                 assert field in line
                 assert not new.got
@@ -247,14 +247,14 @@
             assert (await w.ask(job(f"r{n}", "preview", 5000, b"x", "Work-Hint: 300000")))[0] == 200
         said = capsys.readouterr().err
     attempts = [
-        dict(f.split("=") for f in line.split(" attempt ended ")[1].split())
+        dict(f.split("=") for f in line.split(" attempt_ended ")[1].split())
         for line in said.splitlines()
-        if " attempt ended " in line
+        if " attempt_ended " in line
     ]
     assert [(x["result"], x["opened"], x["host"]) for x in attempts] == [("ok", "1", "h0"), ("ok", "0", "h0")]
     assert all(0 <= int(x["start"]) <= int(x["ms"]) for x in attempts)
     assert said.count("hint=300 due=4600") == 2  # an aim of 4 s and twice the hint
-    assert "worker list scope=cached seq=1 entries=1 hosts=1" in said
+    assert "endpoint_list_received scope=cached seq=1 entries=1 hosts=1" in said
 
 
 @async_test
@@ -333,7 +333,7 @@
         process.terminate()
         while line := await process.stderr.readline():
             seen += line
-        attempts = [line for line in seen.splitlines() if b" attempt ended " in line]
+        attempts = [line for line in seen.splitlines() if b" attempt_ended " in line]
     assert attempts
     assert all(b" result=ok " in line for line in attempts)
     assert seen.count(b" warning event_loop_stalled ") >= 2
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -61,7 +61,7 @@
         logs.configure(logs.LogSettings(form, "info"))
         log = logs.get("x")
         log.debug("unheard")
-        log.info("attempt ended", request="r1", attempt=0, host="h", why="two words")
+        log.info("attempt_ended", request="r1", attempt=0, host="h", why="two words")
         try:
             raise RuntimeError("boom")
         except RuntimeError:
@@ -70,7 +70,7 @@
     lines = capsys.readouterr().err.splitlines()
     first = json.loads(lines[0])
     assert {k: first[k] for k in ("event", "level", "request", "attempt", "host")} == {
-        "event": "attempt ended",
+        "event": "attempt_ended",
         "level": "info",
         "request": "r1",
         "attempt": 0,
@@ -78,7 +78,7 @@
     }
     assert "boom" in json.loads(lines[1])["exception"]
     assert "unheard" not in "".join(lines)
-    assert " info attempt ended request=r1 attempt=0 host=h why='two words'" in lines[2]
+    assert " info attempt_ended request=r1 attempt=0 host=h why='two words'" in lines[2]
 
 
 @async_test
--- a/tests/project/test_errors.py
+++ b/tests/project/test_errors.py
@@ -55,4 +55,4 @@
 def test_a_line_says_code_what_happened_and_what_to_do():
     e = ListenError("ops", ("127.0.0.1", 7), OSError(98, "Address already\nin use"))
     assert e.line == f"listen: ops: 127.0.0.1:7: Address already in use; {e.remedy}"
-    assert e.fields == {"code": "listen", "why": "ops: 127.0.0.1:7: Address already in use", "do": e.remedy}
+    assert e.fields == {"code": "listen", "error": "ops: 127.0.0.1:7: Address already in use", "remedy": e.remedy}
