--- a/badgerroad/dispatcher/core.py
+++ b/badgerroad/dispatcher/core.py
@@ -18,8 +18,8 @@
 from badgerroad.extension import DispatcherExtension
 from badgerroad.frontend.http import Frontend
 from badgerroad.load_balancing import interface
+from badgerroad.load_balancing.availability import unavailable_workers
 from badgerroad.load_balancing.policy import DispatchPolicy
-from badgerroad.load_balancing.state import avoided
 from badgerroad.net import logs
 from badgerroad.net.connection import Address
 from badgerroad.net.descriptor_budget import DescriptorBudget
@@ -102,7 +102,7 @@
             interface.FetchEndpoints: lambda action: watch.fetch(),
             interface.HealthCheck: lambda action: backend.check_health(str(action.worker)),
             interface.CloseIdle: lambda action: backend.close_idle(str(action.worker)),
-            interface.Log: lambda action: log.info("module", text=action.text),
+            interface.Log: lambda action: log.info("decisions_message", text=action.text),
         }
 
     @property
@@ -146,7 +146,7 @@
         address; what the sockets are built on takes effect at the next start."""
         self._warn_of_fields_for_next_start(config)
         log.info(
-            "reload",
+            "configuration_reloaded",
             discovery=f"{config.discovery[0]}:{config.discovery[1]}",
             classes=",".join(request_class.name for request_class in config.settings.classes),
             attempts=config.settings.max_attempts,
@@ -189,7 +189,9 @@
         """What the second listener shows. Raises RuntimeError where this dispatcher does not count."""
         if self.counts is None:
             raise RuntimeError("this dispatcher was made without counts")
-        return self.counts.metrics(len(self.endpoint_watch.states), avoided(self.decisions, self.clock.now()))
+        return self.counts.metrics(
+            len(self.endpoint_watch.states), unavailable_workers(self.decisions.workers.values(), self.clock.now())
+        )
 
     def next_request_number(self) -> int:
         """A number that no other request of this process has."""
@@ -232,7 +234,7 @@
             ("sockets", self.config.max_sockets, config.max_sockets),
         ):
             if before != after:
-                log.warning("reload: takes effect at the next start", field=field)
+                log.warning("setting_needs_restart", field=field)
 
     def _apply_settings(self, config: Config) -> None:
         reader = self.endpoint_watch.reader
--- /dev/null
+++ b/badgerroad/load_balancing/availability.py
@@ -0,0 +1,18 @@
+"""How many listed workers are sent nothing, for the metrics."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from . import interface
+from .workers import Worker
+
+GONE = interface.WorkerState.GONE
+READY = interface.WorkerState.READY
+
+
+def unavailable_workers(workers: Iterable[Worker], now: int) -> int:
+    """Listed workers that are draining, or ejected at `now` (microseconds) after failures in a row."""
+    return sum(
+        worker.info.state != GONE and (worker.info.state != READY or worker.ejected_until > now) for worker in workers
+    )
--- a/badgerroad/load_balancing/state.py
+++ b/badgerroad/load_balancing/state.py
@@ -1,4 +1,4 @@
-"""Copies the decisions' state out and in, for the operators' figures and for another process of the same dispatcher.
+"""Copies the decisions' state out and in, for another process of the same dispatcher.
 
 Nothing is decided here. Times are microseconds of the clock that comes with the events; both processes read the same.
 The names and the order of values in what is copied belong to the messages between processes: they are mapped to the
@@ -16,18 +16,6 @@
 from .policy import DispatchPolicy
 from .workers import MachineType, Worker
 
-GONE = interface.WorkerState.GONE
-READY = interface.WorkerState.READY
-
-
-def avoided(decisions: DispatchPolicy, now: int) -> int:
-    """How many workers of the list are sent nothing now: they are draining, or ejected after faults."""
-    return sum(
-        worker.info.state != GONE and (worker.info.state != READY or worker.ejected_until > now)
-        for worker in decisions.workers.values()
-    )
-
-
 # What has been learned.
 
 
@@ -384,4 +372,4 @@
     if known is not None and known.info.started_at == info.started_at:
         return known
     machine_type = decisions.subsets.roster.machine_types.setdefault(info.machine_type, MachineType())
-    return Worker(info._replace(state=GONE), machine_type)
+    return Worker(info._replace(state=interface.WorkerState.GONE), machine_type)
