--- /dev/null
+++ b/benchmarks/upgrade_between_versions.py
@@ -0,0 +1,77 @@
+"""Real upgrades between two versions of the program under load, both ways, and a way back without a new process.
+
+    PYTHONPATH=. .venv/bin/python benchmarks/upgrade_between_versions.py OLD NEW
+
+OLD and NEW are checkouts; both run on this interpreter. Exit code 1 where a request was lost, run twice, or its
+connection was closed.
+"""
+
+import asyncio
+import os
+import pathlib
+import sys
+import tempfile
+from collections import Counter
+
+from tests.support.service import Service
+
+CLIENTS = 4
+REQUESTS = 60  # of each client
+
+
+class VersionedService(Service):
+    """A service whose next process runs the checkout in `tree`."""
+
+    tree = "."
+
+    async def run(self, log, ops, *more):
+        environment = {
+            **os.environ,
+            "PROXY_CONFIG": str(self.folder / "c.json"),
+            "PROXY_OPS": f"127.0.0.1:{ops}",
+            "TMPDIR": str(self.folder),
+            "PYTHONPATH": str(self.tree),
+        }
+        with open(self.folder / log, "w") as stderr:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable, "-m", "badgerroad", "serve", *more, env=environment, stderr=stderr, cwd=self.tree
+            )
+        self.processes.append((process, ops))
+        return process
+
+
+async def end(process):
+    process.terminate()
+    return await asyncio.wait_for(process.wait(), 10)
+
+
+async def upgrades(service, old, new):
+    """Exit codes of: old to new, new to old, and old to new whose new process ends, so that the old goes on."""
+    service.tree = old
+    running = await service.start()
+    load = [asyncio.ensure_future(service.client(f"c{n}", REQUESTS)) for n in range(CLIENTS)]
+    codes = []
+    for tree in (new, old):
+        service.tree = tree
+        successor = await service.start()
+        codes.append(await end(running))
+        running = successor
+    service.tree = new
+    codes.append(await end(await service.start()))
+    failures = [result for result in await asyncio.gather(*load, return_exceptions=True) if result is not None]
+    return codes, failures
+
+
+async def main(old, new):
+    with tempfile.TemporaryDirectory() as folder:
+        async with VersionedService(pathlib.Path(folder)) as service:
+            codes, failures = await upgrades(service, old.resolve(), new.resolve())
+            answers = Counter(service.ends)
+            runs = Counter(service.ran.values())
+    print(f"exit codes {codes}; answers {dict(answers)}; runs of each request {dict(runs)}; failures {failures}")
+    expected = CLIENTS * REQUESTS
+    return 0 if answers == {(200, b"made"): expected} and runs == {1: expected} and codes == [0, 0, 0] else 1
+
+
+if __name__ == "__main__":
+    sys.exit(asyncio.run(main(pathlib.Path(sys.argv[1]), pathlib.Path(sys.argv[2]))))
