--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -254,6 +254,7 @@
 
     @successor.setter
     def successor(self, successor: ConnectionSuccessor | None) -> None:
+        """Set what passes idle connections to the process that takes over; None: nothing does."""
         self.pools.successor = successor
 
     def set_address(self, name: str, address: Address) -> None:
--- a/badgerroad/emulator/counts.py
+++ b/badgerroad/emulator/counts.py
@@ -36,6 +36,7 @@
     loads: list[float] = []
 
     def loads_of(world: virtual.VirtualWorld) -> None:
+        """Note the load of the nodes at the end of the arrivals."""
         for warm in (False, True):
             could = sum(node.could_do[warm] for node in world.nodes)
             loads.append(sum(node.work_done[warm] for node in world.nodes) / could if could else 0.0)
--- a/badgerroad/emulator/live/tier.py
+++ b/badgerroad/emulator/live/tier.py
@@ -198,6 +198,7 @@
         data, _ = self.request(client_try)
 
         def sent(caller: Caller) -> None:
+            """The bytes of the request are with the connection."""
             self.clients[client_try.id] = caller
             caller.unasked = lambda: self.world.referee.answered(client_try.id, "answered unasked")
             if not again:
@@ -315,6 +316,7 @@
         wait = min(int(words.get(b"wait", b"0")), 60_000) * 1000
 
         def reply(answer: Answer | None) -> None:
+            """Write the answer of discovery."""
             if answer is None:
                 connection.answer(503)
                 return
--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -379,6 +379,7 @@
             return
 
         def arrives() -> None:
+            """The health check is at the node."""
             load = node.probe()
             values = None if load is None else (load["qps"], load["inflight"], load["x0"], load["x1"])
             self.later(
--- a/badgerroad/emulator/model/clients.py
+++ b/badgerroad/emulator/model/clients.py
@@ -112,6 +112,7 @@
         """It takes some seconds to notice that; one that is back by then was never missed."""
 
         def noticed() -> None:
+            """The front has noticed that the dispatcher is down."""
             if dispatcher in self.believed and not is_up(dispatcher):
                 self.believed[dispatcher] = False
 
--- a/badgerroad/emulator/rehearse.py
+++ b/badgerroad/emulator/rehearse.py
@@ -83,6 +83,7 @@
     console, said = Console(), [0]
 
     def plain(world: LiveWorld) -> None:
+        """Print a line of progress, where the output is no terminal."""
         if world.kernel.now >= said[0]:
             said[0] += PLAIN_EVERY
             t = world.clients.tallies
@@ -94,6 +95,7 @@
             )
 
     async def go() -> LiveWorld:
+        """Play the scenario and show its progress."""
         where = Path(logs) if logs else None
         if not console.is_terminal:
             return await play(s, seed or s.seed, file.parent, where, watch=plain)
--- a/badgerroad/lab/commands.py
+++ b/badgerroad/lab/commands.py
@@ -43,6 +43,7 @@
     with open(path, "wb") as file:
 
         def trace(now: int, what: str, more: dict[str, Any]) -> None:
+            """Write an event of the trace."""
             file.write(msgspec.json.encode({"t_us": now, "event": what, **more}) + b"\n")
 
         yield trace
@@ -142,6 +143,7 @@
     lines: list[str] = []
 
     def collect(now: int, what: str, more: dict[str, Any]) -> None:
+        """Keep an event of the trace as a line of text."""
         lines.append(f"{now / 1e6:10.4f} {what} {more}")
 
     with _log(o["--log"]) as trace:
--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -100,6 +100,7 @@
     begun = loop.time()
 
     async def one(number: int, a: Arrival, due: float) -> None:
+        """Send one request and count its answer."""
         headers = [
             (b"Request-Id", f"{run}-{number:x}".encode()),
             (b"Request-Class", a.cls.encode()),
@@ -140,6 +141,7 @@
     """Latencies in milliseconds, of all answers whatever they said."""
 
     def of(o: Outcome) -> dict[str, object]:
+        """The counts and latencies of one class."""
         return {
             "counts": dict(sorted(o.counts.items())),
             "max_ms": o.histogram.get_max_value() / 1000,
--- a/badgerroad/lab/theory.py
+++ b/badgerroad/lab/theory.py
@@ -76,6 +76,7 @@
     waits = [0.0, 0.0]
 
     def tell(node: RenderNode, job: Job, state: str, share: float) -> None:
+        """Count the wait of a job that starts."""
         if state == STARTED and int(job.id) >= skipped:
             waits[0] += kernel.now - job.arrived
             waits[1] += 1
@@ -95,6 +96,7 @@
     gap, due = MEAN / case.load / case.servers, [0.0]
 
     def arrive(number: int) -> None:
+        """A job arrives."""
         work = works.exponential(MEAN) if case.cv < 0 else works.lognormal(MEAN, case.cv)
         node.submit(Job(str(number), "", 0, 0, work))
         if number + 1 < jobs:
--- a/badgerroad/net/logs.py
+++ b/badgerroad/net/logs.py
@@ -71,6 +71,7 @@
     """Turns the standard library's records into events."""
 
     def emit(self, record: logging.LogRecord) -> None:
+        """See logging.Handler."""
         fields = {"logger": record.name}
         if record.exc_info:
             fields["exception"] = logging.Formatter().formatException(record.exc_info)
@@ -81,6 +82,7 @@
     """Writes to the present standard error. A log that is no longer read must not end the program."""
 
     def msg(self, message: str) -> None:
+        """Write the line."""
         with contextlib.suppress(OSError, ValueError):
             sys.stderr.write(message + "\n")
             sys.stderr.flush()
