--- a/badgerroad/hot_restart/__init__.py
+++ b/badgerroad/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""One dispatcher in two processes while it is upgraded, of which exactly one takes new jobs."""
+"""Hot restart: a running process hands its listener, connections and open requests over to a newly started one."""
--- a/badgerroad/hot_restart/actions.py
+++ b/badgerroad/hot_restart/actions.py
@@ -1,4 +1,4 @@
-"""The actions of `hot_restart.rules`, performed on this dispatcher and the channel to the peer."""
+"""Performs the actions of `hot_restart.rules` on this process's dispatcher and on the channels to its peers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from badgerroad.hot_restart.attempt_reports import AttemptReports
 from badgerroad.hot_restart.connection_transfer import ConnectionTransfer
 from badgerroad.hot_restart.descriptor_accounting import DescriptorAccounting
-from badgerroad.hot_restart.peers import PeerProcess, Peers, Report
+from badgerroad.hot_restart.peers import EventHandler, PeerProcess, Peers
 from badgerroad.hot_restart.rules import Action, PredecessorState
 from badgerroad.load_balancing import state
 from badgerroad.net import logs
@@ -24,19 +24,19 @@
 
 
 class NoListenerError(RuntimeError):
-    """An action needs a listener that this process does not have."""
+    """Raised when an action needs a listener that this process does not have."""
 
 
 class IncompleteOfferError(ValueError):
-    """An offer lacks a field. `field`: its name."""
+    """Raised when an offer lacks the field with the name `field`."""
 
     def __init__(self, field: str) -> None:
-        """`field`: of `messages.Offer`."""
-        super().__init__(f"{field}: missing")
+        """`field`: an attribute of `messages.Offer`."""
+        super().__init__(f"{field}: missing from the offer")
         self.field = field
 
 
-def _present(offer: messages.Offer, field: str) -> Any:
+def _required_field(offer: messages.Offer, field: str) -> Any:
     value = getattr(offer, field)
     if value is None:
         raise IncompleteOfferError(field)
@@ -44,7 +44,10 @@
 
 
 class ActionPerformer:
-    """Performs one action at a time. It owns the offer, and the listener that came with it until that is adopted."""
+    """Performs actions, one at a time.
+
+    Owns the received offer, and the listener received with it until the frontend adopts that.
+    """
 
     def __init__(
         self,
@@ -56,9 +59,10 @@
         attempt_reports: AttemptReports,
         announce: Callable[[], None],
     ) -> None:
-        """`announce`: lets a newer process find this one from now on."""
-        self.finishing = False  # the requests are another process's: this one ends with its last answer
-        self.address: asyncio.Future[Address] = asyncio.get_running_loop().create_future()  # where this process listens
+        """`announce`: makes this process discoverable to newer ones, by the Unix socket."""
+        self.finishing = False  # another process accepts the requests, and this one exits after its last response
+        # The address on which this process listens, once it does.
+        self.listen_address: asyncio.Future[Address] = asyncio.get_running_loop().create_future()
         self.received_listener: socket.socket | None = None
         self._received_offer: messages.Offer | None = None
         self._dispatcher = dispatcher
@@ -68,7 +72,7 @@
         self._transfer = transfer
         self._attempt_reports = attempt_reports
         self._announce = announce
-        self._own_actions: dict[Action, Callable[[], None]] = {
+        self._actions_without_peer: dict[Action, Callable[[], None]] = {
             Action.LISTEN: self._listen,
             Action.ADOPT_LISTENER: self._adopt_listener,
             Action.ACCEPT: self._accept,
@@ -77,7 +81,7 @@
             Action.FINISH: self._finish,
             Action.RESUME_ACCEPTING: self._resume_accepting,
         }
-        self._peer_actions: dict[Action, Callable[[PeerProcess], None]] = {
+        self._actions_on_peer: dict[Action, Callable[[PeerProcess], None]] = {
             Action.FORGET_PEER: peers.forget,
             Action.CLOSE_CHANNEL: self._close_channel,
             Action.SEND_HELLO: self._send_hello,
@@ -88,48 +92,52 @@
         }
 
     def receive_offer(self, offer: messages.Offer, listener: socket.socket) -> None:
-        """An offer has been received, with the listener."""
+        """Keep an offer and the listener received with it, for the action ADOPT_LISTENER."""
         self._received_offer = offer
         self.received_listener = listener
 
-    def perform(self, action: Action, peer: PeerProcess | None, report: Report) -> None:
-        """`peer`: the process that the state machine is about, if there is one; `report` gives an event to it."""
-        if peer is not None and action is not Action.FINISH:  # that awaits nothing; the peer may still become silent
+    def perform(self, action: Action, peer: PeerProcess | None, handle_event: EventHandler) -> None:
+        """Perform `action` for the state machine that handles events with `handle_event`.
+
+        `peer`: the other process that the state machine is about, if there is one.
+        """
+        # FINISH keeps the time-out: it expects no message itself, and the peer may still become silent.
+        if peer is not None and action is not Action.FINISH:
             peer.cancel_timeout()
         log.info("hot_restart", action=str(action))
-        if action in self._own_actions:
-            self._own_actions[action]()
+        if action in self._actions_without_peer:
+            self._actions_without_peer[action]()
         elif action is Action.STOP_ACCEPTING:
             self._stop_accepting(peer)
         elif peer is not None:
-            self._peer_actions[action](peer)
-            self._expect_reply(action, peer, report)
+            self._actions_on_peer[action](peer)
+            self._expect_reply(action, peer, handle_event)
         if action is Action.FORGET_PEER:
-            self._descriptors.take_all_back()
+            self._descriptors.reclaim_all()
 
-    def _expect_reply(self, action: Action, peer: PeerProcess, report: Report) -> None:
+    def _expect_reply(self, action: Action, peer: PeerProcess, handle_event: EventHandler) -> None:
         timeout_us = rules.REPLY_TIMEOUT_US.get(action)
         if action is Action.SEND_GRANT and peer is self._peers.newer:
             timeout_us = timeout_us or rules.MISSING_HEARTBEAT_US
         if timeout_us is not None:
-            peer.expect_message(self._wheel, timeout_us, report)
+            peer.expect_message(self._wheel, timeout_us, handle_event)
 
     def _listen(self) -> None:
         dispatcher = self._dispatcher
         try:
             address = dispatcher.frontend.listen(dispatcher.config.listen, shared=True)
         except OSError as error:
-            self.address.set_exception(error)
+            self.listen_address.set_exception(error)
             return
-        self.address.set_result(address)
+        self.listen_address.set_result(address)
         dispatcher.start_discovery(dispatcher.config.cached_endpoints)
         self._announce()
 
     def _adopt_listener(self) -> None:
         if self.received_listener is None or self._received_offer is None:
-            raise NoListenerError("no offer was received")
+            raise NoListenerError("cannot adopt a listener: no offer has been received")
         dispatcher = self._dispatcher
-        self.address.set_result(dispatcher.frontend.adopt_listener(self.received_listener, accept=False))
+        self.listen_address.set_result(dispatcher.frontend.adopt_listener(self.received_listener, accept=False))
         try:
             self._use_offer(self._received_offer)
         except (KeyError, TypeError, ValueError, EndpointListError) as error:
@@ -137,15 +145,15 @@
             dispatcher.start_discovery(dispatcher.config.cached_endpoints)
 
     def _use_offer(self, offer: messages.Offer) -> None:
-        """Raises KeyError, TypeError, ValueError or EndpointListError if it cannot be read."""
-        self._descriptors.leave_to_peer(int(_present(offer, "descriptors_in_use")))
-        self._dispatcher.adopt_name_indices(_present(offer, "zones"), _present(offer, "machine_types"))
-        self._dispatcher.start_discovery(_present(offer, "endpoint_list"))
+        """Apply the offer's fields. Raises KeyError, TypeError, ValueError or EndpointListError if one is invalid."""
+        self._descriptors.set_peer_usage(int(_required_field(offer, "descriptors_in_use")))
+        self._dispatcher.adopt_name_indices(_required_field(offer, "zones"), _required_field(offer, "machine_types"))
+        self._dispatcher.start_discovery(_required_field(offer, "endpoint_list"))
 
     def _accept(self) -> None:
         self._dispatcher.frontend.start_accepting()
         self._announce()
-        self._descriptors.report_until_alone()
+        self._descriptors.report_periodically()
 
     def _stop_accepting(self, peer: PeerProcess | None) -> None:
         for extension in self._dispatcher.extensions:
@@ -157,7 +165,7 @@
     def _resume_accepting(self) -> None:
         self._transfer.stop()
         self._dispatcher.frontend.resume_accepting()
-        self._announce()  # the name is the peer's, or that of a dead process
+        self._announce()  # the path of the Unix socket belongs to the peer, or to a process that has ended
         if self._peers.older is not None:
             self._peers.older.send(messages.Superseded(False))
 
@@ -178,7 +186,7 @@
     def _close_channel(self, peer: PeerProcess) -> None:
         peer.channel.close()
         if self._peers.predecessor.state is PredecessorState.OVER and peer is self._peers.newer:
-            self._descriptors.take_all_back()
+            self._descriptors.reclaim_all()
             self._peers.newer = None
 
     def _send_hello(self, peer: PeerProcess) -> None:
@@ -187,8 +195,8 @@
     def _send_offer(self, peer: PeerProcess) -> None:
         listener = self._dispatcher.frontend.listener
         if listener is None:
-            raise NoListenerError("a process that does not listen was asked for its listener")
-        self._descriptors.prepare_offer()
+            raise NoListenerError("cannot offer a listener: this process does not listen")
+        self._descriptors.reserve_for_successor()
         peer.send(snapshot.offer(self._dispatcher), descriptor=listener.fileno())
 
     def _send_claim(self, peer: PeerProcess) -> None:
@@ -199,11 +207,12 @@
 
     def _send_grant(self, peer: PeerProcess) -> None:
         peers, dispatcher = self._peers, self._dispatcher
-        attempts = state.attempts_out(dispatcher.decisions, self._attempt_reports.key)
+        attempts = state.attempts_out(dispatcher.decisions, self._attempt_reports.attempt_key)
         if peers.older is not None and peer is not peers.older:
             attempts += peers.older.attempts.listed()
-        # An older process that accepts again has the state: this one's attempts were reported to it.
+        # Only a newer process is sent the learned state. An older one that resumes has kept its own, and this process's
+        # attempts were reported to it.
         with_state = peer is peers.newer
         peer.send(snapshot.grant(dispatcher, attempts, peers.open_requests, with_state))
         self._transfer.begin(peer)
-        self._descriptors.report_until_alone()
+        self._descriptors.report_periodically()
--- a/badgerroad/hot_restart/attempt_reports.py
+++ b/badgerroad/hot_restart/attempt_reports.py
@@ -1,4 +1,4 @@
-"""What the processes of an upgrade report of their attempts, so that each counts the others' at the workers."""
+"""Reports attempts to the other processes of a hot restart, so that each counts the others' load at the workers."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
     """Reports this process's attempts, under keys that are unique among all processes of a dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        """Keys begin with this process's id."""
+        """Use the process id as the prefix of all attempt keys."""
         self._dispatcher = dispatcher
         self._process_id = str(os.getpid())
 
-    def key(self, request: int, number: int) -> str:
-        """The key of attempt `number` of a request."""
+    def attempt_key(self, request: int, number: int) -> str:
+        """Return the key of attempt `number` of the request with the local number `request`."""
         return f"{self._process_id}.{request}.{number}"
 
-    def sent(self, peers: list[PeerProcess], attempt: Attempt) -> None:
-        """An attempt goes out."""
+    def report_sent(self, peers: list[PeerProcess], attempt: Attempt) -> None:
+        """Report to `peers` that an attempt is being sent, with its cost."""
         if not peers:
             return
         slots, long, work = state.cost_of(self._dispatcher.decisions, attempt.request)
-        key = self.key(attempt.request, attempt.number)
+        key = self.attempt_key(attempt.request, attempt.number)
         self._send(peers, messages.AttemptSent(key, attempt.worker, slots, long, work))
 
-    def started(self, peers: list[PeerProcess], request: int, number: int) -> None:
-        """A worker has begun with an attempt."""
-        self._send(peers, messages.AttemptStarted(self.key(request, number)))
+    def report_started(self, peers: list[PeerProcess], request: int, number: int) -> None:
+        """Report to `peers` that a worker has started to process an attempt."""
+        self._send(peers, messages.AttemptStarted(self.attempt_key(request, number)))
 
-    def ended(self, peers: list[PeerProcess], attempt: Attempt) -> None:
-        """An attempt has ended or has moved."""
-        self._send(peers, messages.AttemptEnded(self.key(attempt.request, attempt.number)))
+    def report_ended(self, peers: list[PeerProcess], attempt: Attempt) -> None:
+        """Report to `peers` that an attempt has ended or has moved to another process."""
+        self._send(peers, messages.AttemptEnded(self.attempt_key(attempt.request, attempt.number)))
 
     @staticmethod
     def _send(peers: list[PeerProcess], message: Message) -> None:
@@ -46,7 +46,7 @@
             peer.send(message)
 
 
-def count_sent(sender: PeerProcess, message: messages.AttemptSent, now: int) -> None:
-    """Count an attempt of `sender`; `now` in microseconds."""
+def record_peer_attempt(sender: PeerProcess, message: messages.AttemptSent, now: int) -> None:
+    """Count an attempt that `sender` has reported; `now` is in microseconds."""
     spent = now, message.work
     sender.attempts.sent(message.attempt, message.worker, message.slots, message.long, spent)
--- a/badgerroad/hot_restart/connection_transfer.py
+++ b/badgerroad/hot_restart/connection_transfer.py
@@ -1,4 +1,4 @@
-"""Connections and open requests on their way to the process that accepts new ones, and from one that has yielded."""
+"""Passes connections and open requests to the process that accepts new ones, and adopts those that a peer passes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
-RETRY_INTERVAL_US = 20_000  # for what could not be passed on: the channel was busy, or the connection had been read
+# Between two attempts to pass the clients' connections. A connection cannot be passed while the channel is busy, or
+# while the connection is being read or written.
+RETRY_INTERVAL_US = 20_000
 
 
 class ConnectionTransfer:
@@ -31,7 +33,7 @@
         attempt_reports: AttemptReports,
         unmatched: UnmatchedJobEvents,
     ) -> None:
-        """Nothing is passed until `begin`."""
+        """Pass no connections until `begin` is called."""
         self._dispatcher = dispatcher
         self._wheel = wheel
         self._peers = peers
@@ -40,19 +42,19 @@
         self._unmatched = unmatched
 
     def begin(self, recipient: PeerProcess) -> None:
-        """Pass connections and open requests to `recipient` from now on."""
+        """Start to pass connections and open requests to `recipient`."""
         self._peers.recipient = recipient
-        self._descriptors.leave_all_but_used()
+        self._descriptors.leave_unused_to_peer()
         backend = self._dispatcher.backend
         backend.successor = self._pass_worker_connection
         backend.pass_connections_on()
         self._pass_clients()
 
     def stop(self) -> None:
-        """Pass nothing any more."""
+        """Stop passing connections and open requests."""
         self._peers.recipient = None
         self._dispatcher.backend.successor = None
-        self._descriptors.take_all_back()
+        self._descriptors.reclaim_all()
 
     def _pass_clients(self) -> None:
         if self._dispatcher.frontend.successor is not None:
@@ -60,9 +62,9 @@
             self._wheel.after(RETRY_INTERVAL_US, self._pass_clients)
 
     def pass_client(self, descriptor: int, connection: dict[str, Any], data: bytes, exchange: Exchange | None) -> bool:
-        """Pass a client's connection, with its open request if it has one; false if that is not possible now.
+        """Pass a client's connection, with its open request if it has one; returns False if it cannot be passed yet.
 
-        `connection`: the frontend's description of it; `data`: the bytes read and not used yet.
+        `connection`: the frontend's description of the connection; `data`: the bytes read but not yet parsed.
         """
         recipient = self._peers.recipient
         if recipient is None or recipient.channel.busy:
@@ -82,7 +84,7 @@
     def _forget_passed(self, request: OpenRequest) -> None:
         for attempt in request.attempts:
             if not attempt.ended:
-                self._attempt_reports.ended(self._peers.sharing(), attempt)
+                self._attempt_reports.report_ended(self._peers.active(), attempt)
         request_transfer.forget(self._dispatcher, request)
 
     def _pass_worker_connection(self, descriptor: int, worker: str, address: Address, idle_us: int) -> bool:
@@ -91,10 +93,10 @@
         return recipient is not None and recipient.try_send(message, b"", descriptor)
 
     def adopt_client(self, sock: socket.socket, message: messages.ClientConnection, payload: bytes) -> None:
-        """Take over a client's connection and its open request."""
+        """Take over a client's connection, with its open request if it has one."""
         dispatcher, request = self._dispatcher, message.request
         body, data = payload[: message.body_length], payload[message.body_length :]
-        self._descriptors.take_one_back()
+        self._descriptors.reclaim_one()
         if request is None:
             dispatcher.frontend.adopt_connection(sock, message.connection, data, None)
             return
@@ -106,7 +108,7 @@
             data,
             lambda connection: request_transfer.restore(dispatcher, request, body, connection),
         )
-        for event in self._unmatched.of_request(request_id):
+        for event in self._unmatched.for_request(request_id):
             dispatcher.backend.handle_job_event(event.request_id, event.worker, event.state, event.item)
 
     def adopt_worker_connection(self, sock: socket.socket, message: messages.WorkerConnection) -> None:
--- a/badgerroad/hot_restart/descriptor_accounting.py
+++ b/badgerroad/hot_restart/descriptor_accounting.py
@@ -1,4 +1,4 @@
-"""The one limit of descriptors that all processes of a dispatcher share while it is upgraded."""
+"""Divides one limit of file descriptors among the processes of a dispatcher during a hot restart."""
 
 from __future__ import annotations
 
@@ -7,54 +7,55 @@
 from badgerroad.hot_restart.peers import Peers
 from badgerroad.net.timer_wheel import TimerWheel
 
-REPORT_INTERVAL_US = 200_000  # between two reports to the peers; also the heartbeat
-# Descriptors that a process uses besides connections, as counted on one: standard streams, the loop's own three, the
-# listener, the second address with its callers, the Unix socket and the channel, discovery's connection.
+REPORT_INTERVAL_US = 200_000  # between two reports to the peers, which also serve as heartbeats
+# Descriptors that a process uses in addition to its connections, as counted on a running one: the standard streams,
+# three of the event loop, the listener, the admin listener and its connections, the Unix socket, the channel to the
+# peer, and the connection to discovery.
 BASE_DESCRIPTORS = 24
-RESERVED_DESCRIPTORS = 4  # that the older process may still open, for retries and cancels
+RESERVED_DESCRIPTORS = 4  # that the older process may still open, for retries and cancellations
 
 
 class DescriptorAccounting:
-    """Leaves descriptors to the peers, and reports to them how many are in use here."""
+    """Reduces this process's descriptor limit by what the peers use, and reports its own usage to them."""
 
     def __init__(self, dispatcher: Dispatcher, wheel: TimerWheel, peers: Peers) -> None:
-        """Nothing is left to peers, nor reported, yet."""
+        """Start with the whole limit available to this process and without periodic reports."""
         self._dispatcher = dispatcher
         self._wheel = wheel
         self._peers = peers
 
-    def leave_to_peer(self, in_use: int) -> None:
-        """`in_use`: descriptors of connections in the peer."""
+    def set_peer_usage(self, in_use: int) -> None:
+        """Reduce this process's limit by the peer's usage; `in_use`: descriptors of the peer's connections."""
         self._dispatcher.descriptors.set_used_elsewhere(in_use + BASE_DESCRIPTORS)
 
-    def leave_all_but_used(self) -> None:
-        """Only what is open now stays this process's."""
+    def leave_unused_to_peer(self) -> None:
+        """Limit this process to the descriptors open now and a small reserve; the peer may use all others."""
         descriptors = self._dispatcher.descriptors
         descriptors.set_used_elsewhere(descriptors.total - descriptors.used - RESERVED_DESCRIPTORS)
 
-    def take_one_back(self) -> None:
-        """A connection has moved here, with its descriptor."""
+    def reclaim_one(self) -> None:
+        """Raise this process's limit by the descriptor of a connection that a peer has passed to it."""
         descriptors = self._dispatcher.descriptors
         descriptors.set_used_elsewhere(max(descriptors.total - descriptors.limit - 1, 0))
 
-    def take_all_back(self) -> None:
-        """No peer uses any."""
+    def reclaim_all(self) -> None:
+        """Give this process the whole limit again, since no peer uses descriptors any more."""
         self._dispatcher.descriptors.set_used_elsewhere(0)
 
-    def prepare_offer(self) -> None:
-        """Leave a second process what it needs at its start; connections that are idle go if there is too little."""
+    def reserve_for_successor(self) -> None:
+        """Reserve the descriptors that a successor needs at its start, closing idle connections if they are scarce."""
         dispatcher = self._dispatcher
         dispatcher.descriptors.set_used_elsewhere(BASE_DESCRIPTORS)
         if dispatcher.descriptors.scarce:
             dispatcher.frontend.shed_idle_connections()
             dispatcher.backend.shed_idle_connections()
 
-    def report_until_alone(self) -> None:
-        """Report the descriptors in use to all peers, now and periodically while there are any."""
+    def report_periodically(self) -> None:
+        """Report the descriptors in use to all active peers, now and at every interval while there are any."""
         used = self._dispatcher.descriptors.used
-        sharing = self._peers.sharing()
-        for peer in sharing:
+        active_peers = self._peers.active()
+        for peer in active_peers:
             reserved = RESERVED_DESCRIPTORS if peer is self._peers.recipient else 0
             peer.send(messages.DescriptorsInUse(used + reserved))
-        if sharing:
-            self._wheel.after(REPORT_INTERVAL_US, self.report_until_alone)
+        if active_peers:
+            self._wheel.after(REPORT_INTERVAL_US, self.report_periodically)
--- a/badgerroad/hot_restart/messages.py
+++ b/badgerroad/hot_restart/messages.py
@@ -1,6 +1,6 @@
-"""The messages between the two processes of an upgrade.
+"""The messages between the two processes of a hot restart.
 
-The form that all messages have is described in `badgerroad.process_messages`.
+`badgerroad.process_messages` describes the form that all messages have.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """From the successor: which dispatcher it is, and the version of its messages."""
+    """Sent by the successor: its dispatcher's identity and the version of its messages."""
 
     kind: ClassVar[str] = "hello"
     version: int
@@ -34,13 +34,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """From the predecessor, with the listener. A successor that cannot read it serves with what it knows by itself."""
+    """Sent by the predecessor, with the listener.
+
+    A successor that cannot read the fields serves all the same, with the endpoint list of its own configuration. So
+    `from_head` does not check them.
+    """
 
     kind: ClassVar[str] = "offer"
     version: int
-    endpoint_list: Any  # as a discovery server sends it
-    zones: Any  # names in the order of their numbers
-    machine_types: Any
+    endpoint_list: Any  # in the format of a discovery server
+    zones: Any  # names, by index
+    machine_types: Any  # names, by index
     descriptors_in_use: Any
 
     def to_head(self) -> Head:
@@ -55,13 +59,13 @@
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """See `Message`. Only the version has to be there."""
+        """See `Message`. Only the version is required; other fields that are missing become None."""
         return cls(head["version"], head.get("known"), head.get("zones"), head.get("kinds"), head.get("held"))
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The sender is prepared to accept new requests, and asks for them."""
+    """Sent by a process that is prepared to accept new requests, to ask for them."""
 
     kind: ClassVar[str] = "take"
 
@@ -77,12 +81,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The sender has stopped accepting: new requests are the receiver's, with all that it needs for them."""
+    """Sent by a process that has stopped accepting, so that the receiver accepts new requests from now on."""
 
     kind: ClassVar[str] = "yours"
-    state: dict[str, Any] | None  # of the decisions, as `load_balancing.state` saves it
+    state: dict[str, Any] | None  # learned by the dispatch policy, as `load_balancing.state` saves it
     attempts: list[Any]  # in flight, as `load_balancing.state` lists them
-    open_requests: list[bytes]
+    open_requests: list[bytes]  # ids
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -97,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Return:
-    """The successor terminates and asks the predecessor to claim the new requests again."""
+    """Sent by a successor that terminates, to ask the predecessor to claim the new requests again."""
 
     kind: ClassVar[str] = "return"
 
@@ -113,12 +117,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientConnection:
-    """A client's connection. The payload is its open request's body, then the bytes read and not used yet."""
+    """Passes a client's connection to the receiver.
+
+    The payload is the body of the connection's open request, followed by the bytes read but not yet parsed.
+    """
 
     kind: ClassVar[str] = "client"
     connection: Head  # as the frontend describes it
     request: dict[str, Any] | None  # the open request, as `hot_restart.request_transfer` describes it
-    body_length: int
+    body_length: int  # bytes
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -133,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerConnection:
-    """An idle connection to a worker."""
+    """Passes an idle connection to a worker to the receiver."""
 
     kind: ClassVar[str] = "host"
     worker: str
@@ -153,14 +160,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptSent:
-    """An attempt goes out. Its key is unique among the processes of a dispatcher."""
+    """Reports that an attempt of the sender is being sent to a worker."""
 
     kind: ClassVar[str] = "sent"
-    attempt: str
+    attempt: str  # a key that is unique among the processes of a dispatcher
     worker: str
     slots: float
     long: bool
-    work: float
+    work: float  # expected, in microseconds
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -180,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptStarted:
-    """A worker has begun with an attempt."""
+    """Reports that a worker has started to process an attempt of the sender."""
 
     kind: ClassVar[str] = "started"
     attempt: str
@@ -197,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended, or has moved to the receiver with its request."""
+    """Reports that an attempt of the sender has ended, or has moved to another process with its request."""
 
     kind: ClassVar[str] = "over"
     attempt: str
@@ -214,7 +221,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEnded:
-    """An open request has ended: its id is free again."""
+    """Reports that an open request has ended, so that its id may be used again."""
 
     kind: ClassVar[str] = "ended"
     request_id: bytes
@@ -231,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """The successor has yielded to a third process, or (`superseded` false) accepts new requests again."""
+    """Sent by a successor that has yielded to a third process, or (`superseded` false) accepts new requests again."""
 
     kind: ClassVar[str] = "passed on"
     superseded: bool
@@ -248,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DescriptorsInUse:
-    """How many descriptors the sender uses; also its heartbeat."""
+    """Reports how many descriptors the sender uses; also serves as its heartbeat."""
 
     kind: ClassVar[str] = "held"
     descriptors: int
@@ -279,7 +286,7 @@
     | Superseded
     | DescriptorsInUse
 )
-_TYPES: Mapping[str, type[AnyMessage]] = {
+_TYPES_BY_KIND: Mapping[str, type[AnyMessage]] = {
     message_type.kind: message_type
     for message_type in (
         Hello,
@@ -301,8 +308,11 @@
 
 
 def decode(kind: str, head: Head) -> AnyMessage:
-    """The message in a packet's head. Raises KeyError, TypeError, ValueError, AttributeError or BadPacketError."""
-    message_type = _TYPES.get(kind)
+    """Return the message in a packet's head.
+
+    Raises KeyError, TypeError, ValueError, AttributeError or BadPacketError.
+    """
+    message_type = _TYPES_BY_KIND.get(kind)
     if message_type is None:
-        raise BadPacketError(f"no such kind of message: {kind}")
+        raise BadPacketError(f"unknown kind of message: {kind}")
     return message_type.from_head(head)
--- a/badgerroad/hot_restart/peers.py
+++ b/badgerroad/hot_restart/peers.py
@@ -1,6 +1,7 @@
-"""The other processes of an upgrade, as this process knows them.
+"""The other processes of a hot restart, as this process sees them.
 
-A process may know an older one, whose requests run out, and a newer one, to which it has yielded.
+A process can have an older peer, which only finishes its open requests, and a newer one, to which this process has
+yielded.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from badgerroad.net.unix_channel import OnMessage, UnixChannel
 from badgerroad.process_messages import Message
 
-Report = Callable[[rules.Event], None]  # gives an event to the state machine that a peer belongs to
+EventHandler = Callable[[rules.Event], None]  # passes an event to the state machine of one peer
 
-# With the older process, in these states of the successor, this one is one dispatcher: both have requests.
-_SHARING_WITH_OLDER = (SuccessorState.SERVING, SuccessorState.RETURNING, SuccessorState.GIVEN_BACK)
-_SHARING_WITH_NEWER = (
+# States of this process in which the older peer, or the newer one, has requests of the dispatcher too.
+_STATES_WITH_ACTIVE_OLDER = (SuccessorState.SERVING, SuccessorState.RETURNING, SuccessorState.GIVEN_BACK)
+_STATES_WITH_ACTIVE_NEWER = (
     PredecessorState.YIELDED,
-    PredecessorState.PASSED,
+    PredecessorState.SUPERSEDED,
     PredecessorState.RESUMING,
     PredecessorState.RESUMED,
 )
@@ -34,64 +35,67 @@
     def __init__(
         self, sock: socket.socket, on_message: OnMessage, on_closed: Callable[[], None], decisions: DispatchPolicy
     ) -> None:
-        """Owns `sock` from now on; `on_message` and `on_closed` as in `UnixChannel`."""
+        """Take ownership of `sock`; `on_message` and `on_closed` are those of `UnixChannel`."""
         self.channel = UnixChannel(sock, on_message, on_closed)
-        self.attempts = state.PeerAttempts(decisions)  # that it has in flight
-        self.open_requests: set[bytes] = set()  # ids that it had when this process accepted first
+        self.attempts = state.PeerAttempts(decisions)  # that the peer has in flight
+        self.open_requests: set[bytes] = set()  # ids of the peer's open requests when it sent its grant
         self._reply_timer: Timer | None = None
 
     def send(self, message: Message, descriptor: int | None = None) -> None:
-        """Queue a message. `descriptor` must stay open until it is sent."""
+        """Queue a message. `descriptor` must stay open until the message has been sent."""
         self.channel.send(message.kind, message.to_head(), descriptor)
 
     def try_send(self, message: Message, payload: bytes, descriptor: int) -> bool:
-        """Send now or not at all; what is not sent stays the caller's."""
+        """Send at once or not at all; returns whether it was sent. If not, `descriptor` stays the caller's."""
         return self.channel.try_send(message.kind, message.to_head(), payload, descriptor)
 
-    def expect_message(self, wheel: TimerWheel, timeout_us: int, report: Report) -> None:
-        """Report TIMED_OUT unless a message is received within the time."""
+    def expect_message(self, wheel: TimerWheel, timeout_us: int, handle_event: EventHandler) -> None:
+        """Pass the event TIMED_OUT to `handle_event` unless a message is received within `timeout_us`."""
         self.cancel_timeout()
-        self._reply_timer = wheel.after(timeout_us, lambda: report(rules.Event.TIMED_OUT), awaits_peer=True)
+        self._reply_timer = wheel.after(timeout_us, lambda: handle_event(rules.Event.TIMED_OUT), awaits_peer=True)
 
     def cancel_timeout(self) -> None:
-        """No message is expected any more."""
+        """Cancel the time-out for the next message."""
         if self._reply_timer is not None:
             self._reply_timer.cancel()
             self._reply_timer = None
 
 
 class Peers:
-    """The state machines, the processes that they are about, and the requests that are open there."""
+    """The state machines of this process, the peers that they are about, and the requests open in the peers."""
 
     def __init__(self) -> None:
-        """No other process is known yet."""
-        self.successor = rules.Successor()  # what this process is to an older one
-        self.predecessor = rules.Predecessor()  # what it is to a newer one
+        """Start without peers."""
+        self.successor = rules.Successor()  # this process's role towards an older one
+        self.predecessor = rules.Predecessor()  # this process's role towards a newer one
         self.older: PeerProcess | None = None
         self.newer: PeerProcess | None = None
-        # Connections and open requests are passed to it, as it accepts the new ones.
+        # The peer that accepts new requests, to which connections and open requests are passed. None: none are passed.
         self.recipient: PeerProcess | None = None
-        self.open_requests: set[bytes] = set()  # ids that are open in another process
+        self.open_requests: set[bytes] = set()  # ids of requests that are open in another process
 
-    def sharing(self) -> list[PeerProcess]:
-        """The peers with which this process is one dispatcher now."""
-        older = self.older if self.successor.state in _SHARING_WITH_OLDER else None
-        newer = self.newer if self.predecessor.state in _SHARING_WITH_NEWER else None
+    def active(self) -> list[PeerProcess]:
+        """Return the peers that have requests of this dispatcher at present."""
+        older = self.older if self.successor.state in _STATES_WITH_ACTIVE_OLDER else None
+        newer = self.newer if self.predecessor.state in _STATES_WITH_ACTIVE_NEWER else None
         return [peer for peer in (older, newer) if peer is not None]
 
     def third_process(self, sender: PeerProcess) -> PeerProcess | None:
-        """The process on the other side of this one from `sender`, if the three of them are a chain."""
+        """Return the peer to which a message from `sender` is relayed, None unless three processes form a chain.
+
+        In a chain the oldest and the newest process have no channel to each other; this one, in the middle, relays.
+        """
         if sender is self.newer:
             return self.older
         return self.newer if self.predecessor.state is PredecessorState.YIELDED else None
 
     @property
     def relays_job_events(self) -> bool:
-        """Whether an older process's job events reach it through this one, which has yielded itself."""
+        """Whether the older peer gets its job events through this process, which has itself yielded to a newer one."""
         return self.older is not None and self.newer is not None and self.recipient is self.newer
 
     def forget(self, peer: PeerProcess) -> None:
-        """Its attempts and open requests are over."""
+        """Drop a peer that has gone, with its attempts and open requests."""
         peer.attempts.clear()
         self.open_requests -= peer.open_requests
         if peer is self.older:
@@ -100,7 +104,7 @@
             self.newer = None
 
     def close(self) -> None:
-        """Close the channels."""
+        """Close the channels to all peers."""
         for peer in (self.older, self.newer):
             if peer is not None:
                 peer.channel.close()
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -1,8 +1,9 @@
-"""One dispatcher in two processes while it is upgraded: what `hot_restart.rules` decides, performed on this one.
+"""The dispatcher extension for hot restarts: connects the state machines, the peers and the dispatcher.
 
-`HotRestart` owns the name in `$TMPDIR` under which a newer process finds this one, and the channels to both. It gives
-events to the state machines and has `hot_restart.actions` perform the actions; it passes messages to where they belong,
-and reports to the peers what the dispatcher reports to its extensions.
+`HotRestart` owns the Unix socket in `$TMPDIR` by which a newer process finds this one, and the channels to the older
+and the newer process. It passes events to the state machines of `hot_restart.rules`, has `hot_restart.actions` perform
+the actions that they return, handles the messages of the peers, and reports this process's attempts and requests to
+them.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 from badgerroad.extension import DispatcherExtension
 from badgerroad.hot_restart import messages, rules, snapshot
 from badgerroad.hot_restart.actions import ActionPerformer
-from badgerroad.hot_restart.attempt_reports import AttemptReports, count_sent
+from badgerroad.hot_restart.attempt_reports import AttemptReports, record_peer_attempt
 from badgerroad.hot_restart.connection_transfer import ConnectionTransfer
 from badgerroad.hot_restart.descriptor_accounting import DescriptorAccounting
-from badgerroad.hot_restart.peers import PeerProcess, Peers, Report
+from badgerroad.hot_restart.peers import EventHandler, PeerProcess, Peers
 from badgerroad.hot_restart.rules import Event, PredecessorState, SuccessorState
 from badgerroad.hot_restart.unmatched_job_events import UnmatchedJobEvents
 from badgerroad.net import logs
@@ -33,14 +34,15 @@
 
 PREPARED_CHECK_INTERVAL_US = 20_000  # between two checks whether discovery has answered
 
-_HEARTBEAT_STATES = (PredecessorState.YIELDED, PredecessorState.PASSED)  # in which the newer process must be heard of
+# States in which the newer process has to send heartbeats.
+_HEARTBEAT_STATES = (PredecessorState.YIELDED, PredecessorState.SUPERSEDED)
 
 
 class HotRestart(DispatcherExtension):
-    """This process's part in an upgrade, as an extension of its dispatcher."""
+    """Takes part in hot restarts on behalf of this process, as an extension of its dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher, wheel: TimerWheel, folder: str) -> None:
-        """`folder`: of the Unix sockets. Nothing happens until `begin`."""
+        """`folder`: holds the Unix sockets. No peer is contacted until `begin` is called."""
         self.dispatcher = dispatcher
         self._wheel = wheel
         host, port = dispatcher.config.listen
@@ -66,24 +68,24 @@
 
     @property
     def finishing(self) -> bool:
-        """Whether another process has the clients, and this one ends with its last answer."""
+        """Whether another process accepts the requests, and this one exits after its last response."""
         return self._actions.finishing
 
-    # The state machines.
+    # Events and actions.
 
     async def begin(self) -> Address:
-        """Find out whether there is another process; returns where this one listens. Raises OSError."""
+        """Look for an older process, and return the address on which this one listens. Raises OSError."""
         sock = self.socket_path.connect()
         if sock is not None:
             self.peers.older = PeerProcess(sock, self._on_older_message, self._on_older_lost, self.dispatcher.decisions)
         self._handle_as_successor(Event.NO_PEER_FOUND if sock is None else Event.PEER_FOUND)
-        address = await self._actions.address
+        address = await self._actions.listen_address
         if self.peers.successor.state is SuccessorState.PREPARING:
             self._check_prepared()
         return address
 
     def announce(self) -> None:
-        """Let a newer process find this one from now on."""
+        """Listen on the Unix socket by which a newer process finds this one."""
         try:
             self.socket_path.listen(self._on_connection)
         except OSError as error:
@@ -99,13 +101,13 @@
         peer = self.peers.newer
         self._perform(self.peers.predecessor.handle(event), peer, self._handle_as_predecessor)
 
-    def _perform(self, actions: tuple[rules.Action, ...], peer: PeerProcess | None, report: Report) -> None:
+    def _perform(self, actions: tuple[rules.Action, ...], peer: PeerProcess | None, handle_event: EventHandler) -> None:
         for action in actions:
             if not self._closed:
-                self._actions.perform(action, peer, report)
+                self._actions.perform(action, peer, handle_event)
 
     def _check_prepared(self) -> None:
-        """Until discovery has answered or failed."""
+        """Handle the event PREPARED once discovery has answered or failed; check again later until then."""
         if self.peers.successor.state is not SuccessorState.PREPARING:
             return
         if self.dispatcher.ready:
@@ -122,7 +124,7 @@
     def _on_connection(self, sock: socket.socket) -> None:
         peers = self.peers
         if peers.newer is not None:
-            sock.close()  # one at a time; another one listens by itself
+            sock.close()  # only one newer process at a time; a rejected one listens on its own socket
             return
         peers.predecessor = rules.Predecessor(terminating=self.dispatcher.frontend.draining)
         peers.newer = PeerProcess(sock, self._on_newer_message, self._on_newer_lost, self.dispatcher.decisions)
@@ -133,7 +135,7 @@
     def _on_older_message(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int | None) -> None:
         sock = None if descriptor is None else socket.socket(fileno=descriptor)
         message = messages.decode(kind, head)
-        if isinstance(message, messages.Offer) and sock is not None and message.version == rules.VERSION:
+        if isinstance(message, messages.Offer) and sock is not None and message.version == rules.PROTOCOL_VERSION:
             self._actions.receive_offer(message, sock)
             self._handle_as_successor(Event.OFFER)
         elif self.peers.older is not None:
@@ -148,7 +150,7 @@
         match message:
             case messages.Hello():
                 if not snapshot.is_same_dispatcher(self.dispatcher, message):
-                    raise BadPacketError("another dispatcher, or another version")
+                    raise BadPacketError("hello of another dispatcher, or with another version of the messages")
                 self._handle_as_predecessor(Event.HELLO)
             case messages.Return():
                 self._handle_as_predecessor(Event.RETURN)
@@ -164,19 +166,19 @@
         payload: bytes,
         sock: socket.socket | None,
         sender: PeerProcess,
-        report: Report,
+        handle_event: EventHandler,
     ) -> None:
-        """A message that means the same from either side. Raises BadPacketError if it has no place here."""
+        """Handle a message that either peer may send. Raises BadPacketError if the message is not expected."""
         match message:
             case messages.Claim():
-                report(Event.CLAIM)
+                handle_event(Event.CLAIM)
             case messages.Grant():
                 snapshot.restore(self.dispatcher, message, sender)
                 self.peers.open_requests |= sender.open_requests
-                report(Event.GRANT)
+                handle_event(Event.GRANT)
             case messages.DescriptorsInUse(descriptors):
                 if self.peers.recipient is None:
-                    self._descriptors.leave_to_peer(descriptors)
+                    self._descriptors.set_peer_usage(descriptors)
             case messages.RequestEnded(request_id):
                 self._on_request_ended(request_id, sender)
             case messages.ClientConnection() if sock is not None:
@@ -185,7 +187,7 @@
                 self._transfer.adopt_worker_connection(sock, message)
             case _:
                 if sock is not None:
-                    raise BadPacketError("a descriptor that is not expected")
+                    raise BadPacketError(f"unexpected descriptor with a message: {message.kind}")
                 self._on_attempt_message(message, sender)
 
     def _on_request_ended(self, request_id: bytes, sender: PeerProcess) -> None:
@@ -195,7 +197,7 @@
             recipient.send(messages.RequestEnded(request_id))
 
     def _on_attempt_message(self, message: messages.AnyMessage, sender: PeerProcess) -> None:
-        """A message about attempts, which the third process of a chain needs too."""
+        """Handle a message about an attempt, and relay it to the third process if three form a chain."""
         now = self.dispatcher.clock.now()
         match message:
             case JobEvent(request_id, worker, state, item):
@@ -203,60 +205,63 @@
                     return
                 self._unmatched.retain(message, now)
             case messages.AttemptSent():
-                count_sent(sender, message, now)
+                record_peer_attempt(sender, message, now)
             case messages.AttemptStarted(attempt):
                 sender.attempts.started(attempt)
             case messages.AttemptEnded(attempt):
                 sender.attempts.over(attempt)
             case _:
-                raise BadPacketError(f"a message that is not expected: {message.kind}")
+                raise BadPacketError(f"unexpected message: {message.kind}")
         third_process = self.peers.third_process(sender)
         if third_process is not None:
             third_process.send(message)
 
-    # The dispatcher's reports.
+    # Calls from the dispatcher.
 
     def has_open_request(self, request_id: bytes) -> bool:
-        """Whether a request of that id is open in another process."""
+        """Whether a request with this id is open in another process."""
         return request_id in self.peers.open_requests
 
     def attempt_sent(self, request: OpenRequest, attempt: Attempt) -> None:
         """Report the attempt to the peers."""
-        self._attempt_reports.sent(self.peers.sharing(), attempt)
+        self._attempt_reports.report_sent(self.peers.active(), attempt)
 
     def attempt_started(self, request: int, number: int) -> None:
-        """Report the start to the peers."""
-        self._attempt_reports.started(self.peers.sharing(), request, number)
+        """Report the start of the attempt to the peers."""
+        self._attempt_reports.report_started(self.peers.active(), request, number)
 
     def attempt_ended(self, request: OpenRequest, attempt: Attempt, result: str) -> None:
-        """Report the end to the peers."""
-        self._attempt_reports.ended(self.peers.sharing(), attempt)
+        """Report the end of the attempt to the peers."""
+        self._attempt_reports.report_ended(self.peers.active(), attempt)
 
     def request_forgotten(self, request_id: bytes) -> None:
-        """Report to the process that accepts new requests that the id is free again."""
+        """Report to the process that accepts new requests that the id may be used again."""
         if self.peers.recipient is not None:
             self.peers.recipient.send(messages.RequestEnded(request_id))
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """A job event for an attempt that is not known here: another process has it, or it is on its way here."""
+        """Send a job event for an attempt that is not known in this process to the peers, and retain it.
+
+        Another process has the attempt, or the attempt's request is being transferred to this one.
+        """
         event = JobEvent(request_id, host, state, item)
-        sharing = self.peers.sharing()
-        if sharing:
+        active_peers = self.peers.active()
+        if active_peers:
             self._unmatched.retain(event, self.dispatcher.clock.now())
-        for peer in sharing:
+        for peer in active_peers:
             peer.send(event)
 
-    # The end.
+    # Termination.
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Start to terminate, as after SIGTERM."""
         if self.peers.newer is not None or self.peers.older is None:
             self._handle_as_predecessor(Event.TERMINATE)
         else:
             self._handle_as_successor(Event.TERMINATE)
 
     def close(self) -> None:
-        """Close the channels; the name goes too, unless a newer process has taken it."""
+        """Close the channels, and remove the Unix socket unless a newer process has taken over its path."""
         self._closed = True
         self.socket_path.close()
         self.peers.close()
--- a/badgerroad/hot_restart/request_transfer.py
+++ b/badgerroad/hot_restart/request_transfer.py
@@ -1,8 +1,9 @@
-"""An open request on its way to another process of the dispatcher: its order, its attempts, the decisions' state of it.
+"""Transfers an open request to another process of the dispatcher.
 
-A request can move once each of its attempts is ended or accepted: from then on the worker reports on it by job events,
-which reach whichever process listens. One that still awaits a 202 moves when that has come. Times are sent as
-differences from now, since the clocks of two processes need not agree.
+The copy holds the request as forwarded, its attempts, and the dispatch policy's state of it. A request can be moved
+once each of its attempts has ended or has been accepted by its worker with a 202: from then on the worker reports on
+the attempt by job events, which arrive at the process that listens. Times are sent as differences from the present
+time, since the clocks of two processes need not agree.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from badgerroad.load_balancing import state
 from badgerroad.requests import OpenRequest
 
-# The field of a message, and the attribute of the attempt that it carries.
+# Names of message fields, and the attributes of `Attempt` that they carry.
 _ATTEMPT_FIELDS = {
     "heard": "event_received",
     "started": "started",
@@ -24,18 +25,18 @@
     "opened": "opened_connection",
     "status": "status",
 }
-_LATER_ATTEMPT_FIELDS = {"unsent": "not_sent"}  # older versions do not send it
+_OPTIONAL_ATTEMPT_FIELDS = {"unsent": "not_sent"}  # missing in messages of older versions
 
 
 class RequestCopy(NamedTuple):
-    """All that another process needs to continue a request."""
+    """The data with which another process can continue a request."""
 
-    fields: dict[str, Any]  # as JSON holds it, see `messages.ClientConnection`
+    fields: dict[str, Any]  # `messages.ClientConnection.request`, to be encoded as JSON
     body: bytes
 
 
 def can_move(request: OpenRequest) -> bool:
-    """Whether nothing of the request depends on a connection of this process but its client's."""
+    """Whether the request depends on no connection of this process except its client's."""
     return (
         request.admitted
         and not request.exchange.answered
@@ -44,23 +45,23 @@
 
 
 def copy(dispatcher: Dispatcher, request: OpenRequest) -> RequestCopy:
-    """A copy for another process; nothing changes here."""
+    """Return a copy of the request for another process, without a change to the request."""
     now = dispatcher.clock.now()
-    order = request.forwarded
+    forwarded = request.forwarded
     fields = {
-        "id": order.id.decode("latin-1"),
-        "method": order.method.decode("latin-1"),
-        "target": order.target.decode("latin-1"),
-        "deadline": order.deadline - now,
+        "id": forwarded.id.decode("latin-1"),
+        "method": forwarded.method.decode("latin-1"),
+        "target": forwarded.target.decode("latin-1"),
+        "deadline": forwarded.deadline - now,
         "begun": request.received_at - now,
-        "headers": [[name.decode("latin-1"), value.decode("latin-1")] for name, value in order.headers],
+        "headers": [[name.decode("latin-1"), value.decode("latin-1")] for name, value in forwarded.headers],
         "cls": list(request.request_class),
         "hint": request.work_hint,
         "slots": request.slots,
         "attempts": [_attempt_fields(attempt, now) for attempt in request.attempts],
         "job": state.job_out(dispatcher.decisions, request.number, now),
     }
-    return RequestCopy(fields, order.body)
+    return RequestCopy(fields, forwarded.body)
 
 
 def _attempt_fields(attempt: Attempt, now: int) -> dict[str, Any]:
@@ -70,13 +71,13 @@
         "start": attempt.started_at - now if attempt.started_at else 0,
         "left": attempt.timeout_timer.due_at - now if attempt.timeout_timer else 0,
     }
-    for field, attribute in {**_ATTEMPT_FIELDS, **_LATER_ATTEMPT_FIELDS}.items():
+    for field, attribute in {**_ATTEMPT_FIELDS, **_OPTIONAL_ATTEMPT_FIELDS}.items():
         fields[field] = getattr(attempt, attribute)
     return fields
 
 
 def forget(dispatcher: Dispatcher, request: OpenRequest) -> None:
-    """The request is another process's now: drop it without a message to its client or its workers."""
+    """Drop a request that another process has taken over, without a message to its client or its workers."""
     for attempt in request.attempts:
         dispatcher.backend.release_attempt(attempt)
     state.job_gone(dispatcher.decisions, request.number)
@@ -88,18 +89,18 @@
 
 
 def restore(dispatcher: Dispatcher, fields: dict[str, Any], body: bytes, connection: ClientConnection) -> None:
-    """Continue the request that `copy` described. Raises KeyError, TypeError or ValueError if it cannot be read."""
+    """Continue a request from its `RequestCopy`. Raises KeyError, TypeError or ValueError if a field is invalid."""
     now = dispatcher.clock.now()
     exchange = connection.exchange = Exchange(connection)
-    order = _order(fields, body, now)
+    forwarded = _restore_forwarded_request(fields, body, now)
     request_class = state.class_of(fields["cls"])
-    request = OpenRequest(dispatcher.next_request_number(), order, exchange, request_class, now + fields["begun"])
+    request = OpenRequest(dispatcher.next_request_number(), forwarded, exchange, request_class, now + fields["begun"])
     exchange.number = request.number
     request.work_hint = fields["hint"]
     request.slots = fields["slots"]
     request.admitted = True
     for number, attempt_fields in enumerate(fields["attempts"]):
-        attempt = _attempt(request, number, attempt_fields, now)
+        attempt = _restore_attempt(request, number, attempt_fields, now)
         request.attempts.append(attempt)
         if not attempt.ended:
             request.open_attempts += 1
@@ -108,17 +109,17 @@
     dispatcher.perform_actions(state.job_in(dispatcher.decisions, request.number, request_class, fields["job"], now))
 
 
-def _order(fields: dict[str, Any], body: bytes, now: int) -> ForwardedRequest:
+def _restore_forwarded_request(fields: dict[str, Any], body: bytes, now: int) -> ForwardedRequest:
     method, target, request_id = (fields[name].encode("latin-1") for name in ("method", "target", "id"))
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in fields["headers"]]
     return ForwardedRequest(method, target, body, request_id, headers, now + fields["deadline"])
 
 
-def _attempt(request: OpenRequest, number: int, fields: dict[str, Any], now: int) -> Attempt:
+def _restore_attempt(request: OpenRequest, number: int, fields: dict[str, Any], now: int) -> Attempt:
     attempt = Attempt(request.number, number, request.forwarded, fields["worker"], now + fields["sent"])
     for field, attribute in _ATTEMPT_FIELDS.items():
         setattr(attempt, attribute, fields[field])
-    for field, attribute in _LATER_ATTEMPT_FIELDS.items():
+    for field, attribute in _OPTIONAL_ATTEMPT_FIELDS.items():
         setattr(attempt, attribute, fields.get(field, False))
     attempt.written = attempt.accepted = True
     attempt.started_at = now + fields["start"] if fields["start"] else 0
--- a/badgerroad/hot_restart/rules.py
+++ b/badgerroad/hot_restart/rules.py
@@ -1,21 +1,23 @@
-"""Which of two processes of one dispatcher accepts new requests: two state machines without sockets, clocks or threads.
+"""State machines that decide which of two processes of a dispatcher accepts new requests during a hot restart.
 
-The `Successor` is the process that has just started, the `Predecessor` the one that it finds. Each is given events and
-returns the actions to perform, in order. The messages are those of `hot_restart.messages`.
+They use no sockets, clocks or threads. `Successor` is the role of the process that has just started, `Predecessor` the
+role of the process that ran before. Each handles events and returns the actions to perform, in order. The messages are
+those of `hot_restart.messages`.
 
     successor                                          predecessor
     seeking --peer found--> asking        HELLO  -->   alone --hello--> offering
-    asking --offer--> preparing           <-- OFFER    (with the listener)
+    asking --offer--> preparing           <-- OFFER    (carries the listener)
     preparing --prepared--> claiming      CLAIM  -->   offering --claim--> yielded   stops accepting first,
-    claiming --grant--> serving           <-- GRANT    then sends the state
+    claiming --grant--> serving           <-- GRANT    then sends its state
 
     serving --terminate--> returning      RETURN -->   yielded --return--> resuming
     returning --claim--> given back       <-- CLAIM
                                           GRANT  -->   resuming --grant--> resumed
 
-The successor accepts only after GRANT, and the predecessor has stopped before it sends it; on the way back the roles
-are exchanged. So both never accept at once, unless one has failed or is silent: then each continues as if there were
-no other. A successor that is superseded by a third process says so; if it ends first, its predecessor stays retired.
+The successor accepts only after it has received GRANT, and the predecessor stops accepting before it sends GRANT. When
+the successor returns the requests, the roles are exchanged. So the two never accept at the same time, unless one has
+failed or is silent; each then continues as if there were no other process. A successor that yields to a third process
+reports that to its predecessor, which then does not resume if the successor ends first.
 """
 
 from __future__ import annotations
@@ -23,24 +25,25 @@
 from collections.abc import Mapping
 from enum import StrEnum
 
-VERSION = 2  # of the messages
-# How long the other process may take for its next message, in microseconds. An accepted connection is due 6 s after the
-# start of the second process, of which the start takes up to 1 s and an unanswered poll of discovery 1.5 s.
+PROTOCOL_VERSION = 2  # of the messages between the processes
+# Longest times until the next message of the other process. A new process must accept its first connection within 6 s
+# of its start, of which the start itself takes up to 1 s and an unanswered poll of discovery 1.5 s.
 HELLO_TIMEOUT_US = 1_500_000
 CLAIM_TIMEOUT_US = 1_000_000
-OFFER_TIMEOUT_US = 8_000_000  # from the offer to the claim; the predecessor accepts meanwhile
-# A successor sends a message every 0.2 s. Without one for so long it is stopped or hangs; its predecessor resumes.
+OFFER_TIMEOUT_US = 8_000_000  # from the offer to the claim; until then the predecessor goes on accepting
+# A successor sends a message every 0.2 s. One that has sent none for this long is stopped or hangs, so its predecessor
+# resumes accepting.
 MISSING_HEARTBEAT_US = 2_000_000
 
 
 class Event(StrEnum):
-    """What happened: to the channel, in this process, or a message that was received."""
+    """An input of the state machines: a change of the channel or of this process, or a received message."""
 
     PEER_FOUND = "peer found"
     NO_PEER_FOUND = "no peer found"
     CHANNEL_LOST = "channel lost"
     TIMED_OUT = "timed out"
-    PREPARED = "prepared"  # discovery has answered or failed: this process can serve
+    PREPARED = "prepared"  # discovery has answered or failed, so this process can serve
     TERMINATE = "terminate"
     HELLO = "hello"
     OFFER = "offer"
@@ -48,31 +51,31 @@
     GRANT = "grant"
     RETURN = "return"
     SUPERSEDED = "superseded"  # the successor has yielded to a third process
-    RESUMED = "resumed"  # the successor accepts again, in place of that third process
+    RESUMED = "resumed"  # the successor accepts again, since the third process has ended or returned the requests
 
 
 class Action(StrEnum):
-    """What the process has to do."""
+    """An output of the state machines, which the process has to perform."""
 
     SEND_HELLO = "send hello"
     SEND_OFFER = "send offer"
     SEND_CLAIM = "send claim"
     SEND_GRANT = "send grant"
     SEND_RETURN = "send return"
-    LISTEN = "listen"  # on a socket of its own, and accept from it
-    ADOPT_LISTENER = "adopt listener"  # that came with the offer, without accepting from it yet
+    LISTEN = "listen"  # on a new socket, and accept from it
+    ADOPT_LISTENER = "adopt listener"  # take over the listener received with the offer, without accepting from it yet
     ACCEPT = "accept"
     STOP_ACCEPTING = "stop accepting"
     RESUME_ACCEPTING = "resume accepting"
-    FORGET_PEER = "forget peer"  # its attempts and open requests are over
+    FORGET_PEER = "forget peer"  # drop the peer's attempts and open requests
     CLOSE_CHANNEL = "close channel"
-    DRAIN = "drain"  # graceful shutdown: answers close their connections, the listener serves latecomers
-    RETIRE = "retire"  # a third process accepts; open requests are answered, then their connections closed
-    FINISH = "finish"  # the end after a handover: open requests are answered, nothing new arrives
+    DRAIN = "drain"  # shut down gracefully: responses close their connections; late connections are still served
+    RETIRE = "retire"  # a third process accepts: answer the open requests, then close their connections
+    FINISH = "finish"  # exit after a handover: answer the open requests; no new ones arrive
 
 
 class SuccessorState(StrEnum):
-    """What the process that was started has reached."""
+    """State of the process that has just started."""
 
     SEEKING = "seeking"
     ASKING = "asking"
@@ -86,18 +89,18 @@
 
 
 class PredecessorState(StrEnum):
-    """What the process that was there before has reached, with one successor."""
+    """State of the process that ran before, towards one successor."""
 
     ALONE = "alone"
     OFFERING = "offering"
     YIELDED = "yielded"
-    PASSED = "passed"  # the successor has yielded to a third process
+    SUPERSEDED = "passed"  # the successor has yielded to a third process
     RESUMING = "resuming"
     RESUMED = "resumed"
     OVER = "over"
 
 
-# The action after which a message is due, and how long it may take (microseconds) before TIMED_OUT.
+# Actions that expect a message from the peer, and the time after which the event TIMED_OUT occurs without one.
 REPLY_TIMEOUT_US: Mapping[Action, int] = {
     Action.SEND_HELLO: HELLO_TIMEOUT_US,
     Action.SEND_CLAIM: CLAIM_TIMEOUT_US,
@@ -109,11 +112,11 @@
 PredecessorTransition = tuple[PredecessorState, tuple[Action, ...]]
 
 _LISTEN_ALONE = (SuccessorState.INDEPENDENT, (Action.CLOSE_CHANNEL, Action.LISTEN))
-# The predecessor is gone or silent; its listener is here.
+# The predecessor has gone or is silent, and this process has its listener.
 _SERVE_ALONE = (SuccessorState.SERVING, (Action.CLOSE_CHANNEL, Action.ACCEPT, Action.FORGET_PEER))
 _END_ALONE = (SuccessorState.ENDING, (Action.CLOSE_CHANNEL, Action.FORGET_PEER, Action.DRAIN))
 
-# State and event; next state and actions. What is not listed has no effect.
+# From state and event to the next state and the actions. Pairs that are not listed have no effect.
 SUCCESSOR_TRANSITIONS: Mapping[tuple[SuccessorState, Event], SuccessorTransition] = {
     (SuccessorState.SEEKING, Event.PEER_FOUND): (SuccessorState.ASKING, (Action.SEND_HELLO,)),
     (SuccessorState.SEEKING, Event.NO_PEER_FOUND): (SuccessorState.INDEPENDENT, (Action.LISTEN,)),
@@ -160,14 +163,14 @@
     (PredecessorState.OFFERING, Event.TIMED_OUT): _OVER,
     (PredecessorState.YIELDED, Event.CHANNEL_LOST): _FORGET_AND_RESUME,
     (PredecessorState.YIELDED, Event.TIMED_OUT): _FORGET_AND_RESUME,
-    (PredecessorState.YIELDED, Event.SUPERSEDED): (PredecessorState.PASSED, ()),
+    (PredecessorState.YIELDED, Event.SUPERSEDED): (PredecessorState.SUPERSEDED, ()),
     (PredecessorState.YIELDED, Event.RETURN): (PredecessorState.RESUMING, (Action.SEND_CLAIM,)),
-    (PredecessorState.PASSED, Event.RESUMED): (PredecessorState.YIELDED, ()),
-    (PredecessorState.PASSED, Event.CHANNEL_LOST): _FORGET_AND_RETIRE,
-    (PredecessorState.PASSED, Event.TIMED_OUT): _FORGET_AND_RETIRE,
+    (PredecessorState.SUPERSEDED, Event.RESUMED): (PredecessorState.YIELDED, ()),
+    (PredecessorState.SUPERSEDED, Event.CHANNEL_LOST): _FORGET_AND_RETIRE,
+    (PredecessorState.SUPERSEDED, Event.TIMED_OUT): _FORGET_AND_RETIRE,
     (PredecessorState.RESUMING, Event.CHANNEL_LOST): _FORGET_AND_RESUME,
     (PredecessorState.RESUMING, Event.TIMED_OUT): _FORGET_AND_RESUME,
-    # The channel stays open: connections, requests and job events come back over it.
+    # The channel stays open, since the successor passes connections, requests and job events back over it.
     (PredecessorState.RESUMING, Event.GRANT): (PredecessorState.RESUMED, (Action.RESUME_ACCEPTING,)),
     (PredecessorState.RESUMED, Event.CHANNEL_LOST): (
         PredecessorState.OVER,
@@ -175,7 +178,7 @@
     ),
 }
 
-# In place of the above once this process has been asked to terminate.
+# Transitions that take precedence over the above once this process has been asked to terminate.
 TERMINATING_PREDECESSOR_TRANSITIONS: Mapping[tuple[PredecessorState, Event], PredecessorTransition] = {
     (PredecessorState.OFFERING, Event.CLAIM): (
         PredecessorState.YIELDED,
@@ -192,19 +195,23 @@
     ),
 }
 
-# A successor has, or is to get, the new requests: nothing arrives here any more.
-_FINISHES_AT_TERMINATE = (PredecessorState.YIELDED, PredecessorState.PASSED, PredecessorState.RESUMING)
+# States in which TERMINATE leads to FINISH: the successor accepts, or is to accept, the new requests.
+_FINISH_ON_TERMINATE_STATES = (
+    PredecessorState.YIELDED,
+    PredecessorState.SUPERSEDED,
+    PredecessorState.RESUMING,
+)
 
 
 class Successor:
     """The state machine of the process that has just started."""
 
     def __init__(self) -> None:
-        """Nothing is known of another process yet."""
+        """Start in the state SEEKING."""
         self.state = SuccessorState.SEEKING
 
     def handle(self, event: Event) -> tuple[Action, ...]:
-        """The actions to perform now; none if the event does not matter in this state."""
+        """Change state and return the actions to perform; none if the event has no effect in this state."""
         transition = SUCCESSOR_TRANSITIONS.get((self.state, event))
         if transition is None and event is Event.TERMINATE:
             transition = (SuccessorState.ENDING, (Action.DRAIN,))
@@ -215,18 +222,18 @@
 
 
 class Predecessor:
-    """The state machine of the process that was there before, one for each successor that connects."""
+    """The state machine of the process that ran before, one for each successor that connects."""
 
     def __init__(self, terminating: bool = False) -> None:
-        """`terminating`: this process has been asked to terminate already."""
+        """`terminating`: this process has already been asked to terminate."""
         self.state = PredecessorState.ALONE
         self.terminating = terminating
 
     def handle(self, event: Event) -> tuple[Action, ...]:
-        """The actions to perform now; none if the event does not matter in this state."""
+        """Change state and return the actions to perform; none if the event has no effect in this state."""
         if event is Event.TERMINATE:
             self.terminating = True
-            return (Action.FINISH,) if self.state in _FINISHES_AT_TERMINATE else (Action.DRAIN,)
+            return (Action.FINISH,) if self.state in _FINISH_ON_TERMINATE_STATES else (Action.DRAIN,)
         key = self.state, event
         transition = TERMINATING_PREDECESSOR_TRANSITIONS.get(key) if self.terminating else None
         transition = transition or PREDECESSOR_TRANSITIONS.get(key)
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -1,4 +1,4 @@
-"""What one process sends the other of all that it knows: who it is, its offer, and its state when it yields."""
+"""Builds the messages of a hot restart that describe a dispatcher: its identity, its offer, and its learned state."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 def hello(dispatcher: Dispatcher) -> messages.Hello:
-    """Which dispatcher this is, and the version of its messages."""
-    return messages.Hello(rules.VERSION, dispatcher.config.name, list(dispatcher.config.listen))
+    """Return a message with the dispatcher's identity and the version of its messages."""
+    return messages.Hello(rules.PROTOCOL_VERSION, dispatcher.config.name, list(dispatcher.config.listen))
 
 
 def is_same_dispatcher(dispatcher: Dispatcher, message: messages.Hello) -> bool:
-    """Whether the sender of a hello is of this dispatcher and speaks the same version."""
+    """Whether the sender of a hello is a process of this dispatcher and uses the same version of the messages."""
     config = dispatcher.config
     received = message.version, message.name, message.listen
-    return received == (rules.VERSION, config.name, list(config.listen))
+    return received == (rules.PROTOCOL_VERSION, config.name, list(config.listen))
 
 
 def offer(dispatcher: Dispatcher) -> messages.Offer:
-    """The endpoint list, the numbers of zones and machine types in it, and the descriptors in use."""
+    """Return the endpoint list, the names of zones and machine types by index, and the number of descriptors in use."""
     reader = dispatcher.endpoint_watch.reader
     return messages.Offer(
-        version=rules.VERSION,
+        version=rules.PROTOCOL_VERSION,
         endpoint_list=dispatcher.endpoint_watch.to_wire(dispatcher.backend.addresses()),
         zones=reader.zones,
         machine_types=reader.machine_types,
@@ -34,18 +34,23 @@
     )
 
 
-def grant(dispatcher: Dispatcher, attempts: list[Any], open_elsewhere: set[bytes], with_state: bool) -> messages.Grant:
-    """`attempts`: those in flight, as `state` lists them; `open_elsewhere`: ids open in other processes; `with_state`:
-    with what the decisions have learned."""
+def grant(
+    dispatcher: Dispatcher, attempts: list[Any], peer_open_requests: set[bytes], with_state: bool
+) -> messages.Grant:
+    """Return the message that hands new requests over.
+
+    `attempts`: in flight, as `state.attempts_out` lists them; `peer_open_requests`: ids of requests that are open in
+    other processes; `with_state`: include the learned state of the dispatch policy.
+    """
     return messages.Grant(
         state=state.copy_out(dispatcher.decisions) if with_state else None,
         attempts=attempts,
-        open_requests=list({*dispatcher.requests_by_id, *open_elsewhere}),
+        open_requests=list({*dispatcher.requests_by_id, *peer_open_requests}),
     )
 
 
 def restore(dispatcher: Dispatcher, message: messages.Grant, sender: PeerProcess) -> None:
-    """Put what a grant carries into the decisions, and into what is known of its sender."""
+    """Apply a grant: the learned state to the dispatch policy, attempts and open requests to the record of `sender`."""
     if message.state is not None:
         state.copy_in(dispatcher.decisions, message.state)
     for attempt, worker, slots, long, started in message.attempts:
--- a/tests/hot_restart/test_accepting_process.py
+++ b/tests/hot_restart/test_accepting_process.py
@@ -1,4 +1,4 @@
-"""The state machines of an upgrade under any loss, delay and end: who accepts new requests."""
+"""The hot restart state machines: which process accepts new requests when messages are lost and processes fail."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 
 class Side:
-    """One of the two processes, as far as the rules see it."""
+    """One of the two processes: its state machine, whether it accepts, and the messages sent to it."""
 
     def __init__(self, machine, accepting):
         self.machine = machine
@@ -26,14 +26,14 @@
         self.draining = False
         self.connected = True
 
-    def deliver(self, other):
-        """The first message in the inbox."""
+    def handle_next_message(self, other):
+        """Handle the first message in the inbox."""
         event = self.inbox.pop(0)
         if event == Event.CHANNEL_LOST:
             self.connected = False
-        self.do(self.machine.handle(event), other)
+        self.perform(self.machine.handle(event), other)
 
-    def do(self, actions, other):
+    def perform(self, actions, other):
         for action in actions:
             if action in MESSAGES and other.connected and self.connected:
                 other.inbox.append(MESSAGES[action])
@@ -49,39 +49,51 @@
 
 
 STEP = st.sampled_from(
-    ["new", "old", "new", "old", "prepared", "term", "term new", "kill new", "kill old", "new waits", "old waits"]
+    [
+        "new",
+        "old",
+        "new",
+        "old",
+        "prepared",
+        "term",
+        "term new",
+        "kill new",
+        "kill old",
+        "new times out",
+        "old times out",
+    ]
 )
 
 
 @given(st.lists(STEP, max_size=30))
-def test_exactly_one_process_accepts_whatever_is_lost_and_whichever_dies(steps):
+def test_exactly_one_process_accepts_whichever_messages_are_lost_and_whichever_process_dies(steps):
     new, old = Side(rules.Successor(), False), Side(rules.Predecessor(), True)
-    new.do(new.machine.handle(Event.PEER_FOUND), old)
+    new.perform(new.machine.handle(Event.PEER_FOUND), old)
     failed = ended = False
     for step in steps + ["new", "old", "prepared"] * 6:
         side, other = (new, old) if "new" in step or step == "prepared" else (old, new)
         if not side.alive:
             continue
         if step in ("new", "old") and side.inbox:
-            side.deliver(other)
+            side.handle_next_message(other)
         elif (
             step == "prepared"
-            or step.endswith("waits")
+            or step.endswith("times out")
             and side.machine.state in ("asking", "claiming", "returning", "alone", "offering", "yielded", "resuming")
         ):
             failed |= step != "prepared"
-            side.do(side.machine.handle(Event.PREPARED if step == "prepared" else Event.TIMED_OUT), other)
+            side.perform(side.machine.handle(Event.PREPARED if step == "prepared" else Event.TIMED_OUT), other)
         elif step == "term":
-            old.do(old.machine.handle(Event.TERMINATE), new)
+            old.perform(old.machine.handle(Event.TERMINATE), new)
         elif step == "term new" and not ended:
             ended = True
-            new.do(new.machine.handle(Event.TERMINATE), old)
+            new.perform(new.machine.handle(Event.TERMINATE), old)
         elif step.startswith("kill"):
             failed, side.alive, side.accepting = True, False, False
             other.inbox.append(Event.CHANNEL_LOST)
         assert failed or not (new.accepting and old.accepting)
     if new.alive and not ended:
-        assert new.accepting  # also when the other was lost, silent or spoke nonsense
+        assert new.accepting  # even if the old process has ended or is silent
     assert not (new.alive or old.alive) or any(s.alive and (s.accepting or s.draining) for s in (new, old))
     if new.alive and old.alive and not failed and ended and not old.draining:
-        assert old.accepting  # it was given all back
+        assert old.accepting  # the new process has returned the requests
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""What the decisions know, and an open request, on their way to another process."""
+"""Transfer of the dispatch policy's learned state and of an open request to another process."""
 
 import json
 
@@ -6,8 +6,8 @@
 from badgerroad.load_balancing.policy import DispatchPolicy
 
 
-def fleet(n=1):
-    d = DispatchPolicy(
+def policy_with_fleet(seed=1):
+    policy = DispatchPolicy(
         interface.Settings(
             (interface.RequestClass("s", deadline=9_000_000),),
             reports_start=True,
@@ -17,20 +17,20 @@
             overload_threshold=3.0,
             max_attempts=3,
         ),
-        n,
+        seed,
     )
-    d.handle(
+    policy.handle(
         100,
         interface.EndpointList(
             interface.ListScope.COMPLETE, 1, tuple(interface.Endpoint(w, started_at=90 * (w == "c")) for w in "abc")
         ),
     )
-    return d
+    return policy
 
 
 def test_learned_state_and_an_open_request_continue_in_another_process():
-    old, new = fleet(), fleet(2)
-    old.workers["c"].slow_start_sends.append((150, 7.0))  # of its cold budget
+    old, new = policy_with_fleet(), policy_with_fleet(2)
+    old.workers["c"].slow_start_sends.append((150, 7.0))  # counted against its slow-start budget
     for n in range(1, 9):
         send = [
             a
@@ -63,33 +63,32 @@
     state.job_gone(old, 8)
     assert not old.requests
     assert all(w.in_flight_slots == w.running_slots == 0 for w in old.workers.values())
-    struck = new.workers[send.worker].consecutive_failures
+    failures_before = new.workers[send.worker].consecutive_failures
     state.job_in(new, 1, old.settings.classes[0], job, 6000)
     assert new.requests[1].deadline == 208 + 9_000_000 + 1000
     assert new.workers[send.worker].running_slots == 1
-    assert (
-        new.workers[send.worker].consecutive_failures > struck
-    )  # it has told nothing of the job for long: that is still watched
-    again_sent = [
+    # The worker has not reported on the job for long, which counts as a failure in the new process too.
+    assert new.workers[send.worker].consecutive_failures > failures_before
+    retries = [
         a
         for a in new.handle(7000, interface.AttemptEnded(1, 0, send.worker, interface.AttemptResult.ERROR))
         if isinstance(a, interface.Send)
     ]
-    assert len(again_sent) == 1
-    assert again_sent[0].worker != send.worker
+    assert len(retries) == 1
+    assert retries[0].worker != send.worker
     assert len(new.requests[1].attempts) == 2
 
 
 def test_attempts_of_the_other_process_count_until_they_end():
-    d = fleet()
-    others = state.PeerAttempts(d)
-    others.sent("x", "a", 2.0, True, (150, 5.0))
-    others.sent("y", "c", 1.0, False, (150, 5.0))
-    others.sent("y", "c", 1.0, False, (150, 5.0))  # told twice
-    others.started("x")
-    a, c = d.workers["a"], d.workers["c"]
+    policy = policy_with_fleet()
+    peer_attempts = state.PeerAttempts(policy)
+    peer_attempts.sent("x", "a", 2.0, True, (150, 5.0))
+    peer_attempts.sent("y", "c", 1.0, False, (150, 5.0))
+    peer_attempts.sent("y", "c", 1.0, False, (150, 5.0))  # a repeated report, which must not count
+    peer_attempts.started("x")
+    a, c = policy.workers["a"], policy.workers["c"]
     assert (a.in_flight_slots, a.long_in_flight, a.running_slots, list(a.slow_start_sends)) == (2.0, 1, 2.0, [])
     assert (c.in_flight_slots, list(c.slow_start_sends)) == (1.0, [(150, 5.0)])
-    others.over("x")
-    others.clear()
+    peer_attempts.over("x")
+    peer_attempts.clear()
     assert a.in_flight_slots == a.long_in_flight == a.running_slots == c.in_flight_slots == 0
