--- a/badgerroad/multiprocess/__init__.py
+++ b/badgerroad/multiprocess/__init__.py
@@ -1,1 +1,1 @@
-"""One dispatcher in several processes on one address, for installations with more cores than one."""
+"""Several dispatcher processes that share one listening address, to use more than one CPU core."""
--- a/badgerroad/multiprocess/messages.py
+++ b/badgerroad/multiprocess/messages.py
@@ -1,6 +1,6 @@
 """The messages between a supervisor and its server processes, and between server processes.
 
-The form that all messages have is described in `badgerroad.process_messages`.
+`badgerroad.process_messages` describes the form that all messages have.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 if TYPE_CHECKING:
     from badgerroad.operator.schema import Operator
 
-# In a server process's environment: its number, how many there are, and the descriptor of its end of the channel.
+# Set in the environment of a server process: its number, the number of server processes, and the descriptor of its end
+# of the channel to the supervisor, separated by slashes.
 ENVIRONMENT_VARIABLE = "BADGERROAD_SERVER_PROCESS"
 
 
@@ -28,7 +29,7 @@
 
 
 def _decode_operator(operator: dict[str, Any] | None) -> Operator | None:
-    """Imports nothing of the operator's file where there is none."""
+    """Return the operator's file of a message. Imports the modules for it only if there is one."""
     if operator is None:
         return None
     import msgspec
@@ -40,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """From the supervisor, once before the server process has started, then at each reload."""
+    """Sent by the supervisor once before the server process has started, then at each reload."""
 
     kind: ClassVar[str] = "config"
     text: str  # of the configuration file
-    reloaded: bool  # then its `discovery` wins over the variable's
-    listen: str
-    operator: Operator | None
+    reloaded: bool  # after a reload, the file's `discovery` takes precedence over PROXY_DISCOVERY
+    listen: str  # host:port
+    operator: Operator | None  # the operator's file
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -65,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerChannel:
-    """From the supervisor, with a channel to another server process."""
+    """Sent by the supervisor with a descriptor: the channel to another server process."""
 
     kind: ClassVar[str] = "peer"
-    number: int
+    number: int  # of the other server process
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -82,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersConnected:
-    """From the supervisor: job events of all that run can reach the receiver now, so it may listen."""
+    """Sent by the supervisor once the receiver has a channel to each running server process, so that it may listen."""
 
     kind: ClassVar[str] = "go"
 
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """From a server process: it runs, and does not listen yet."""
+    """Sent by a server process that runs but does not listen yet."""
 
     kind: ClassVar[str] = "here"
     pid: int
@@ -115,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listening:
-    """From a server process: it listens."""
+    """Sent by a server process once it listens."""
 
     kind: ClassVar[str] = "listens"
 
@@ -131,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """From a server process: its metrics, and whether it accepts clients; also its heartbeat."""
+    """Sent by a server process periodically: its metrics and whether it accepts clients; also serves as a heartbeat."""
 
     kind: ClassVar[str] = "figures"
     metrics: dict[str, Any]
@@ -149,10 +150,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLost:
-    """From a server process: its channel to another one has closed."""
+    """Sent by a server process whose channel to another one has closed."""
 
     kind: ClassVar[str] = "cut off"
-    number: int
+    number: int  # of the other server process
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -167,7 +168,7 @@
 SupervisorMessage = Configuration | PeerChannel | PeersConnected
 ServerProcessMessage = Started | Listening | Metrics | PeerLost
 
-# What each receiver understands, by kind.
+# The message types that each receiver accepts, by kind.
 FROM_SUPERVISOR: Mapping[str, type[SupervisorMessage]] = {
     message_type.kind: message_type for message_type in (Configuration, PeerChannel, PeersConnected)
 }
--- a/badgerroad/multiprocess/metric_sums.py
+++ b/badgerroad/multiprocess/metric_sums.py
@@ -1,6 +1,7 @@
-"""The metrics of several server processes together, from what each reports. No I/O.
+"""Sums the metrics that the server processes report. No I/O.
 
-What an ended server process had counted stays; what it had not reported yet, 0.2 s of it at most, is lost.
+The sums keep the counters of a server process that has ended, except for what it counted after its last report, which
+is at most 0.2 s old.
 """
 
 from __future__ import annotations
@@ -10,37 +11,38 @@
 
 COUNTERS_BY_CLASS = ("answered", "deferred", "errored")
 COUNTERS = ("sends",)
-GAUGES = ("current",)  # summed over the processes that run
-LARGEST_GAUGES = ("cluster_size", "cluster_unhealthy")  # of one fleet, as the server process sees it that sees most
+GAUGES = ("current",)  # summed over the running processes
+# All server processes see the same fleet, so the largest value that any of them reports is shown.
+LARGEST_GAUGES = ("cluster_size", "cluster_unhealthy")
 
 MetricValues = dict[str, Any]
 
 
 class MetricSums:
-    """The latest metrics of each server process, and the counters of those that have ended."""
+    """The latest metrics of each server process, and the counters of the processes that have ended."""
 
     def __init__(self, size: int) -> None:
-        """`size`: how many server processes there are."""
+        """`size`: the number of server processes."""
         self._running: list[MetricValues] = [{} for _ in range(size)]
         self._ended: MetricValues = {name: {} for name in COUNTERS_BY_CLASS}
 
     def add_classes(self, request_classes: Iterable[str]) -> None:
-        """Every class of the settings is shown from the first moment on, at zero too."""
+        """Add request classes of the settings, so that their counters are shown even while they are zero."""
         for request_class in request_classes:
             for name in COUNTERS_BY_CLASS:
                 self._ended[name].setdefault(request_class, 0)
 
-    def report(self, number: int, metrics: MetricValues) -> None:
-        """A server process's metrics, in place of its earlier ones."""
+    def update(self, number: int, metrics: MetricValues) -> None:
+        """Replace the metrics of the server process `number`."""
         self._running[number] = metrics
 
-    def ended(self, number: int) -> None:
-        """A server process has ended: its counters stay."""
+    def process_ended(self, number: int) -> None:
+        """Add the counters of a server process that has ended to those kept, and drop its gauges."""
         self._ended = _summed_counters([self._ended, self._running[number]])
         self._running[number] = {}
 
     def totals(self) -> MetricValues:
-        """The metrics of all together."""
+        """Return the metrics over all server processes."""
         total = _summed_counters([self._ended, *self._running])
         for name in GAUGES:
             total[name] = sum(metrics.get(name, 0) for metrics in self._running)
--- a/badgerroad/multiprocess/rules.py
+++ b/badgerroad/multiprocess/rules.py
@@ -1,6 +1,6 @@
-"""Which server process is started, terminated or killed, and when: a state machine without I/O or a clock.
+"""A state machine that decides when server processes are started, terminated and killed. No I/O, no clock.
 
-The supervisor reports events and performs the actions that are returned, in order. Times are microseconds.
+The supervisor calls its methods on events and performs the returned actions in order. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -8,55 +8,57 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-STABLE_RUN_US = 10_000_000  # a process that ran so long did not fail at its start: its end resets the backoff
-INITIAL_BACKOFF_US = 100_000  # between a failure at the start and the next start; doubled each time
+# A process that has run for this long did not fail at its start, so the backoff is reset when it ends.
+STABLE_RUN_US = 10_000_000
+INITIAL_BACKOFF_US = 100_000  # between a failed start and the next start; doubled after each further failure
 MAX_BACKOFF_US = 5_000_000
 MAX_BACKOFF_DOUBLINGS = 16
-START_TIMEOUT_US = 15_000_000  # from the start to the first message; that takes 0.3 to 1 s
-# A server process sends a message every 0.2 s. One that has sent none for so long while the supervisor was awake is
-# stopped or hangs, and its clients with it.
+START_TIMEOUT_US = 15_000_000  # from the start to the first message, which normally takes 0.3 to 1 s
+# A server process sends a message every 0.2 s. One that has sent none for this long, while the supervisor was awake, is
+# stopped or hangs, and its clients hang with it.
 MISSING_HEARTBEAT_US = 10_000_000
+# Exit codes for "cannot listen" and "invalid configuration", which any other first start would give too.
 PERMANENT_FAILURE_CODES = (
     1,
     2,
-)  # exit codes: cannot listen, bad configuration; another first start would fail likewise
+)
 
 
 class ProcessState(StrEnum):
-    """What a server process has reached."""
+    """State of a server process."""
 
     DOWN = "down"
-    STARTING = "starting"  # it runs, and does not listen yet
+    STARTING = "starting"  # runs but does not listen yet
     UP = "up"
 
 
 class Start(NamedTuple):
-    """Start the server process now."""
+    """Action: start the server process now."""
 
     process: int
 
 
 class StartLater(NamedTuple):
-    """Call `start_due` after a time."""
+    """Action: call `start_due` after `delay_us`."""
 
     process: int
     delay_us: int
 
 
 class Terminate(NamedTuple):
-    """SIGTERM: the process answers its open requests and exits."""
+    """Action: send SIGTERM, on which the process answers its open requests and exits."""
 
     process: int
 
 
 class Kill(NamedTuple):
-    """SIGKILL."""
+    """Action: send SIGKILL to the process."""
 
     process: int
 
 
 class Exit(NamedTuple):
-    """The supervisor's end; no server process runs."""
+    """Action: end the supervisor with an exit code; no server process is running."""
 
     code: int
 
@@ -65,31 +67,31 @@
 
 
 class ServerProcessRecord:
-    """What the rules know of one server process."""
+    """The state of one server process and its recent failures."""
 
     def __init__(self) -> None:
-        """It has never been started."""
+        """Describe a process that has never been started."""
         self.state = ProcessState.DOWN
-        self.started_at = 0  # microseconds, the last time
-        self.consecutive_failures = 0  # at the start
+        self.started_at = 0  # time of the latest start
+        self.consecutive_failures = 0  # ends before STABLE_RUN_US
 
 
 class ProcessGroup:
     """The server processes of one supervisor."""
 
     def __init__(self, size: int) -> None:
-        """`size`: how many there are to be."""
+        """`size`: the number of server processes to keep running."""
         self.processes = [ServerProcessRecord() for _ in range(size)]
         self.terminating = False
         self._exit_code = 0
-        self._configuration_proven = False  # some server process has come up with it
+        self._configuration_proven = False  # some server process has started to listen with it
 
     def start(self, now: int) -> list[Action]:
-        """Start all."""
+        """Start all server processes."""
         return [action for number in range(len(self.processes)) for action in self.start_due(now, number)]
 
     def start_due(self, now: int, number: int) -> list[Action]:
-        """The backoff before a start is over."""
+        """Start a server process when the backoff before its start is over."""
         process = self.processes[number]
         if self.terminating or process.state is not ProcessState.DOWN:
             return []
@@ -97,18 +99,21 @@
         process.started_at = now
         return [Start(number)]
 
-    def listening(self, number: int) -> None:
-        """A server process has come up."""
+    def process_listening(self, number: int) -> None:
+        """Note that a server process listens now."""
         if self.processes[number].state is ProcessState.STARTING:
             self.processes[number].state = ProcessState.UP
             self._configuration_proven = True
 
     def message_overdue(self, number: int) -> list[Action]:
-        """START_TIMEOUT_US or MISSING_HEARTBEAT_US has passed without a message."""
+        """Kill a server process that has sent no message for START_TIMEOUT_US or MISSING_HEARTBEAT_US."""
         return [] if self.processes[number].state is ProcessState.DOWN else [Kill(number)]
 
-    def ended(self, now: int, number: int, code: int | None) -> list[Action]:
-        """A server process has ended with an exit code, or could not be started (None)."""
+    def process_ended(self, now: int, number: int, code: int | None) -> list[Action]:
+        """Handle the end of a server process: restart it later, or end the group.
+
+        `code`: its exit code; None if it could not be started.
+        """
         process = self.processes[number]
         failed_at_start = process.state is ProcessState.STARTING
         process.state = ProcessState.DOWN
@@ -122,7 +127,7 @@
         return [StartLater(number, _backoff_us(process.consecutive_failures))]
 
     def terminate(self) -> list[Action]:
-        """The supervisor has been asked to terminate."""
+        """Terminate all server processes, since the supervisor has been asked to terminate."""
         return [] if self.terminating else self._terminate_all()
 
     def _terminate_all(self) -> list[Action]:
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -1,4 +1,4 @@
-"""One server process: its channels to the supervisor and to the others, and the job events passed between them."""
+"""Connects one server process to its supervisor and to the other server processes, and exchanges job events."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 
 log = logs.get("badgerroad")
 
-REPORT_INTERVAL_US = 200_000  # between two reports of metrics, which may be 0.5 s old
+REPORT_INTERVAL_US = 200_000  # between two reports of metrics, so that the sums are at most 0.5 s old
 
 
 class ServerProcess(DispatcherExtension):
-    """This process's part in a group of server processes, as an extension of its dispatcher."""
+    """Takes part in a group of server processes on behalf of this one, as an extension of its dispatcher."""
 
     def __init__(
         self, parameters: StartParameters, dispatcher: Dispatcher, wheel: TimerWheel, stop: Callable[[], None]
     ) -> None:
-        """`stop`: what a SIGTERM does; also the end of the supervisor, which must leave no orphans."""
+        """`stop`: shuts this process down, as a SIGTERM does.
+
+        It is also called when the channel to the supervisor closes, so that a supervisor that ends leaves no orphans.
+        """
         self.index = parameters.process_index
         self.may_listen = asyncio.Event()
         self.peers: dict[int, UnixChannel] = {}  # by the number of the other server process
@@ -60,7 +63,7 @@
         if message_type is None or takes_descriptor != (descriptor is not None):
             if descriptor is not None:
                 os.close(descriptor)
-            raise framing.BadPacketError(f"a message that is not expected: {kind}")
+            raise framing.BadPacketError(f"unexpected message from the supervisor: {kind}")
         sock = None if descriptor is None else socket.socket(fileno=descriptor)
         match message_type.from_head(head):
             case messages.PeerChannel(number) if sock is not None:
@@ -71,7 +74,7 @@
                 self._reload(configuration)
 
     def _connect_peer(self, number: int, sock: socket.socket) -> None:
-        """A channel to another server process, in place of an earlier one to the same."""
+        """Use `sock` as the channel to another server process, in place of an earlier channel to it."""
         if number in self.peers:
             self.peers.pop(number).close()
         channel = UnixChannel(sock, self._on_peer_message, lambda: self._on_peer_lost(number, channel))
@@ -80,7 +83,7 @@
     def _reload(self, configuration: messages.Configuration) -> None:
         try:
             config = config_from(configuration, self.index, os.environ, self._dispatcher.config)
-        except ConfigError as error:  # the supervisor has read it before; what is left is this server process's share
+        except ConfigError as error:  # the supervisor has checked the file; only this process's share can be invalid
             log.error("reload_failed", **error.fields)
             return
         operator = configuration.operator
@@ -98,14 +101,14 @@
         if descriptor is not None:
             os.close(descriptor)
         if kind != JobEvent.kind:
-            raise framing.BadPacketError(f"a message that is not expected: {kind}")
-        # It has been to the process that it reached. If it is not known here either, another one has the attempt, or
-        # none: it is not passed on.
+            raise framing.BadPacketError(f"unexpected message from another server process: {kind}")
+        # The process that received the event from the worker passed it to all others. If the attempt is not known here
+        # either, another process has it or none has it, so the event is not passed on.
         event = JobEvent.from_head(head)
         self._dispatcher.backend.handle_job_event(event.request_id, event.worker, event.state, event.item)
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """Pass a job event for an attempt that is not known here to all others."""
+        """Pass a job event for an attempt that is not known in this process to all others."""
         event = JobEvent(request_id, host, state, item)
         packets = framing.pack(event.kind, event.to_head())
         for channel in list(self.peers.values()):
--- a/badgerroad/multiprocess/startup.py
+++ b/badgerroad/multiprocess/startup.py
@@ -1,4 +1,4 @@
-"""What a server process is given at its start, and its share of the configuration."""
+"""Receives the start parameters of a server process, and computes its share of the configuration."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 if TYPE_CHECKING:
     from badgerroad.operator.schema import Operator
 
-MIN_SOCKETS = 64  # a server process with fewer could hold no client besides what it needs itself
-# Descriptors of the supervisor besides a channel for each server process: standard streams, the loop's own, the
-# address, the second address and its callers.
+MIN_SOCKETS = 64  # a server process with fewer would have none left for clients beyond those it needs itself
+# Descriptors of the supervisor in addition to one channel for each server process: the standard streams, the event
+# loop's own, the bound address, the admin listener and its connections.
 SUPERVISOR_DESCRIPTORS = 32
-SEED_SHIFT = 64  # bits: the seeds of server processes differ above those of the configuration
+SEED_SHIFT = 64  # bits; the process number is added to the seed above the bits of the configured seed
 
 
 class ProcessIndex(NamedTuple):
-    """Which server process of how many."""
+    """The number of a server process, and the size of its group."""
 
-    number: int
+    number: int  # from 0
     size: int
 
     def share_of(self, config: Config) -> Config:
-        """This process's share of the fleet, of the descriptors, and of what a worker that is warming up bears.
+        """Return the configuration with this process's share of the fleet, the descriptors and the slow-start budgets.
 
-        Raises ConfigError if there are too few descriptors for all.
+        Raises ConfigError if there are too few descriptors for all server processes.
         """
         settings = config.settings
         sockets = (config.max_sockets - SUPERVISOR_DESCRIPTORS - self.size) // self.size
         if sockets < MIN_SOCKETS:
             raise ConfigError(
-                f"limits.sockets: {config.max_sockets} are too few for {self.size} workers: {sockets} each"
+                f"limits.sockets: {config.max_sockets} are too few for {self.size} workers:"
+                f" {sockets} each, at least {MIN_SOCKETS} are needed"
             )
         return config._replace(
             admin=None,
@@ -50,48 +51,58 @@
 
 
 class StartParameters(NamedTuple):
-    """What a process that the supervisor has started is given before anything else."""
+    """The parameters that a server process receives from its supervisor before it starts."""
 
     process_index: ProcessIndex
-    sock: socket.socket  # of the channel to the supervisor
+    sock: socket.socket  # the channel to the supervisor
     config: Config
     operator: Operator | None
 
     @classmethod
     def receive(cls, environment: Mapping[str, str]) -> StartParameters:
-        """Wait for the supervisor's first message. Raises ConfigError, also where there is no supervisor."""
+        """Wait for the supervisor's first message and return its content.
+
+        Raises ConfigError if there is no supervisor or the configuration is invalid.
+        """
         try:
             number, size, descriptor = map(int, environment[messages.ENVIRONMENT_VARIABLE].split("/"))
             sock = socket.socket(fileno=descriptor)
             head = _receive_head(sock)
         except (ValueError, OSError, framing.BadPacketError) as error:
-            raise ConfigError(f"{messages.ENVIRONMENT_VARIABLE}: no supervisor: {error}") from error
+            raise ConfigError(
+                f"{messages.ENVIRONMENT_VARIABLE}: cannot receive the configuration from a supervisor: {error}"
+            ) from error
         index = ProcessIndex(number, size)
         configuration = messages.Configuration.from_head(head)
         return cls(index, sock, config_from(configuration, index, environment, None), configuration.operator)
 
 
 def _receive_head(sock: socket.socket) -> Head:
-    """Raises OSError or BadPacketError, and ConfigError if the supervisor has gone."""
+    """Wait for a message and return its head.
+
+    Raises OSError or BadPacketError, and ConfigError if the supervisor closes the channel first.
+    """
     reader = framing.Reader()
     message = None
     while message is None:
         data = sock.recv(framing.RECEIVE_BYTES)
         if not data:
-            raise ConfigError(f"{messages.ENVIRONMENT_VARIABLE}: the supervisor has gone")
+            raise ConfigError(
+                f"{messages.ENVIRONMENT_VARIABLE}: the supervisor closed the channel before it sent the configuration"
+            )
         message = reader.read(data)
     return message.head
 
 
 def config_from(
-    configuration: messages.Configuration, index: ProcessIndex, environment: Mapping[str, str], present: Config | None
+    configuration: messages.Configuration, index: ProcessIndex, environment: Mapping[str, str], current: Config | None
 ) -> Config:
-    """A server process's share of the configuration that the supervisor sent.
+    """Return a server process's share of the configuration that the supervisor sent.
 
-    `present`: what is in force, None at the start. Raises ConfigError.
+    `current`: the configuration in force, None at the start. Raises ConfigError.
     """
     variables = {**environment, "PROXY_LISTEN": configuration.listen}
     data = parse(configuration.text.encode(), variables.get("PROXY_CONFIG", ""))
     if configuration.reloaded:
         variables.pop("PROXY_DISCOVERY", None)
-    return index.share_of(read(data, variables) if present is None else reread(data, variables, present))
+    return index.share_of(read(data, variables) if current is None else reread(data, variables, current))
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -1,8 +1,8 @@
-"""The process above the server processes: it performs what `multiprocess.rules` decides, and serves summed metrics.
+"""The supervisor process: starts the server processes, connects them to each other, and serves their summed metrics.
 
-It reads and checks the configuration; the server processes get its text over their channels, so that all have the same
-one, those that start later too. It owns their processes, its ends of the channels, and the address, bound and not
-listened on.
+It performs the actions of `multiprocess.rules`. It reads and checks the configuration, and sends its text to the server
+processes over their channels, so that all of them have the same one, including those that start later. It owns the
+child processes, its ends of the channels, and a socket that is bound to the listening address but does not listen.
 """
 
 from __future__ import annotations
@@ -41,52 +41,55 @@
 
 
 class SupervisorOptions(NamedTuple):
-    """What the command line and its files say."""
+    """The command line's options and the contents of the files that it names."""
 
-    size: int  # how many server processes
+    size: int  # number of server processes
     config: Config
     text: bytes  # of the configuration file
-    operator: Operator | None
-    operator_file: str | None
+    operator: Operator | None  # the operator's file
+    operator_file: str | None  # its path
     verbose: bool
 
 
 class ProcessSlot:
-    """One server process: the operating system's process that is it now, and this side's end of its channel."""
+    """The operating system's process that runs as one server process at present, and the channel to it."""
 
     def __init__(self) -> None:
-        """Nothing runs yet."""
+        """Start without a process."""
         self.process: asyncio.subprocess.Process | None = None
         self.channel: UnixChannel | None = None
-        self.started = False
+        self.started = False  # the process has sent its first message
         self.accepts_clients = False
         self._message_timer: Timer | None = None
 
     @property
     def running(self) -> bool:
-        """Whether the process has been started and its end is not known."""
+        """Whether the process has been started and is not known to have ended."""
         return self.process is not None and self.process.returncode is None
 
     def send(self, message: Message) -> None:
-        """Queue a message, if there is a channel."""
+        """Queue a message; does nothing without a channel."""
         if self.channel is not None:
             self.channel.send(message.kind, message.to_head())
 
     def send_socket(self, message: Message, sock: socket.socket) -> None:
-        """Queue a message with a socket, which is closed here then."""
+        """Queue a message with a socket, whose copy in this process is closed once the message has been sent.
+
+        Without a channel, only the socket is closed.
+        """
         if self.channel is None:
             sock.close()
         else:
             self.channel.send_socket(message.kind, message.to_head(), sock)
 
     def expect_message(self, wheel: TimerWheel, timeout_us: int, overdue: Callable[[], None]) -> None:
-        """Call `overdue` unless this is called again, or `reset`, within the time."""
+        """Call `overdue` after `timeout_us`, unless this method or `reset` is called before."""
         if self._message_timer is not None:
             self._message_timer.cancel()
         self._message_timer = wheel.after(timeout_us, overdue, awaits_peer=True)
 
     def reset(self) -> None:
-        """The process has ended."""
+        """Close the channel of a process that has ended, and forget the process."""
         if self._message_timer is not None:
             self._message_timer.cancel()
         if self.channel is not None:
@@ -96,10 +99,10 @@
 
 
 class Supervisor:
-    """Starts and ends the server processes, connects them to each other and has their configuration."""
+    """Starts and ends the server processes, connects them to each other and sends them their configuration."""
 
     def __init__(self, options: SupervisorOptions, wheel: TimerWheel) -> None:
-        """Nothing is bound or started until `bind` and `start`."""
+        """Bind and start nothing yet; `bind` and `start` do."""
         self.options = options
         self.config = options.config
         self.slots = [ProcessSlot() for _ in range(options.size)]
@@ -115,9 +118,9 @@
         self._failed_reloads = 0
 
     def bind(self) -> socket.socket:
-        """The address, bound: the server processes get it, and if it is taken that is known before any starts.
+        """Bind the listening address, so that an address in use is found before any server process starts.
 
-        Raises OSError.
+        The server processes get the bound address, with its port. Raises OSError.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -168,30 +171,30 @@
             slot.process.terminate()
 
     async def _run(self, number: int) -> None:
-        """One run of a server process, from its start to its end."""
+        """Run a server process from its start to its end."""
         slot = self.slots[number]
-        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        own_end, child_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         code: int | None = None
         try:
-            slot.channel = UnixChannel(ours, partial(self._on_message, number), lambda: None)
+            slot.channel = UnixChannel(own_end, partial(self._on_message, number), lambda: None)
             slot.send(self._configuration())
             self._expect_message(number, rules.START_TIMEOUT_US)
-            process = slot.process = await self._spawn(number, theirs)
-            theirs.close()
+            process = slot.process = await self._spawn(number, child_end)
+            child_end.close()
             if self._group.terminating:
-                process.terminate()  # the signal arrived while it was being started
+                process.terminate()  # the supervisor was asked to terminate while the process was being started
             code = await process.wait()
             log.info("server_process_ended", process=number, pid=process.pid, code=code)
         except OSError as error:
             log.error("server_process_start_failed", process=number, error=str(error))
         finally:
-            theirs.close()
+            child_end.close()
             slot.reset()
-            self._sums.ended(number)
-            self._perform(self._group.ended(self._now(), number, code))
+            self._sums.process_ended(number)
+            self._perform(self._group.process_ended(self._now(), number, code))
 
     async def _spawn(self, number: int, sock: socket.socket) -> asyncio.subprocess.Process:
-        """Raises OSError."""
+        """Start the operating system's process, which inherits `sock`. Raises OSError."""
         environment = {name: value for name, value in os.environ.items() if name != "PROXY_OPS"}
         environment[messages.ENVIRONMENT_VARIABLE] = f"{number}/{len(self.slots)}/{sock.fileno()}"
         return await asyncio.create_subprocess_exec(
@@ -223,9 +226,9 @@
             case messages.Started(pid):
                 self._on_started(number, pid)
             case messages.Listening():
-                self._group.listening(number)
+                self._group.process_listening(number)
             case messages.Metrics(metrics, accepts_clients):
-                self._sums.report(number, metrics)
+                self._sums.update(number, metrics)
                 self.slots[number].accepts_clients = accepts_clients
             case messages.PeerLost(other):
                 self._connect(number, other)
@@ -238,17 +241,20 @@
             self._connect(number, other)
         slot.send(messages.PeersConnected())
 
-    def _connect(self, one: int, other: int) -> None:
-        """Give two server processes that run a channel to each other, in place of an earlier one."""
-        slots = self.slots[one], self.slots[other]
-        if one == other or not all(slot.started and slot.channel is not None for slot in slots):
-            return  # whichever starts next is connected then
+    def _connect(self, first: int, second: int) -> None:
+        """Send two running server processes a channel to each other, in place of an earlier one."""
+        slots = self.slots[first], self.slots[second]
+        if first == second or not all(slot.started and slot.channel is not None for slot in slots):
+            return  # the two are connected once both have started
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        for slot, peer, sock in zip(slots, (other, one), ends, strict=True):
+        for slot, peer, sock in zip(slots, (second, first), ends, strict=True):
             slot.send_socket(messages.PeerChannel(peer), sock)
 
     def reload(self) -> None:
-        """SIGHUP: the files are checked here, completely, and sent to all that run; others get them at their start."""
+        """Read the files again on SIGHUP, check them completely, and send them to the running server processes.
+
+        Server processes that start later get them at their start. Invalid files change nothing.
+        """
         try:
             text = text_of(os.environ)
             config = reread(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ, self.config)
@@ -267,7 +273,7 @@
             slot.send(self._configuration())
 
     def terminate(self) -> None:
-        """SIGTERM: the server processes answer their open requests and exit."""
+        """Terminate all server processes on SIGTERM; they answer their open requests and exit."""
         log.info("stopping")
         self._perform(self._group.terminate())
 
@@ -276,12 +282,12 @@
         return not self._group.terminating and any(slot.accepts_clients for slot in self.slots)
 
     def metrics(self) -> dict[str, Any]:
-        """The sums over all server processes."""
+        """Return the metrics summed over all server processes, and the counts of reloads."""
         return {**self._sums.totals(), "conf_loaded": self._reloads, "conf_invalid": self._failed_reloads}
 
 
 def _load_operator(path: str | None) -> Operator | None:
-    """Imports nothing of the operator's file where there is none. Raises ConfigError."""
+    """Load the operator's file. Imports the modules for it only if there is one. Raises ConfigError."""
     if path is None:
         return None
     from badgerroad.operator.schema import load
@@ -290,7 +296,7 @@
 
 
 def _listen_for_admin(supervisor: Supervisor, wheel: TimerWheel, address: Address) -> Listener:
-    """The second address. Raises ListenError."""
+    """Open the admin listener. Raises ListenError."""
     from badgerroad.admin.listener import Listener
 
     listener = Listener(wheel, supervisor.ready, supervisor.metrics)
@@ -311,7 +317,7 @@
 
 
 async def supervise(options: SupervisorOptions) -> int:
-    """Until SIGTERM and the server processes' end; returns the exit code. Raises ListenError."""
+    """Run the server processes until SIGTERM has ended them all; returns the exit code. Raises ListenError."""
     config = options.config
     wheel = TimerWheel(Clock(), IOLoop.current())
     supervisor = Supervisor(options, wheel)
@@ -325,7 +331,7 @@
         log.info("listening", name=config.name, address=supervisor.listen, server_processes=options.size)
         supervisor.start()
         code = await supervisor.exit_code
-        # A signal that arrives while the loop ends must not turn the exit into a crash.
+        # The loop's end restores the default handlers; a signal that arrives after that must not kill the process.
         signal.pthread_sigmask(signal.SIG_BLOCK, (*TERMINATION_SIGNALS, signal.SIGHUP))
         if admin is not None:
             admin.close()
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -1,4 +1,4 @@
-"""Several processes on one address: who is started and ended, and real processes whose server processes die under load."""
+"""Several server processes on one address: the supervisor's decisions, and real processes that die under load."""
 
 import asyncio
 import json
@@ -30,13 +30,13 @@
     "settings": {**SETTINGS, "siblings": 3, "index": 1},
 }
 STEP = st.tuples(
-    st.sampled_from(["listens", "silent", "due", "term", "pass", "ended 0", "ended 1", "ended 2", "ended -9"]),
+    st.sampled_from(["listens", "silent", "due", "term", "time", "ended 0", "ended 1", "ended 2", "ended -9"]),
     st.integers(0, 2),
 )
 
 
 class GroupUnderTest:
-    """Performs the actions of a ProcessGroup, and checks each against what runs."""
+    """Performs the actions of a ProcessGroup on simulated processes, and checks that each is allowed."""
 
     def __init__(self):
         self.group = rules.ProcessGroup(3)
@@ -67,7 +67,7 @@
                     assert action.process in self.running  # Kill
 
     def step(self, step, number):
-        if step == "pass":
+        if step == "time":
             self.now += 4_000_000 * number
         elif step == "term":
             self.terminate()
@@ -75,7 +75,7 @@
             self.perform(self.group.start_due(self.now, number))
             assert self.group.terminating or number in self.running
         elif step == "listens" and number in self.running:
-            self.group.listening(number)
+            self.group.process_listening(number)
         elif step == "silent":
             self.perform(self.group.message_overdue(number))
         elif step.startswith("ended") and number in self.running:
@@ -88,12 +88,12 @@
 
     def end(self, number, code):
         self.running.remove(number)
-        self.perform(self.group.ended(self.now, number, code))
+        self.perform(self.group.process_ended(self.now, number, code))
         assert self.group.terminating or number in self.waiting
 
 
 @given(st.lists(STEP, max_size=40))
-def test_any_history_of_ends_and_messages_has_one_process_a_slot_and_one_exit(steps):
+def test_any_sequence_of_events_keeps_at_most_one_process_a_slot_and_exits_once(steps):
     group = GroupUnderTest()
     group.perform(group.group.start(group.now))
     assert group.running == {0, 1, 2}
@@ -103,23 +103,24 @@
     assert not group.running
 
 
-def test_failures_at_the_start_back_off_and_a_configuration_that_never_worked_ends_all():
-    multiprocess, pauses = rules.ProcessGroup(1), []
-    multiprocess.start(0)
-    multiprocess.listening(0)
+def test_failed_starts_back_off_and_a_configuration_that_never_worked_ends_the_group():
+    group, delays = rules.ProcessGroup(1), []
+    group.start(0)
+    group.process_listening(0)
     for _ in range(8):
-        pauses += [later.delay_us for later in multiprocess.ended(0, 0, 1)]
-        multiprocess.start_due(0, 0)
-    assert pauses == [100_000 << n for n in range(6)] + [5_000_000] * 2
-    assert multiprocess.ended(rules.STABLE_RUN_US, 0, -9) == [rules.StartLater(0, 0)]  # it had lived
+        delays += [later.delay_us for later in group.process_ended(0, 0, 1)]
+        group.start_due(0, 0)
+    assert delays == [100_000 << n for n in range(6)] + [5_000_000] * 2
+    # A process that has run for STABLE_RUN_US did not fail at its start, so there is no backoff.
+    assert group.process_ended(rules.STABLE_RUN_US, 0, -9) == [rules.StartLater(0, 0)]
     fresh = rules.ProcessGroup(2)
     fresh.start(0)
-    assert fresh.ended(0, 1, 2) == [rules.Terminate(0)]
-    assert fresh.ended(0, 0, -15) == [rules.Exit(2)]
+    assert fresh.process_ended(0, 1, 2) == [rules.Terminate(0)]
+    assert fresh.process_ended(0, 0, -15) == [rules.Exit(2)]
 
 
-def test_counters_of_an_ended_process_stay_and_its_gauges_do_not():
-    def told(n, **more):
+def test_counters_of_an_ended_process_are_kept_and_its_gauges_are_not():
+    def metrics(n, **changes):
         return {
             "answered": {"a": n},
             "deferred": {"a": 0},
@@ -128,15 +129,15 @@
             "current": 3,
             "cluster_size": 10 + n,
             "cluster_unhealthy": 1,
-            **more,
+            **changes,
         }
 
     sums = MetricSums(2)
     sums.add_classes(["a", "b"])
     for process, n in ((0, 5), (1, 5), (0, 6)):
-        sums.report(process, told(n))
-    sums.ended(0)
-    sums.report(0, told(1, answered={"a": 1, "c": 4}))
+        sums.update(process, metrics(n))
+    sums.process_ended(0)
+    sums.update(0, metrics(1, answered={"a": 1, "c": 4}))
     assert sums.totals() == {
         "answered": {"a": 12, "b": 0, "c": 4},
         "deferred": {"a": 0, "b": 0},
@@ -148,20 +149,20 @@
     }
 
 
-def test_server_processes_share_out_fleet_and_descriptors():
+def test_server_processes_divide_the_fleet_and_the_descriptors():
     config = read({**DATA, "ops": "127.0.0.1:3"}, {})
-    parts = [ProcessIndex(n, 4).share_of(config) for n in range(4)]
-    assert [(p.settings.dispatcher_count, p.settings.dispatcher_index, p.admin) for p in parts] == [
+    shares = [ProcessIndex(n, 4).share_of(config) for n in range(4)]
+    assert [(share.settings.dispatcher_count, share.settings.dispatcher_index, share.admin) for share in shares] == [
         (12, 4 + n, None) for n in range(4)
     ]
-    assert sum(p.max_sockets for p in parts) <= config.max_sockets - 36
-    assert len({p.seed for p in parts}) == 4
+    assert sum(share.max_sockets for share in shares) <= config.max_sockets - 36
+    assert len({share.seed for share in shares}) == 4
     with pytest.raises(ConfigError, match="limits.sockets"):
         ProcessIndex(0, 8).share_of(config)
 
 
-class ProcessGroup(Service):
-    """A Service that is one supervisor and three server processes."""
+class SupervisedService(Service):
+    """A Service that runs as one supervisor with three server processes."""
 
     async def __aenter__(self):
         self.limits = 600
@@ -177,48 +178,53 @@
         return self
 
     async def lines(self, text, count):
-        """The log's lines with `text`, once there are so many."""
+        """Wait until the log has `count` lines with `text`; returns these lines."""
         found = []
         while len(found) < count:
             assert self.supervisor.returncode is None
             await asyncio.sleep(0.02)
-            found = [ln for ln in (self.folder / "log").read_text().splitlines() if text in ln]
+            found = [line for line in (self.folder / "log").read_text().splitlines() if text in line]
         return found
 
     async def pids(self, count):
-        """Of the server processes, the latest of each."""
+        """Wait until `count` server processes have started; returns the latest process id of each number."""
         fields = [
-            dict(f.split("=") for f in ln.split()[3:]) for ln in await self.lines("server_process_started", count)
+            dict(field.split("=") for field in line.split()[3:])
+            for line in await self.lines("server_process_started", count)
         ]
         return {int(f["process"]): int(f["pid"]) for f in fields}
 
     async def figures(self):
-        await asyncio.sleep(0.5)  # that old may they be
+        await asyncio.sleep(0.5)  # the summed metrics may be this old
         return await super().figures()
 
-    async def load(self, jobs):
-        """Clients on so many connections that every server process has some; returns how many of them broke."""
-        done = await asyncio.gather(*(self.client(f"c{n}", 1) for n in range(jobs)), return_exceptions=True)
-        assert all(d is None or isinstance(d, OSError | asyncio.IncompleteReadError) for d in done), done
-        return sum(d is not None for d in done)
+    async def load(self, connections):
+        """Send one request on each of `connections` connections; returns the number of connections that broke.
 
-    async def begun(self, jobs, running):
-        load = asyncio.ensure_future(self.load(jobs))
+        There must be enough connections for every server process to get some.
+        """
+        results = await asyncio.gather(*(self.client(f"c{n}", 1) for n in range(connections)), return_exceptions=True)
+        assert all(r is None or isinstance(r, OSError | asyncio.IncompleteReadError) for r in results), results
+        return sum(r is not None for r in results)
+
+    async def start_load(self, connections, running):
+        """Start `load`, and wait until workers have started `running` requests."""
+        load = asyncio.ensure_future(self.load(connections))
         await until(lambda: len(self.ran) >= running)
         return load
 
 
 @async_test
 async def test_job_events_reach_their_attempt_through_any_process_and_metrics_are_sums(tmp_path):
-    async with ProcessGroup(tmp_path) as s:
+    async with SupervisedService(tmp_path) as s:
         assert await s.load(40) == 0
         assert Counter(s.ends) == {(200, b"made"): 40}
         assert set(s.ran.values()) == {1}
-        told = await s.figures()
-        assert (told["answered"], told["sends"], told["current"]) == ({"preview": 40, "bundle": 0}, 40, 0)
-        own = Counter(ln.split("process=")[1].split()[0] for ln in await s.lines(" answered ", 40))
-        assert sum(own.values()) == 40
-        assert len(own) == 3
+        metrics = await s.figures()
+        assert (metrics["answered"], metrics["sends"], metrics["current"]) == ({"preview": 40, "bundle": 0}, 40, 0)
+        answers_by_process = Counter(line.split("process=")[1].split()[0] for line in await s.lines(" answered ", 40))
+        assert sum(answers_by_process.values()) == 40
+        assert len(answers_by_process) == 3
         pids = await s.pids(3)
         s.supervisor.terminate()
         assert await s.supervisor.wait() == 0
@@ -228,16 +234,17 @@
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
 @async_test
 async def test_a_process_that_dies_or_stops_breaks_only_its_own_clients_and_is_replaced(number, tmp_path):
-    async with ProcessGroup(tmp_path, hold=0.5) as s:
-        pids, load = await s.pids(3), await s.begun(30, 9)
+    async with SupervisedService(tmp_path, hold=0.5) as s:
+        pids, load = await s.pids(3), await s.start_load(30, 9)
         os.kill(pids[1], number)
         assert 0 < await load < 30
-        assert set(s.ran.values()) == {1}  # its call-backs came to the others, who had no such attempt
-        assert {status for status, _ in s.ends} <= {200, 503}  # some may not be in time with so few hosts
-        again = await s.pids(4)
-        assert again[0] == pids[0]
-        assert again[2] == pids[2]
-        assert again[1] != pids[1]
+        # Job events about the lost process's attempts reach the other processes, which do not know these attempts.
+        assert set(s.ran.values()) == {1}
+        assert {status for status, _ in s.ends} <= {200, 503}  # 503: three workers may be too few for the deadline
+        new_pids = await s.pids(4)
+        assert new_pids[0] == pids[0]
+        assert new_pids[2] == pids[2]
+        assert new_pids[1] != pids[1]
         await s.lines("listening", 5)
         s.hold, s.ends = 0.0, []
         assert await s.load(24) == 0
@@ -246,8 +253,8 @@
 
 
 @async_test
-async def test_new_settings_reach_all_processes_those_that_are_starting_too(tmp_path):
-    async with ProcessGroup(tmp_path) as s:
+async def test_new_settings_reach_all_processes_including_those_that_are_starting(tmp_path):
+    async with SupervisedService(tmp_path) as s:
         good = json.loads((tmp_path / "c.json").read_text())
         (tmp_path / "c.json").write_text("{")
         s.supervisor.send_signal(signal.SIGHUP)
@@ -257,20 +264,20 @@
         (tmp_path / "o.toml").write_text("[log]\nformat = 'json'\n")
         good["settings"]["requestClasses"].append({**CLASS, "name": "other"})
         (tmp_path / "c.json").write_text(json.dumps(good))
-        s.supervisor.send_signal(signal.SIGHUP)  # the third is being started, from the text that was in force
+        s.supervisor.send_signal(signal.SIGHUP)  # the third process is being started, with the earlier text
         await s.lines("listening", 5)
         while (await s.figures())["conf_loaded"] != 1:
             pass
         await asyncio.gather(*(s.client(f"o{n}", 1, "other") for n in range(24)))
         assert Counter(s.ends) == {(200, b"made"): 24}
-        await s.lines('"process":2', 1)  # the operator's file reached it too
+        await s.lines('"process":2', 1)  # a JSON line: the third process has the new operator's file too
         assert [(await s.figures())[name] for name in ("conf_invalid", "conf_loaded")] == [1, 1]
 
 
 @async_test
-async def test_without_its_supervisor_each_process_answers_its_open_requests_and_ends(tmp_path):
-    async with ProcessGroup(tmp_path, hold=0.5) as s:
-        pids, load = await s.pids(3), await s.begun(9, 9)
+async def test_each_process_answers_its_open_requests_and_ends_when_the_supervisor_dies(tmp_path):
+    async with SupervisedService(tmp_path, hold=0.5) as s:
+        pids, load = await s.pids(3), await s.start_load(9, 9)
         s.supervisor.kill()
         assert await load == 0
         assert len(s.ends) == 9
@@ -280,31 +287,34 @@
 @async_test
 async def test_server_processes_that_lose_their_channel_to_each_other_get_a_new_one():
     async with World(serve, ops=True) as w:
-        d = w.dispatcher
-        supervisor = Supervisor(SupervisorOptions(2, d.config, b"", None, None, False), d.wheel)
-        got, ends = [], [socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET) for _ in range(2)]
+        dispatcher = w.dispatcher
+        supervisor = Supervisor(SupervisorOptions(2, dispatcher.config, b"", None, None, False), dispatcher.wheel)
+        received, ends = [], [socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET) for _ in range(2)]
         for n, slot in enumerate(supervisor.slots):
             slot.started, slot.channel = (
                 True,
                 UnixChannel(ends[n][0], lambda *message: supervisor._on_message(0, *message), lambda: None),
             )
         process = ServerProcess(
-            StartParameters(ProcessIndex(0, 2), ends[0][1], d.config, None), d, d.wheel, lambda: None
+            StartParameters(ProcessIndex(0, 2), ends[0][1], dispatcher.config, None),
+            dispatcher,
+            dispatcher.wheel,
+            lambda: None,
         )
         other = UnixChannel(
-            ends[1][1], lambda kind, head, payload, fd: got.append(socket.socket(fileno=fd)), lambda: None
+            ends[1][1], lambda kind, head, payload, fd: received.append(socket.socket(fileno=fd)), lambda: None
         )
-        await until(lambda: got and process.peers and process.may_listen.is_set())
+        await until(lambda: received and process.peers and process.may_listen.is_set())
         process.peers[1].close()
-        await until(lambda: len(got) == 2 and process.peers)
+        await until(lambda: len(received) == 2 and process.peers)
         process.unknown_job_event(b"r9", "h0", "done", {})
-        assert b'"id":"r9"' in got[1].recv(999)
-        for link in (process, other, *(slot.channel for slot in supervisor.slots)):
-            link.close()
+        assert b'"id":"r9"' in received[1].recv(999)
+        for resource in (process, other, *(slot.channel for slot in supervisor.slots)):
+            resource.close()
 
 
 @pytest.mark.parametrize(
-    ("workers", "text", "code", "said"),
+    ("workers", "text", "code", "message"),
     [
         ("0", "", 2, "--workers"),
         ("x", "", 2, "--workers"),
@@ -313,15 +323,15 @@
         ("2", "taken", 1, "listen: 127.0.0.1"),
     ],
 )
-def test_a_start_that_cannot_succeed_ends_with_one_line(workers, text, code, said, tmp_path):
+def test_a_start_that_cannot_succeed_ends_with_one_line(workers, text, code, message, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as s:
         taken = {**DATA, "listen": f"127.0.0.1:{s.getsockname()[1]}"}
         (tmp_path / "c.json").write_text(json.dumps(taken) if text == "taken" else text)
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "badgerroad", "serve", "--workers", workers],
             capture_output=True,
             text=True,
             env={**os.environ, "PROXY_CONFIG": str(tmp_path / "c.json")},
         )
-    assert (done.returncode, done.stderr.count("\n")) == (code, 1)
-    assert said in done.stderr
+    assert (result.returncode, result.stderr.count("\n")) == (code, 1)
+    assert message in result.stderr
