--- a/badgerroad/retry_budget/__init__.py
+++ b/badgerroad/retry_budget/__init__.py
@@ -1,1 +1,1 @@
-"""The retry budget: a limit on retries, whatever the decisions ask for. Not imported unless the operator sets it."""
+"""The retry budget: limits retries to a share of first attempts. Imported only if the operator's file enables it."""
--- a/badgerroad/retry_budget/rules.py
+++ b/badgerroad/retry_budget/rules.py
@@ -1,8 +1,8 @@
-"""The retry budget: retries are at most a share of first attempts, by class, over a rolling window. No I/O, no clock.
+"""Limits the retries of each request class to a share of its first attempts, in a rolling window. No I/O, no clock.
 
-Without it, when a third of the fleet is faulty each request that meets it is retried, and the workers that are left get
-the retries on top of their own load. An attempt that the budget rejects is never sent; the decisions are notified that
-it is moot and continue from there. Times are microseconds.
+Without the limit, when a third of the fleet is faulty, every request sent to a faulty worker is retried, and the
+healthy workers get these retries on top of their own load. An attempt that the budget rejects is never sent; the
+dispatch policy is notified that the attempt is moot and decides how the request goes on. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -11,13 +11,14 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-PARTS = 10  # of a window: counts leave it by parts, so it is up to a part longer than configured
-# Of the budget for hedged requests: the rest is for requests that have no attempt in flight any more.
+# Parts in which counts leave the window; the window is therefore up to one part longer than configured.
+WINDOW_PARTS = 10
+# Share of the budget that hedged requests may use; the rest is for requests that have no attempt in flight any more.
 HEDGING_SHARE = 0.5
 
 
 class AttemptCounts(NamedTuple):
-    """Attempts that count now."""
+    """The attempts of one class in the present window."""
 
     first: int
     retries: int
@@ -27,7 +28,7 @@
 class WindowPart:
     """The attempts in one part of a window."""
 
-    number: int  # since the clock's zero
+    number: int  # consecutive, from the clock's zero
     first: int = 0
     retries: int = 0
 
@@ -36,15 +37,15 @@
     """First attempts and retries of one class in a rolling window."""
 
     def __init__(self) -> None:
-        """Nothing is counted yet."""
+        """Start with an empty window."""
         self.first = 0
         self.retries = 0
         self._parts: deque[WindowPart] = deque()
 
     def advance(self, number: int) -> WindowPart:
-        """Drop what has left the window; the part `number`, in which attempts count now."""
+        """Drop the parts that have left the window when `number` is the present part; returns the present part."""
         parts = self._parts
-        while parts and parts[0].number < number - PARTS:
+        while parts and parts[0].number < number - WINDOW_PARTS:
             oldest = parts.popleft()
             self.first -= oldest.first
             self.retries -= oldest.retries
@@ -53,24 +54,27 @@
         return parts[-1]
 
     def count_first(self, number: int) -> None:
-        """Count a first attempt in a part."""
+        """Count a first attempt in the part `number`."""
         self.advance(number).first += 1
         self.first += 1
 
     def count_retry(self, number: int) -> None:
-        """Count a retry in a part."""
+        """Count a retry in the part `number`."""
         self.advance(number).retries += 1
         self.retries += 1
 
 
 class RetryBudget:
-    """The budgets of all classes."""
+    """The retry budgets of all request classes."""
 
     def __init__(self, share: float, min_retries: int, window_us: int) -> None:
-        """`share`: retries for each first attempt. `min_retries`: always allowed in a window, for low traffic."""
+        """`share`: retries allowed for each first attempt.
+
+        `min_retries`: retries allowed in a window in any case, so that classes with little traffic can retry.
+        """
         self._share = share
         self._min_retries = min_retries
-        self._part_us = max(window_us // PARTS, 1)
+        self._part_us = max(window_us // WINDOW_PARTS, 1)
         self._windows: dict[str, Window] = {}
         self._exhausted_reported_at: dict[str, int] = {}
 
@@ -78,11 +82,14 @@
         return self._windows.setdefault(request_class, Window())
 
     def count_first(self, request_class: str, now: int) -> None:
-        """A request's first attempt is sent."""
+        """Count a request's first attempt, which is sent at `now`."""
         self._window(request_class).count_first(now // self._part_us)
 
     def allow_retry(self, request_class: str, now: int, hedged: bool) -> bool:
-        """Whether a retry may be sent; if so it is counted. `hedged`: in addition to an attempt in flight."""
+        """Whether a retry may be sent; if so, it is counted.
+
+        `hedged`: the request has another attempt in flight.
+        """
         window = self._window(request_class)
         number = now // self._part_us
         window.advance(number)
@@ -93,15 +100,15 @@
         return True
 
     def should_report_exhausted(self, request_class: str, now: int) -> bool:
-        """Whether it is time to report that the budget is exhausted: once a window for each class."""
-        window_us = PARTS * self._part_us
+        """Whether to report now that the budget is exhausted, which is done once in a window for each class."""
+        window_us = WINDOW_PARTS * self._part_us
         due = now - self._exhausted_reported_at.get(request_class, -window_us) >= window_us
         if due:
             self._exhausted_reported_at[request_class] = now
         return due
 
     def counts(self, request_class: str, now: int) -> AttemptCounts:
-        """The attempts that count now."""
+        """Return the attempts of a class in the present window."""
         window = self._window(request_class)
         window.advance(now // self._part_us)
         return AttemptCounts(window.first, window.retries)
