--- a/benchmarks/handover_state.py
+++ b/benchmarks/handover_state.py
@@ -1,4 +1,4 @@
-"""What a handover tells of the decisions' state: bytes, time and memory, as JSON and in a compact encoding.
+"""Size, time and memory of the state sent in a hot restart's grant, encoded as JSON and as MessagePack.
 
 PYTHONPATH=. .venv/bin/python benchmarks/handover_state.py
 """
@@ -14,10 +14,10 @@
 from badgerroad.load_balancing.policy import DispatchPolicy
 
 
-def busy(workers: int) -> DispatchPolicy:
-    """A module that has served a few jobs at each worker and has some open."""
+def busy_policy(workers: int) -> DispatchPolicy:
+    """Return a dispatch policy that has completed a few requests on each worker and has some open."""
     rng = random.Random(workers)
-    d = DispatchPolicy(
+    policy = DispatchPolicy(
         interface.Settings(
             (interface.RequestClass("s", deadline=60_000_000, latency_objective=30_000_000),),
             reports_start=True,
@@ -28,7 +28,7 @@
         ),
         1,
     )
-    d.handle(
+    policy.handle(
         1_000_000,
         interface.EndpointList(
             interface.ListScope.COMPLETE,
@@ -39,50 +39,56 @@
             ),
         ),
     )
-    sent = []
+    in_flight = []
     for n in range(1, 3 * min(workers, 200)):
         now = 1_000_000 + n * 2_000
-        for a in d.handle(now, interface.Request(n, time_left=60_000_000, work_hint=rng.randrange(1_000, 400_000))):
-            if isinstance(a, interface.Send):
-                sent.append((a.request, a.worker))
-                d.handle(now + 500, interface.AttemptStarted(a.request, 0, a.worker))
-        while len(sent) > workers // 2:
-            request, worker = sent.pop(0)
-            d.handle(now + 1_000, interface.AttemptEnded(request, 0, worker, interface.AttemptResult.OK, finished=True))
-    return d
+        for action in policy.handle(
+            now, interface.Request(n, time_left=60_000_000, work_hint=rng.randrange(1_000, 400_000))
+        ):
+            if isinstance(action, interface.Send):
+                in_flight.append((action.request, action.worker))
+                policy.handle(now + 500, interface.AttemptStarted(action.request, 0, action.worker))
+        while len(in_flight) > workers // 2:
+            request, worker = in_flight.pop(0)
+            policy.handle(
+                now + 1_000, interface.AttemptEnded(request, 0, worker, interface.AttemptResult.OK, finished=True)
+            )
+    return policy
 
 
 def measure(encode, decode, value):
+    """Return the encoded size in bytes, the shortest and longest time in ms, and the peak memory in KB."""
     tracemalloc.start()
-    text = encode(value)
-    decode(text)
+    encoded = encode(value)
+    decode(encoded)
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     times = []
     for _ in range(20):
-        begun = time.perf_counter()
+        started = time.perf_counter()
         decode(encode(value))
-        times.append(time.perf_counter() - begun)
-    return len(text), min(times) * 1e3, max(times) * 1e3, peak / 1024
+        times.append(time.perf_counter() - started)
+    return len(encoded), min(times) * 1e3, max(times) * 1e3, peak / 1024
 
 
-print("workers  encoding      KB   ms (least, most of 20)   peak KB   copy out ms   copy in ms")
+print("workers  encoding      KB   ms (min, max of 20)      peak KB   save ms       restore ms")
 for workers in (15, 200, 1_000):
-    d = busy(workers)
-    begun = time.perf_counter()
-    told = {"state": state.copy_out(d), "attempts": state.attempts_out(d, lambda r, n: f"1.{r}.{n}")}
-    out = (time.perf_counter() - begun) * 1e3
-    begun = time.perf_counter()
-    state.copy_in(busy(workers), json.loads(json.dumps(told["state"])))
-    fresh = busy(workers)
-    begun = time.perf_counter()
-    state.copy_in(fresh, told["state"])
-    into = (time.perf_counter() - begun) * 1e3
+    policy = busy_policy(workers)
+    started = time.perf_counter()
+    grant = {"state": state.copy_out(policy), "attempts": state.attempts_out(policy, lambda r, n: f"1.{r}.{n}")}
+    save_ms = (time.perf_counter() - started) * 1e3
+    started = time.perf_counter()
+    state.copy_in(busy_policy(workers), json.loads(json.dumps(grant["state"])))
+    fresh_policy = busy_policy(workers)
+    started = time.perf_counter()
+    state.copy_in(fresh_policy, grant["state"])
+    restore_ms = (time.perf_counter() - started) * 1e3
     for name, encode, decode in (
         ("json", lambda v: json.dumps(v, separators=(",", ":")).encode(), json.loads),
         ("msgpack", msgspec.msgpack.encode, msgspec.msgpack.decode),
     ):
-        size, least, most, peak = measure(encode, decode, told)
+        size, min_ms, max_ms, peak = measure(encode, decode, grant)
         print(
-            f"{workers:7}  {name:8} {size / 1024:7.1f} {least:10.2f} {most:8.2f} {peak:16.0f} {out:12.2f} {into:12.2f}"
+            f"{workers:7}  {name:8} {size / 1024:7.1f} {min_ms:10.2f} {max_ms:8.2f} {peak:16.0f} "
+            f"{save_ms:12.2f} {restore_ms:12.2f}"
         )
--- a/benchmarks/upgrade_between_versions.py
+++ b/benchmarks/upgrade_between_versions.py
@@ -1,8 +1,10 @@
-"""Real upgrades between two versions of the program under load, both ways, and a way back without a new process.
+"""Upgrades of real processes under load between two versions of the program, in both directions.
+
+A last upgrade is undone: the new process ends, and the old one resumes.
 
     PYTHONPATH=. .venv/bin/python benchmarks/upgrade_between_versions.py OLD NEW
 
-OLD and NEW are checkouts; both run on this interpreter. Exit code 1 where a request was lost, run twice, or its
+OLD and NEW are checkouts; both run on this interpreter. The exit code is 1 if a request was lost or run twice, or if its
 connection was closed.
 """
 
@@ -20,7 +22,7 @@
 
 
 class VersionedService(Service):
-    """A service whose next process runs the checkout in `tree`."""
+    """A Service whose next process runs the checkout `tree`."""
 
     tree = "."
 
@@ -46,7 +48,10 @@
 
 
 async def upgrades(service, old, new):
-    """Exit codes of: old to new, new to old, and old to new whose new process ends, so that the old goes on."""
+    """Upgrade from old to new, back to old, and to new again, where the new process ends and the old one resumes.
+
+    Returns the exit codes of the processes that ended, and the failures of the clients.
+    """
     service.tree = old
     running = await service.start()
     load = [asyncio.ensure_future(service.client(f"c{n}", REQUESTS)) for n in range(CLIENTS)]
--- a/benchmarks/upgrade_crowd.py
+++ b/benchmarks/upgrade_crowd.py
@@ -1,9 +1,10 @@
-"""Upgrades of real processes while a crowd of connections that say nothing, or half a request, comes.
+"""Upgrades of real processes while many connections are opened that send nothing or an incomplete request.
 
-Usage: python benchmarks/upgrade_crowd.py [ROUNDS] [CROWD]
+Usage: python benchmarks/upgrade_crowd.py [ROUNDS] [CONNECTIONS]
 
-Four clients keep a connection each for 60 jobs; three upgrades one after the other; 1,024 descriptors. Prints a line a round:
-clients whose connection broke, jobs served, the longest stall that a dispatcher logged, seconds of each upgrade.
+Each round, four clients send 60 requests on one connection each, during three upgrades in sequence, with a limit of 1,024
+descriptors. Prints a line for each round: clients whose connection broke, requests served, the longest stall that a
+dispatcher logged, and the seconds that each upgrade took.
 """
 
 import asyncio
@@ -19,44 +20,47 @@
 from tests.support.service import Service  # noqa: E402
 
 
-async def once(size):
+async def run_round(connection_count):
     with tempfile.TemporaryDirectory() as folder:
         service = Service(pathlib.Path(folder))
         service.limits = 1024
         async with service as s:
             await s.upgrade()
-            crowd, times = [], []
+            connections, upgrade_times = [], []
 
-            async def come():
-                for n in range(size):
-                    crowd.append(await s.connect())
+            async def open_connections():
+                for n in range(connection_count):
+                    connections.append(await s.connect())
                     if n % 2:
-                        crowd[-1][1].write(b"POST /preview/x HTT")
+                        connections[-1][1].write(b"POST /preview/x HTT")
                     if n % 100 == 0:
                         await asyncio.sleep(0.05)
 
-            coming = asyncio.ensure_future(come())
+            opening = asyncio.ensure_future(open_connections())
             clients = [asyncio.ensure_future(s.client(f"c{n}", 60)) for n in range(4)]
             for _ in range(3):
-                began = time.monotonic()
+                started = time.monotonic()
                 await s.upgrade()
-                times.append(round(time.monotonic() - began, 2))
+                upgrade_times.append(round(time.monotonic() - started, 2))
                 await asyncio.sleep(0.3)
-            await coming
+            await opening
             await asyncio.wait(clients)
             broken = sum(c.exception() is not None for c in clients)
             logs = "".join(p.read_text() for p in pathlib.Path(folder).glob("*.log"))
             stalls = [int(ms) for ms in re.findall(r"stalled ms=(\d+)", logs)]
             assert set(s.ran.values()) == {1}
-            print(f"broken {broken} of 4, served {len(s.ends)}, stall ms {max(stalls, default=0)}, upgrades s {times}")
-            for _, writer in crowd:
+            print(
+                f"broken {broken} of 4, served {len(s.ends)}, stall ms {max(stalls, default=0)}, "
+                f"upgrades s {upgrade_times}"
+            )
+            for _, writer in connections:
                 writer.close()
 
 
 def main():
     resource.setrlimit(resource.RLIMIT_NOFILE, (8192, 8192))
     for _ in range(int(sys.argv[1]) if len(sys.argv) > 1 else 4):
-        asyncio.run(asyncio.wait_for(once(int(sys.argv[2]) if len(sys.argv) > 2 else 2000), 60))
+        asyncio.run(asyncio.wait_for(run_round(int(sys.argv[2]) if len(sys.argv) > 2 else 2000), 60))
 
 
 if __name__ == "__main__":
