--- a/badgerroad/hot_restart/rules.py
+++ b/badgerroad/hot_restart/rules.py
@@ -30,7 +30,7 @@
 # of its start, of which the start itself takes up to 1 s and an unanswered poll of discovery 1.5 s.
 HELLO_TIMEOUT_US = 1_500_000
 CLAIM_TIMEOUT_US = 1_000_000
-OFFER_TIMEOUT_US = 8_000_000  # from the offer to the claim; until then the predecessor goes on accepting
+OFFER_TIMEOUT_US = 8_000_000  # from the offer to the claim; until then the predecessor continues to accept
 # A successor sends a message every 0.2 s. One that has sent none for this long is stopped or hangs, so its predecessor
 # resumes accepting.
 MISSING_HEARTBEAT_US = 2_000_000
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -102,7 +102,7 @@
     """Starts and ends the server processes, connects them to each other and sends them their configuration."""
 
     def __init__(self, options: SupervisorOptions, wheel: TimerWheel) -> None:
-        """Bind and start nothing yet; `bind` and `start` do."""
+        """Prepare the server processes; `bind` opens the address and `start` starts them."""
         self.options = options
         self.config = options.config
         self.slots = [ProcessSlot() for _ in range(options.size)]
--- a/badgerroad/retry_budget/rules.py
+++ b/badgerroad/retry_budget/rules.py
@@ -2,7 +2,7 @@
 
 Without the limit, when a third of the fleet is faulty, every request sent to a faulty worker is retried, and the
 healthy workers get these retries on top of their own load. An attempt that the budget rejects is never sent; the
-dispatch policy is notified that the attempt is moot and decides how the request goes on. Times are microseconds.
+dispatch policy is notified that the attempt is moot and decides what happens to the request. Times are microseconds.
 """
 
 from __future__ import annotations
