--- a/badgerroad/load_balancing/__init__.py
+++ b/badgerroad/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on workers: events and a clock in, actions out; no I/O, the standard library only."""
+"""The load-balancing policy: takes events and a clock, returns actions. No I/O; uses the standard library only."""
--- a/badgerroad/load_balancing/availability.py
+++ b/badgerroad/load_balancing/availability.py
@@ -1,4 +1,4 @@
-"""How many listed workers are sent nothing, for the metrics."""
+"""Counts the unavailable workers, for the metrics."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def unavailable_workers(workers: Iterable[Worker], now: int) -> int:
-    """Listed workers that are draining, or ejected at `now` (microseconds) after failures in a row."""
+    """Return the number of listed workers that are draining, or ejected at time `now` (microseconds)."""
     return sum(
         worker.info.state != GONE and (worker.info.state != READY or worker.ejected_until > now) for worker in workers
     )
--- a/badgerroad/load_balancing/deployment_settings.py
+++ b/badgerroad/load_balancing/deployment_settings.py
@@ -1,7 +1,7 @@
-"""What a deployment tells its dispatchers: classes of requests, tenants, permissions and limits.
+"""The settings of a deployment: request classes, tenants, permissions and limits.
 
-Times are whole microseconds. Work is in microseconds on a standard core, as the work hints of requests are. The names
-of the settings object on the wire are mapped in `settings_decoder`.
+Times are integers in microseconds. Work is in microseconds on a standard core, like the work hints of requests.
+`settings_decoder` maps the keys of the JSON settings object to these names.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 
 class RetrySemantics(StrEnum):
-    """What a class of requests allows after an attempt that may have run."""
+    """Determines whether a request may be sent again after an attempt that may have run."""
 
     IDEMPOTENT = "safe"
-    """May run any number of times, on any workers."""
+    """The request may run any number of times, on any workers."""
     IDEMPOTENCY_KEY = "keyed"
-    """Carries a key by which the workers of its deduplication scope drop a repeat."""
+    """The request carries a key by which the workers of its deduplication scope detect and drop repeats."""
     NON_IDEMPOTENT = "unsafe"
-    """Must not be sent again once it may have run."""
+    """The request must not be sent again once it may have run."""
 
 
 class DeduplicationScope(StrEnum):
-    """Which workers drop the repeats of a request with an idempotency key."""
+    """The workers that detect repeats of a request with an idempotency key: all, or those of one zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,10 +30,10 @@
 
 
 class RequestClass(NamedTuple):
-    """One class of requests.
+    """A request class.
 
-    An answer is in time within `latency_objective + objective_per_work * work`, and inside the deadline. The order of
-    the fields is part of the messages between two processes of an upgrade.
+    An answer is in time if it takes at most `latency_objective + objective_per_work * work` and meets the deadline. The
+    order of the fields is part of the messages between the two processes of a hot restart.
     """
 
     name: str
@@ -41,20 +41,20 @@
     latency_objective: int = 1_000_000
     deadline: int = 5_000_000
     objective_per_work: float = 0.0
-    """The part of the latency objective that is in proportion to the work of the request."""
+    """Addition to the latency objective for each microsecond of work of the request."""
     deduplication_scope: str = DeduplicationScope.ALL
     deduplication_window: int = 0
-    """With an idempotency key: how long a repeat is dropped, from the first attempt that may have run."""
+    """How long workers detect repeats by idempotency key, counted from the first attempt that may have run."""
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
-    """The part of the priority weight that an answer past its latency objective still has."""
+    """Priority weight of an answer that is later than its latency objective."""
     stream: bool = False
     machine_type: int = -1
-    """The only machine type that can run it, or -1 for any."""
+    """The only machine type that can run the class, or -1 for any."""
 
 
 class Tenant(NamedTuple):
-    """A tenant and its quota over all dispatchers together."""
+    """A tenant and its request quota, which is shared by all dispatchers."""
 
     name: str
     quota_per_s: float
@@ -67,51 +67,51 @@
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     dispatcher_count: int = 1
-    """Dispatchers that share the workers, this one included."""
+    """Number of dispatchers that share the workers, including this one."""
     dispatcher_index: int = 0
-    """The place of this dispatcher among them, from 0."""
+    """Index of this dispatcher among them, from 0."""
     zone: int = 0
     tick: int = 1_000
-    """The least time between two batches of events."""
+    """Minimum time between two batches of events."""
     max_attempts: int = 1
     hedging_allowed: bool = False
-    """A request may have more than one attempt open at once."""
+    """Whether a request may have more than one attempt in flight at once."""
     cancel_allowed: bool = False
     health_checks_allowed: bool = False
     must_subscribe: bool = True
-    """Changes of the endpoint list come only to dispatchers that have subscribed."""
+    """Whether changes of the endpoint list are sent only to dispatchers that have subscribed."""
     poll_interval: int = 10_000_000
-    """A dispatcher without a watch may go on with its endpoint list for so long."""
+    """Maximum age of the endpoint list of a dispatcher without a watch, before it must poll."""
     slow_start_share: float = 1.0
-    """The share of its capacity that a worker has at least when it starts."""
+    """Minimum share of its full capacity that a worker has when it starts."""
     slow_start_duration: int = 0
-    """A worker is warmed up after so long at the latest."""
+    """Time from its start after which a worker has its full capacity."""
     overload_threshold: float = 1.0
-    """A worker that warms up falls over from so many times its capacity of the moment,"""
+    """Multiple of its current capacity at which a worker that is warming up fails, if sent within `overload_window`."""
     overload_window: int = 1_000_000
-    """sent to it within this time."""
+    """Rolling window in which work counts towards `overload_threshold`."""
     reports_start: bool = False
-    """Workers report when a request starts to run."""
+    """Whether workers report when a request starts to run."""
     over_quota_priority: float = 1.0
-    """The factor on the priority weight of requests beyond their tenant's quota."""
+    """Factor on the priority weight of requests over their tenant's quota."""
     cross_zone_cost: float = 0.0
     load_report_fields: tuple[str, ...] = ()
-    """The names of the values of a load report, in order."""
+    """Names of the values of a load report, in order."""
     clients_mark_retries: bool = False
     retry_after_allowed: bool = False
     max_retry_after: int = 0
     peers_allowed: bool = False
-    """Dispatchers may talk to one another, or to controllers of theirs."""
+    """Whether dispatchers may exchange messages with each other or with their controllers."""
     drain_grace: int = 0
-    """How long requests may still be sent to a worker after it was listed as draining or gone."""
+    """How long requests may still be sent to a worker after it is listed as draining or gone."""
     progress_interval: int = 0
-    """How often workers report the progress of a request; 0 if they do not."""
+    """Interval between progress reports of a running request; 0 if workers send none."""
     connect_timeout: int = 0
     connection_idle_timeout: int = 0
-    """After this workers close an idle connection."""
+    """Time after which workers close an idle connection."""
 
     def check(self) -> None:
-        """Raise ValueError, naming the field by its plain name, on settings that are not possible."""
+        """Raise ValueError on invalid settings; the message gives the field by its name in the configuration file."""
         _require(bool(self.classes), "classes", "at least one class is needed")
         for index, request_class in enumerate(self.classes):
             _check_class(f"classes[{index}]", request_class)
--- a/badgerroad/load_balancing/endpoint_roster.py
+++ b/badgerroad/load_balancing/endpoint_roster.py
@@ -1,4 +1,4 @@
-"""The listed workers and their states, as the endpoint lists gave them. Which of them get requests is the policy's."""
+"""The listed workers and their states according to the endpoint lists. The policy decides which of them are used."""
 
 from bisect import bisect_left, insort
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 
 
 class SortedWorkers(list[Worker]):
-    """Workers in the one order that all dispatchers share. Adding or removing one does not examine all of them."""
+    """Workers in the order that all dispatchers share. Adding or removing one uses a binary search."""
 
     def add(self, worker: Worker) -> None:
-        """Put the worker in its position."""
+        """Insert the worker in its position."""
         insort(self, worker, key=sort_key_of)
 
     def discard(self, worker: Worker) -> None:
-        """Take it out if it is in."""
+        """Remove the worker if it is contained."""
         index = bisect_left(self, worker.sort_key, key=sort_key_of)
         if index < len(self) and self[index] is worker:
             del self[index]
@@ -29,34 +29,35 @@
 class EndpointRoster:
     """All listed workers by id, machine types by number, and the ready workers in order.
 
-    A worker that is gone while it warms up stays, as it may be listed again. A worker may cease to warm up as time
-    passes, all else changes with a list only; after other settings a list that is not incremental must follow.
+    A worker that is removed while it is warming up stays until the end of its warm-up, as it may be listed again. The
+    end of a warm-up depends on the time; all other changes come with a list. After a change of settings, the caller
+    must pass a list that is not incremental.
     """
 
     def __init__(self, is_remote: Predicate, is_warming_up: Predicate) -> None:
-        """`is_remote` says which workers are in other zones, `is_warming_up` which have just started."""
+        """`is_remote` tests whether a worker is in another zone, `is_warming_up` whether it has just started."""
         self.workers: dict[interface.WorkerId, Worker] = {}
         self.machine_types: dict[int, MachineType] = {}
         self.ready = SortedWorkers()
         self.local = SortedWorkers()
-        """Ready and not remote."""
+        """The ready workers that are not remote."""
         self.remote = SortedWorkers()
-        """Ready and remote."""
+        """The ready workers that are remote."""
         self.warming_up = SortedWorkers()
-        """Ready and, when the last list came, warming up."""
+        """The ready workers that were warming up at the last list."""
         self.capacity = FleetCapacity(is_warming_up)
-        """Of the ready ones."""
+        """Total capacity of the ready workers."""
         self._is_remote = is_remote
         self._is_warming_up = is_warming_up
         self._gone: set[Worker] = set()
-        self._ids_listed = 0  # equal sort keys are in the order in which their ids came
+        self._ids_listed = 0  # breaks ties of sort keys: earlier listed ids come first
 
     def update(self, endpoint_list: interface.EndpointList) -> None:
-        """Take in a list. An incremental one takes time by its entries, the others by all workers."""
+        """Apply a list. The cost is proportional to its entries if it is incremental, else to the number of workers."""
         entries = {info.worker: info for info in endpoint_list.entries}
         if endpoint_list.scope == interface.ListScope.INCREMENTAL:
             for info in entries.values():
-                self._change(info)
+                self._apply_change(info)
             self.warming_up[:] = [worker for worker in self.warming_up if self._is_warming_up(worker)]
         else:
             for known in self.workers.values():
@@ -68,8 +69,8 @@
             self._gone.remove(worker)
             del self.workers[worker.id]
 
-    def _change(self, info: interface.Endpoint) -> None:
-        """Record the entry of one worker and put it in its positions."""
+    def _apply_change(self, info: interface.Endpoint) -> None:
+        """Record the entry of one worker and update its positions in the sorted lists."""
         known = self.workers.get(info.worker)
         if known:
             for workers in (self.ready, self.local, self.remote, self.warming_up):
@@ -91,15 +92,15 @@
         self.warming_up[:] = [worker for worker in self.ready if self._is_warming_up(worker)]
 
     def _record(self, info: interface.Endpoint) -> Worker:
-        """Record what an entry says of its worker: of this run of it, or of a new one."""
+        """Record an entry in its worker's record, or in a new one if the worker has restarted."""
         worker = self.workers.get(info.worker)
         if worker is None:
             self._ids_listed += 1
-            worker = self._new(info, self._ids_listed)
+            worker = self._add_worker(info, self._ids_listed)
         elif info.started_at != worker.info.started_at and info.state != GONE:
             worker.info = worker.info._replace(state=GONE)
             self._gone.discard(worker)
-            worker = self._new(info, worker.listing_number)
+            worker = self._add_worker(info, worker.listing_number)
         worker.info = info._replace(started_at=worker.info.started_at)
         worker.draw_weight = max(info.weight, MIN_WEIGHT) ** 2
         if info.state == GONE:
@@ -108,7 +109,7 @@
             self._gone.discard(worker)
         return worker
 
-    def _new(self, info: interface.Endpoint, listing_number: int) -> Worker:
+    def _add_worker(self, info: interface.Endpoint, listing_number: int) -> Worker:
         machine_type = self.machine_types.setdefault(info.machine_type, MachineType())
         worker = Worker(info, machine_type, listing_number)
         self.workers[info.worker] = worker
--- a/badgerroad/load_balancing/fleet_capacity.py
+++ b/badgerroad/load_balancing/fleet_capacity.py
@@ -1,7 +1,7 @@
-"""The capacity of all ready workers together, kept as running counts. Statistics only.
+"""Total capacity of all ready workers, computed without examining all of them.
 
-A worker of which nothing was learned lately has the speed of its machine type: such workers are counted by type. The
-others, which ran an own request of late, are warming up or are ejected, are examined one by one.
+Workers without a recent own run have the speed of their machine type, so they are counted by type. Workers that
+recently ran an own request, are warming up or are ejected are examined individually.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,39 +11,42 @@
 
 
 class FleetCapacity:
-    """Slots times speed, summed over the ready workers that are not ejected."""
+    """Sum of slots times speed over the ready workers that are not ejected."""
 
     def __init__(self, is_warming_up: Callable[[Worker], bool]) -> None:
-        """Without workers; `is_warming_up` is asked at the time of the sum."""
+        """Starts without workers; `is_warming_up` is called when the total is computed."""
         self._is_warming_up = is_warming_up
-        self._individual: dict[Worker, None] = {}  # in the order in which they came: sums are the same in each run
+        self._individual: dict[Worker, None] = {}  # in insertion order, so that sums are reproducible
         self._typical: set[Worker] = set()
         self._typical_counts: dict[MachineType, int] = {}
 
     def reset(self, ready: Iterable[Worker]) -> None:
-        """These are the ready workers."""
+        """Set the ready workers."""
         self._individual = dict.fromkeys(ready)
         self._typical.clear()
         self._typical_counts.clear()
 
     def add(self, worker: Worker) -> None:
-        """The worker is ready."""
+        """Add a worker that has become ready."""
         self._individual[worker] = None
 
     def discard(self, worker: Worker) -> None:
-        """The worker is not ready."""
+        """Remove a worker that is no longer ready."""
         self.mark_changed(worker)
         self._individual.pop(worker, None)
 
     def mark_changed(self, worker: Worker) -> None:
-        """Something was learned of the worker, or it is ejected for a while."""
+        """Examine the worker individually again, as its statistics have changed or it is ejected."""
         if worker in self._typical:
             self._typical.remove(worker)
             self._typical_counts[worker.machine_type] -= 1
             self._individual[worker] = None
 
     def total(self, now: int, prior: float, speed: Callable[[Worker], float]) -> float:
-        """The sum at `now`; `prior` microseconds at its machine type's speed count in a worker's speed."""
+        """Return the total at time `now`.
+
+        `speed` gives a worker's speed, which is blended with `prior` microseconds at its machine type's speed.
+        """
         total = 0.0
         for worker in list(self._individual):
             if worker.ejected_until > now:
--- a/badgerroad/load_balancing/hedging_budget.py
+++ b/badgerroad/load_balancing/hedging_budget.py
@@ -1,20 +1,20 @@
-"""How many hedged requests may be sent. Which request is hedged, and where, is decided by the policy."""
+"""Limits the rate of hedged requests. The policy decides which request is hedged, and where."""
 
 MIN_TOKENS_PER_REQUEST = 0.1
-"""Hedged requests that each first attempt allows at least, however crowded the workers are."""
+"""Minimum number of tokens that each first attempt adds, however many requests wait."""
 MAX_TOKENS = 4.0
-"""Unused hedged requests that are saved up at most."""
-CROWDED_FACTOR = 0.8
-RECOVERY_STEP = 0.02
+"""Depth of the token bucket."""
+DECREASE_FACTOR = 0.8
+INCREASE_STEP = 0.02
 SHARE_WITHOUT_HINT = 0.1
-"""What a request without a work hint allows, as a part of what another one allows."""
+"""Tokens added by a request without a work hint, as a fraction of those of a request with one."""
 
 
 class HedgingBudget:
-    """A token bucket: each first attempt adds a part of a token; a hedged request takes a whole one.
+    """A token bucket: each first attempt adds a fraction of a token, and each hedged request takes a whole one.
 
-    Not every worker drops what is cancelled, and nothing reports it: where most requests wait, hedging may be the
-    cause, and is made rarer.
+    Some workers run cancelled attempts anyway, and this is not reported. If most requests wait, hedging may be the
+    cause, so its rate is reduced.
     """
 
     def __init__(self) -> None:
@@ -23,13 +23,13 @@
         self.tokens = MAX_TOKENS
 
     def add_request(self, without_hint: bool) -> None:
-        """A first attempt goes out; `without_hint`: its request has no work hint."""
+        """Add the tokens of a first attempt; `without_hint` tells whether its request has no work hint."""
         earned = self.tokens_per_request * (SHARE_WITHOUT_HINT if without_hint else 1)
         self.tokens = min(self.tokens + earned, MAX_TOKENS)
 
-    def adapt(self, crowded: bool) -> None:
-        """A request was considered for hedging while most requests wait (crowded) or not."""
-        if crowded:
-            self.tokens_per_request = max(self.tokens_per_request * CROWDED_FACTOR, MIN_TOKENS_PER_REQUEST)
+    def adapt(self, most_requests_queue: bool) -> None:
+        """Decrease the refill if most requests queue, else increase it, when a request is considered for hedging."""
+        if most_requests_queue:
+            self.tokens_per_request = max(self.tokens_per_request * DECREASE_FACTOR, MIN_TOKENS_PER_REQUEST)
         else:
-            self.tokens_per_request = min(self.tokens_per_request + RECOVERY_STEP, 1.0)
+            self.tokens_per_request = min(self.tokens_per_request + INCREASE_STEP, 1.0)
--- a/badgerroad/load_balancing/hint_statistics.py
+++ b/badgerroad/load_balancing/hint_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of work hints and of clients' waits. They choose nothing."""
+"""Statistics of work hints and of client time-outs."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -6,58 +6,58 @@
 from . import interface
 
 LONG_SHARE = 0.03
-"""The largest 3 percent of the hints seen are long, as in the LC* paper."""
+"""Share of the largest hints that count as long: 3 percent, as in the LC* paper."""
 SAMPLE_SIZE = 512
-"""Hints kept for the cutoff."""
-RENEW_EVERY = 64
-"""Cutoff and mean are computed anew after so many hints; after each of the first ones."""
+"""Number of recent hints kept to compute cutoff and mean."""
+RECOMPUTE_EVERY = 64
+"""Number of hints after which cutoff and mean are recomputed; the first ones recompute them each time."""
 
 
 class HintStatistics:
-    """Cutoff between short and long, and mean, of the hints (microseconds) of the last requests that a worker ran."""
+    """Cutoff between short and long requests, and mean, from the hints (microseconds) of recent requests that ran."""
 
     def __init__(self, classes: tuple[interface.RequestClass, ...]) -> None:
-        """The mean of the classes' latency objectives stands in until the first hint."""
+        """The mean latency objective of the classes is used as the mean until the first hint."""
         self.sample: deque[int] = deque(maxlen=SAMPLE_SIZE)
         self.count = 0
         self.cutoff = 0
         self.mean = sum(request_class.latency_objective for request_class in classes) / max(len(classes), 1)
 
     def add(self, hint: int) -> None:
-        """Count the hint of a request that a worker ran."""
+        """Add the hint of a request that a worker ran."""
         self.sample.append(hint)
-        if self.count % RENEW_EVERY == 0 or self.count < RENEW_EVERY:
+        if self.count % RECOMPUTE_EVERY == 0 or self.count < RECOMPUTE_EVERY:
             self.cutoff = sorted(self.sample)[int(len(self.sample) * (1 - LONG_SHARE))]
             self.mean = sum(self.sample) / len(self.sample)
         self.count += 1
 
     def is_long(self, hint: int) -> bool:
-        """Is it beyond the cutoff? Never before the first hint."""
+        """Return whether the hint is above the cutoff; always False before the first hint."""
         return hint > self.cutoff > 0
 
 
-class ClientPatience:
-    """How long clients of each class wait in all, as their first tries show (microseconds)."""
+class ClientTimeouts:
+    """Estimated client time-outs by request class (microseconds), taken from the first tries of requests."""
 
     def __init__(self) -> None:
-        """Nothing is known of any class."""
-        self.longest_wait: dict[str, int] = {}
+        """Starts without estimates."""
+        self.longest_timeout: dict[str, int] = {}
 
-    def keep(self, class_names: Iterable[str]) -> None:
-        """Forget all classes but these."""
+    def retain(self, class_names: Iterable[str]) -> None:
+        """Remove the estimates of all classes except these."""
         names = set(class_names)
-        self.longest_wait = {name: longest for name, longest in self.longest_wait.items() if name in names}
+        self.longest_timeout = {name: longest for name, longest in self.longest_timeout.items() if name in names}
 
-    def waited(self, request: interface.Request, request_class: interface.RequestClass, marks_retry: bool) -> int:
-        """How long ago the client first sent this request: its latency objective counts from then.
+    def time_waited(self, request: interface.Request, request_class: interface.RequestClass, marks_retry: bool) -> int:
+        """Return the time since the client first sent the request, from which its latency objective counts.
 
-        Where clients mark their retries, a request without the mark has not waited.
+        If clients mark their retries, a request without the mark has not waited.
         """
         name = request_class.name
-        first = min(request.time_left, request_class.deadline)
+        timeout = min(request.time_left, request_class.deadline)
         if not marks_retry:
-            first = max(self.longest_wait.get(name, 0), first)
+            timeout = max(self.longest_timeout.get(name, 0), timeout)
         elif request.client_retry:
-            first = self.longest_wait.get(name, first)
-        self.longest_wait[name] = first
-        return max(first - request.time_left, 0)
+            timeout = self.longest_timeout.get(name, timeout)
+        self.longest_timeout[name] = timeout
+        return max(timeout - request.time_left, 0)
--- a/badgerroad/load_balancing/interface.py
+++ b/badgerroad/load_balancing/interface.py
@@ -1,7 +1,7 @@
-"""What the decisions expect and offer: settings, events in, actions out.
+"""The interface of the dispatch policy: settings and events as input, actions as output.
 
-Times are whole microseconds; the clock comes with each event. Requests have whole numbers, given by the host of the
-decisions; attempts of a request are numbered from 0. Work is in microseconds on a standard core.
+Times are integers in microseconds; the current time is passed with each event. The host of the policy numbers the
+requests; the attempts of a request are numbered from 0. Work is in microseconds on a standard core.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .deployment_settings import Tenant as Tenant
 
 WorkerId = Hashable
-"""One id means one worker at every dispatcher; its repr must be the same everywhere (bytes, text or a number)."""
+"""Identifies a worker at every dispatcher. Its repr is hashed and must be equal in all processes (bytes, str, int)."""
 
 
 class WorkerState(StrEnum):
@@ -34,27 +34,27 @@
     OK = "ok"
     ERROR = "error"
     QUEUE_FULL = "full"
-    """The worker rejected it before it started, or handed it back unstarted."""
+    """The worker rejected the attempt before it started, or returned it from its queue unstarted."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_NEEDED = "moot"
-    """It was never sent, as its request was answered or had no attempt left."""
+    """The attempt was never sent, as its request was already answered or had no attempts left."""
     INVALID_REQUEST = "rejected"
-    """The worker would not have this request from anyone: it says nothing of the worker."""
+    """The worker rejected the request itself as invalid; this is no fault of the worker."""
     NOT_SENT = "unsent"
-    """No longer valid when its first byte was due (`may_begin`): it does not count as an attempt."""
+    """`may_begin` refused the attempt before its first byte; it does not count towards `max_attempts`."""
 
 
 NEVER_RAN = frozenset(
     (AttemptResult.QUEUE_FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_NEEDED, AttemptResult.NOT_SENT)
 )
-"""Results that prove that the attempt never ran."""
+"""Results after which the attempt certainly did not run."""
 
 
 class ListScope(StrEnum):
-    """What an endpoint list holds."""
+    """The scope of an endpoint list: changes, the complete list, a cached copy, or a failed fetch."""
 
     INCREMENTAL = "changes"
     COMPLETE = "whole"
@@ -68,16 +68,16 @@
     worker: WorkerId
     state: str = WorkerState.READY
     started_at: int = 0
-    """When its process last started; 0: long ago."""
+    """When the worker's process last started; 0 if it is unknown or long ago."""
     machine_type: int = 0
     zone: int = 0
     cell: int = 0
     weight: float = 1.0
-    """Its size against that of others, nominal, rough or live; 1 for all where it is not known."""
+    """Size of the worker relative to others, nominal or measured; 1 for all workers if unknown."""
 
 
 class EndpointList(NamedTuple):
-    """Event: the endpoint list, or changes of it. `scope` is a `ListScope`; a failed one has no entries."""
+    """Event: the endpoint list, or changes to it. `scope` is a `ListScope`; with `FAILED` there are no entries."""
 
     scope: str
     version: int = 0
@@ -85,26 +85,26 @@
 
 
 class Request(NamedTuple):
-    """Event: a client's request was taken."""
+    """Event: a client's request was received."""
 
     request: int
     class_index: int = 0
     tenant: int = 0
     key: int = 0
     time_left: int = 1_000_000
-    """Until its client gives up."""
+    """Time until the client stops waiting for an answer."""
     work_hint: int = 0
-    """The client's estimate of the work; 0: none."""
+    """The client's estimate of the work; 0 if it gives none."""
     slots: float = 1.0
     memory: float = 0.0
     client_retry: bool = False
-    """The client marks it as a repeat."""
+    """Whether the client has marked the request as a retry."""
     over_quota: bool | None = None
-    """Decided outside whether its tenant is beyond its quota; None: the local quota bucket decides."""
+    """Whether the tenant is over its quota, if this was decided externally; None to use the local quota bucket."""
 
 
 class Timer(NamedTuple):
-    """Event: the timer with this token is due."""
+    """Event: the timer with this token has fired."""
 
     token: int
 
@@ -118,7 +118,7 @@
 
 
 class AttemptProgressed(NamedTuple):
-    """Event: a worker reported progress; `completed_share` runs from 0 to 1."""
+    """Event: a worker reported the progress of an attempt; `completed_share` is between 0 and 1."""
 
     request: int
     attempt: int
@@ -143,13 +143,13 @@
     result: str
     elapsed: int = 0
     finished: bool = False
-    """The client has its final answer, from this attempt or an earlier one."""
+    """Whether the client has received its final answer, from this attempt or an earlier one."""
     load_report: tuple[float, ...] | None = None
-    """Values in the order of `Settings.load_report_fields`."""
+    """The values of the load report in the order of `Settings.load_report_fields`."""
 
 
 class ClientDisconnected(NamedTuple):
-    """Event: the client has gone; it needs no answer any more."""
+    """Event: the client has disconnected and needs no answer."""
 
     request: int
 
@@ -164,10 +164,10 @@
 
 
 class SettingsChanged(NamedTuple):
-    """Event: these settings hold from now on.
+    """Event: the settings have changed.
 
-    Open requests keep the class that they came with, and its place in `classes`. Machine types and zones of workers
-    keep their numbers.
+    Open requests keep the class they were received with. Each class they use must keep its index in `classes`, and
+    machine types and zones of workers must keep their numbers.
     """
 
     settings: Settings
@@ -201,48 +201,48 @@
     request: int
     worker: WorkerId
     timeout: int = 0
-    """0: until the client gives up."""
+    """Time limit of the attempt; 0 for the time that the client waits."""
 
 
 class Reject(NamedTuple):
-    """Action, a final answer: the request had no effect, and asking again is harmless."""
+    """Action: reject the request, as its final answer. The client can safely repeat it."""
 
     request: int
     retry_after: int = 0
 
 
 class Fail(NamedTuple):
-    """Action, a final answer: the request failed and may or may not have had its effect."""
+    """Action: fail the request, as its final answer. It may or may not have had an effect."""
 
     request: int
 
 
 class Cancel(NamedTuple):
-    """Action: give up an open attempt at its worker."""
+    """Action: cancel an open attempt at its worker."""
 
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Action: give the event `Timer(token)` after `delay`."""
+    """Action: deliver the event `Timer(token)` after `delay`."""
 
     delay: int
     token: int
 
 
 class Subscribe(NamedTuple):
-    """Action: watch the endpoint list, or stop to."""
+    """Action: start or stop watching the endpoint list."""
 
     on: bool = True
 
 
 class FetchEndpoints(NamedTuple):
-    """Action: ask for the complete endpoint list once."""
+    """Action: fetch the complete endpoint list once."""
 
 
 class HealthCheck(NamedTuple):
-    """Action: ask a worker for its health and load report."""
+    """Action: request the health and the load report of a worker."""
 
     worker: WorkerId
 
@@ -254,7 +254,7 @@
 
 
 class SendToPeer(NamedTuple):
-    """Action: send `data` to another dispatcher; `peer` -1 is all of them."""
+    """Action: send `data` to another dispatcher, or to all of them if `peer` is -1."""
 
     peer: int
     data: bytes
--- a/badgerroad/load_balancing/pending_requests.py
+++ b/badgerroad/load_balancing/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts. Records only: the policy decides what becomes of them."""
+"""Records of pending requests and their attempts. The policy decides how they proceed."""
 
 from bisect import bisect_left, bisect_right, insort
 
@@ -10,23 +10,23 @@
 
 
 class Attempt:
-    """One send of a request to a worker. Times are microseconds."""
+    """A send of a request to a worker. Times are in microseconds."""
 
     def __init__(self, worker: Worker, sent_at: int) -> None:
-        """An attempt that goes out to `worker` now."""
+        """Create the record before the attempt is counted at `worker`, as `in_flight_before` is taken from it."""
         self.worker = worker
         self.sent_at = sent_at
         self.started_at = 0
-        """0 until the worker reports the start."""
+        """When the worker reported the start; 0 before that."""
         self.result = ""
-        """An `AttemptResult` once it has ended."""
+        """The `AttemptResult`; empty while the attempt is in flight."""
         self.last_report_at = sent_at
         self.in_flight_before = int(worker.in_flight_slots)
-        """Own slots in flight at the worker before this attempt."""
+        """Slots of own requests in flight at the worker before this attempt."""
 
 
 class PendingRequest:
-    """A request, its attempts, and the first of them that may have run. Times are microseconds."""
+    """A request with its attempts. Times are in microseconds."""
 
     def __init__(
         self,
@@ -36,33 +36,33 @@
         deadline: int,
         expected_work: int,
     ) -> None:
-        """`expected_work`: the work hint, or what the class's requests took of late (microseconds)."""
+        """`expected_work` is the work hint or, without one, the mean run time of the class (microseconds)."""
         self.id = request.request
         self.request_class = request_class
         self.expected_work = expected_work
         self.is_long = is_long
         self.deadline = deadline
         self.objective_deadline = deadline
-        """An answer is late after this."""
+        """Time after which an answer misses the latency objective."""
         self.latest_start = deadline
-        """Not started by then, it cannot meet the objective."""
+        """Latest start with which the request can still meet its objective."""
         self.slots = request.slots
         self.without_hint = not request.work_hint
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.attempt_count = 0
-        """All attempts but those that ended without being sent."""
+        """Number of attempts, without those that ended as NOT_SENT."""
         self.finished = False
         self.queued = False
         self.work_confirmed = False
-        """A worker has run it, so its hint counts in the statistics."""
+        """Whether a worker has run the request, so that its hint is part of the statistics."""
         self.prefers_remote = False
-        """Its first attempt goes to another zone."""
+        """Whether the first attempt goes to a remote zone."""
         self.first_possibly_run: Attempt | None = None
-        """The first attempt that is in flight or may have run."""
+        """The first attempt that is in flight or may have run; None if there is none."""
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Count an attempt that goes out now, here and at its worker."""
+        """Add an attempt that is being sent, and count it at its worker."""
         self.attempts.append(attempt)
         self.attempts_in_flight += 1
         self.attempt_count += 1
@@ -70,7 +70,7 @@
         attempt.worker.add_attempt(self.slots, self.is_long)
 
     def end_attempt(self, attempt: Attempt, result: str) -> None:
-        """Note the `AttemptResult` of an attempt in flight."""
+        """Set the `AttemptResult` of an attempt in flight, and remove the attempt from its worker's counts."""
         attempt.result = result
         self.attempts_in_flight -= 1
         self.attempt_count -= result == NOT_SENT
@@ -78,46 +78,49 @@
         attempt.worker.remove_attempt(self.slots, self.is_long, attempt.started_at > 0)
 
     def running_attempts(self) -> list[Attempt]:
-        """The attempts that have started and not ended."""
+        """Return the attempts that have started and not ended."""
         return [attempt for attempt in self.attempts if attempt.started_at and not attempt.result]
 
     def silent_attempts(self, worker: Worker, before: int) -> list[Attempt]:
-        """Attempts in flight at the worker of which it has reported nothing since `before` (microseconds)."""
+        """Return the attempts in flight at the worker whose last report is older than `before` (microseconds)."""
         return [a for a in self.attempts if a.worker is worker and not a.result and a.last_report_at < before]
 
 
 class PendingRequests(dict[int, PendingRequest]):
-    """The requests that are not answered or have attempts in flight, by number."""
+    """Requests that are unanswered or have attempts in flight, by number."""
 
     def __init__(self) -> None:
-        """No request is pending."""
+        """Starts without requests."""
         super().__init__()
         self._unanswered_work: list[int] = []  # sorted
 
     def add(self, request: PendingRequest) -> None:
-        """Take in a request that is not answered."""
+        """Add an unanswered request."""
         self[request.id] = request
         insort(self._unanswered_work, request.expected_work)
 
     def finish(self, request: PendingRequest) -> None:
-        """Note that it is answered, or open elsewhere; it stays while attempts are in flight."""
+        """Mark the request as finished, and remove it unless it has attempts in flight.
+
+        It was answered, or another process has taken it over.
+        """
         if not request.finished:
             request.finished = True
             del self._unanswered_work[bisect_left(self._unanswered_work, request.expected_work)]
         if not request.attempts_in_flight:
             self.pop(request.id, None)
 
-    def total_work(self, at_least: float) -> float:
-        """The expected work of all that are not answered (microseconds); each counts `at_least` that."""
-        small = bisect_right(self._unanswered_work, at_least)
-        return small * at_least + sum(self._unanswered_work[small:])
+    def total_work(self, min_work: float) -> float:
+        """Return the expected work of all unanswered requests (microseconds), counting at least `min_work` for each."""
+        small = bisect_right(self._unanswered_work, min_work)
+        return small * min_work + sum(self._unanswered_work[small:])
 
-    def total_work_in_order(self, at_least: float) -> float:
-        """The same, rounded as a sum over the requests in the order in which they came."""
-        return sum(max(request.expected_work, at_least) for request in self.values() if not request.finished)
+    def total_work_in_order(self, min_work: float) -> float:
+        """Return the same total as `total_work`, but summed in order of arrival, which may round differently."""
+        return sum(max(request.expected_work, min_work) for request in self.values() if not request.finished)
 
     def attempt_of(self, event: AttemptEvent) -> tuple[PendingRequest, Attempt] | None:
-        """The attempt in flight that the event is about, and its request; None if there is no such attempt."""
+        """Return the request and the attempt in flight that the event refers to; None if there is no such attempt."""
         request = self.get(event.request)
         if request is None or event.attempt >= len(request.attempts) or request.attempts[event.attempt].result:
             return None
--- a/badgerroad/load_balancing/policy/__init__.py
+++ b/badgerroad/load_balancing/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions on workers: which one gets a request, whether it is retried, what is rejected (docs/design.md)."""
+"""The dispatch policy: chooses a worker for each request and decides on retries and rejections (docs/design.md)."""
 
 from .dispatch import DispatchPolicy
 
--- a/badgerroad/load_balancing/policy/answers.py
+++ b/badgerroad/load_balancing/policy/answers.py
@@ -1,4 +1,4 @@
-"""Rule 1: one final answer to each request, armed when the request is accepted."""
+"""Gives each request exactly one final answer. A timer set on acceptance guarantees it before the deadline."""
 
 from .. import interface
 from ..decision_context import DecisionContext
@@ -11,11 +11,11 @@
 from .subsets import WorkerSubsets
 
 ANSWER_MARGIN_TICKS = 2
-"""Ticks before its deadline at which a request is answered at the latest."""
+"""Number of ticks before its deadline by which a request must have been answered."""
 
 
 class FinalAnswers:
-    """Rejects or fails requests, and removes those that are finished."""
+    """Rejects or fails requests, and removes finished ones from the queue and the table of pending requests."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         estimates: LoadEstimates,
         hints: HintStatistics,
     ) -> None:
-        """`requests` and `queue` lose what is finished; the others say when a client should come back."""
+        """Finished requests are removed from `requests` and `queue`; the other arguments are read for Retry-After."""
         self._context = context
         self._requests = requests
         self._queue = queue
@@ -34,17 +34,17 @@
         self._estimates = estimates
         self._hints = hints
 
-    def latest_answer(self, request: PendingRequest) -> int:
-        """When the request is answered at the latest (microseconds)."""
+    def latest_answer_time(self, request: PendingRequest) -> int:
+        """Return the latest time at which the request is answered (microseconds)."""
         return request.deadline - ANSWER_MARGIN_TICKS * self._context.settings.tick
 
-    def arm(self, request: PendingRequest) -> None:
-        """Answer the request shortly before its deadline, unless it is finished by then."""
-        when = max(self.latest_answer(request), self._context.now)
-        self._context.schedule(when, lambda: self.give_up(request), request)
+    def schedule_answer(self, request: PendingRequest) -> None:
+        """Schedule the final answer shortly before the request's deadline, unless it is finished by then."""
+        when = max(self.latest_answer_time(request), self._context.now)
+        self._context.schedule(when, lambda: self.reject_or_fail(request), request)
 
-    def give_up(self, request: PendingRequest) -> None:
-        """Reject the request; fail it where asking again might do harm."""
+    def reject_or_fail(self, request: PendingRequest) -> None:
+        """Reject the request, or fail it if it may have run and a repeat by the client could have a second effect."""
         if request.finished:
             return
         if may_reject(request):
@@ -54,12 +54,12 @@
         self.finish(request)
 
     def finish(self, request: PendingRequest) -> None:
-        """Forget the request, except for its attempts in flight."""
+        """Remove the request from the queue; its record stays until its last attempt in flight has ended."""
         self._queue.remove(request)
         self._requests.finish(request)
 
     def retry_after(self) -> int:
-        """When a rejected client should come back (microseconds); 0 where the settings allow no such advice."""
+        """Return the Retry-After of a rejection (microseconds); 0 if the settings do not allow one."""
         context = self._context
         if not context.settings.retry_after_allowed:
             return 0
--- a/badgerroad/load_balancing/policy/cancellation.py
+++ b/badgerroad/load_balancing/policy/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancels attempts that are not needed, so that their slots serve other requests."""
+"""Cancels attempts that are no longer needed, so that their slots become free for other requests."""
 
 from collections.abc import Container
 
@@ -8,7 +8,7 @@
 
 
 def cancel_attempts(context: DecisionContext, request: PendingRequest, attempts: Container[Attempt]) -> None:
-    """Cancel those of the request's attempts that are among `attempts` and in flight."""
+    """Cancel the request's attempts in flight that are contained in `attempts`."""
     context.actions += [
         interface.Cancel(request.id, number)
         for number, attempt in enumerate(request.attempts)
--- a/badgerroad/load_balancing/policy/dispatch.py
+++ b/badgerroad/load_balancing/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Every event and what is done about it: requests are sent, queued, retried, rejected or failed."""
+"""Handles every event of the policy: sends, queues, retries, rejects and fails requests."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,7 +6,7 @@
 from .. import interface
 from ..decision_context import DecisionContext
 from ..endpoint_subscription import EndpointSubscription
-from ..hint_statistics import ClientPatience, HintStatistics
+from ..hint_statistics import ClientTimeouts, HintStatistics
 from ..pending_requests import PendingRequest, PendingRequests
 from ..quota import QuotaBuckets
 from ..waiting_queue import WaitingQueue
@@ -24,21 +24,22 @@
 from .warm_up import WarmUp
 
 OK = interface.AttemptResult.OK
-NO_CONTACT = frozenset((interface.AttemptResult.CONNECT_FAILED, interface.AttemptResult.TIMEOUT))
-"""Results after which the worker may not answer its other attempts either."""
+UNREACHABLE_RESULTS = frozenset((interface.AttemptResult.CONNECT_FAILED, interface.AttemptResult.TIMEOUT))
+"""Results that suggest that the worker is unreachable, so that its other attempts may fail too."""
 
 
 class DispatchPolicy:
-    """Takes one event at a time with the clock; each call of `handle` returns the actions.
+    """The dispatch policy: `handle` takes one event and the current time, and returns the resulting actions.
 
-    The collaborators below own the state; this class says which of them an event goes to, and in which order.
+    The collaborators created in the constructor own the state. This class decides which of them handle an event, and
+    in which order.
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
-        """`seed` determines every random choice. Raises ValueError on settings that cannot be."""
+        """`seed` determines every random choice. Raises ValueError on invalid settings."""
         self.context = context = DecisionContext(settings, seed)
         self.subscription = EndpointSubscription(context)
-        self.client_patience = ClientPatience()
+        self.client_timeouts = ClientTimeouts()
         self.quota = QuotaBuckets()
         self.requests = PendingRequests()
         self.queue = WaitingQueue()
@@ -79,16 +80,16 @@
 
     @property
     def settings(self) -> interface.Settings:
-        """The settings in force."""
+        """The current settings."""
         return self.context.settings
 
     @property
     def workers(self) -> dict[interface.WorkerId, Worker]:
-        """All listed workers, and those that are gone while they might be listed again as warming up."""
+        """All listed workers by id, and removed ones whose slow start is not over: they may be listed again."""
         return self.subsets.roster.workers
 
     def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
-        """Take in an event at `now` (microseconds) and return what is to be done, in order."""
+        """Process an event at time `now` (microseconds) and return the actions to perform, in order."""
         self.context.advance(now)
         if not self.context.timers.order:
             self.subscription.subscribe_if_due()
@@ -98,7 +99,10 @@
         return self.context.take_actions()
 
     def may_begin(self, now: int, request_number: int, attempt_number: int) -> bool:
-        """May an attempt still go, by what is known at `now` (microseconds)? Asked before its first byte."""
+        """Return whether an attempt may still be sent at time `now` (microseconds).
+
+        The host asks just before it writes the first byte, as the worker or the request may have changed since `Send`.
+        """
         self.context.now = now
         request = self.requests[request_number]
         attempt = request.attempts[attempt_number]
@@ -108,28 +112,28 @@
         return request.first_possibly_run is attempt or may_repeat(request, worker, now)
 
     def withdraw(self, request: PendingRequest) -> None:
-        """Forget a request that another process goes on with; its attempts have ended here."""
+        """Remove a request that another process has taken over. It must have no attempt in flight here."""
         self.answers.finish(request)
 
     def resume(self, now: int, request: PendingRequest) -> list[interface.Action]:
-        """Go on with a request of another process as if it had come here; return what is to be done."""
+        """Take over a request of another process as if it had been received here; return the actions to perform."""
         self.context.now = now
         self.requests.add(request)
-        self.answers.arm(request)
+        self.answers.schedule_answer(request)
         for attempt in request.running_attempts():
             self.monitor.watch(request, attempt)
         if not request.attempts_in_flight:
             self.placement.place_or_queue(request)
         return self.context.take_actions()
 
-    # Settings, timers and the endpoint list.
+    # Events: settings, timers and the endpoint list
 
     def _settings_changed(self, event: interface.SettingsChanged) -> None:
-        """New settings hold from now on, for open requests too but for their class. What is learned stays."""
+        """Apply new settings, to open requests too, which keep their class. Learned statistics are kept."""
         event.settings.check()
         old, new = self.context.settings, event.settings
         self.context.settings = new
-        self.client_patience.keep(request_class.name for request_class in {*old.classes} & {*new.classes})
+        self.client_timeouts.retain(request_class.name for request_class in {*old.classes} & {*new.classes})
         self.hedging.configure(new)
         known = tuple(worker.info for worker in self.workers.values())
         self._endpoints_listed(interface.EndpointList(interface.ListScope.CACHED, 0, known))
@@ -141,32 +145,32 @@
         self.subscription.list_received(event.scope)
         if event.scope != interface.ListScope.FAILED:
             self.subsets.update(event)
-            self.placement.release()
+            self.placement.dispatch_queued()
 
-    # A request.
+    # Events: requests and their clients
 
     def _request_received(self, event: interface.Request) -> None:
         request = self._accept(event)
         self.requests.add(request)
-        self.answers.arm(request)
+        self.answers.schedule_answer(request)
         if self.quota.is_over(self.settings, event, self.context.now) and self.queue:
-            self.answers.give_up(request)  # beyond its tenant's quota, it yields while others wait
+            self.answers.reject_or_fail(request)  # requests over quota are not queued behind others
         elif self.settings.health_checks_allowed and not self.subsets.uses_whole_fleet:
             self.placement.check_and_place(request)
         else:
             self.placement.place_or_queue(request)
 
     def _accept(self, event: interface.Request) -> PendingRequest:
-        """The record of a new request, with its deadline and its objective."""
+        """Create the record of a new request, with its deadline and its latency objective."""
         settings = self.settings
         now = self.context.now
         request_class = settings.classes[event.class_index]
         work = event.work_hint or self.estimates.class_runs.expected(request_class.name)
         is_long = self.hints.is_long(event.work_hint)
         request = PendingRequest(event, request_class, is_long, now + event.time_left, work)
-        waited = self.client_patience.waited(event, request_class, settings.clients_mark_retries)
+        time_waited = self.client_timeouts.time_waited(event, request_class, settings.clients_mark_retries)
         objective = request_class.latency_objective + int(request_class.objective_per_work * work)
-        request.objective_deadline = min(now + objective - waited, request.deadline)
+        request.objective_deadline = min(now + objective - time_waited, request.deadline)
         return request
 
     def _client_disconnected(self, event: interface.ClientDisconnected) -> None:
@@ -177,12 +181,12 @@
             self.answers.finish(request)
 
     def _stream_started(self, event: interface.StreamStarted) -> None:
-        """The client receives its answer: no other is due."""
+        """Finish the request: its client is receiving the answer, so no other answer is due."""
         request = self.requests.get(event.request)
         if request:
             self.answers.finish(request)
 
-    # Its attempts.
+    # Events: attempts
 
     def _attempt_started(self, event: interface.AttemptStarted) -> None:
         found = self.requests.attempt_of(event)
@@ -194,7 +198,7 @@
         self.monitor.watch(request, attempt)
         self.estimates.learn_start(request, attempt)
         self.hedging.cancel_all_but_first(request)
-        self.placement.release(attempt.worker)
+        self.placement.dispatch_queued(attempt.worker)
 
     def _attempt_progressed(self, event: interface.AttemptProgressed) -> None:
         found = self.requests.attempt_of(event)
@@ -213,18 +217,18 @@
             self.estimates.learn_success(request, attempt)
         elif is_fault(event.result, request, worker):
             self.estimates.learn_fault(request, attempt)
-        if event.result in NO_CONTACT:
-            self.monitor.leave(worker)
-        self._continue(request, event.finished)
-        self.placement.release(worker)
+        if event.result in UNREACHABLE_RESULTS:
+            self.monitor.cancel_silent_attempts(worker)
+        self._retry_or_finish(request, event.finished)
+        self.placement.dispatch_queued(worker)
 
-    def _continue(self, request: PendingRequest, finished: bool) -> None:
-        """One of its attempts has ended: the request is finished, retried or given up."""
+    def _retry_or_finish(self, request: PendingRequest, finished: bool) -> None:
+        """Finish, retry or reject the request after one of its attempts has ended."""
         if finished or request.finished:
             self.answers.finish(request)
         elif request.attempts_in_flight:
             return
-        elif self.selection.may_send(request, None) and self.context.now < self.answers.latest_answer(request):
+        elif self.selection.may_send(request, None) and self.context.now < self.answers.latest_answer_time(request):
             self.placement.place_or_queue(request)
         else:
-            self.answers.give_up(request)
+            self.answers.reject_or_fail(request)
--- a/badgerroad/load_balancing/policy/placement.py
+++ b/badgerroad/load_balancing/policy/placement.py
@@ -1,9 +1,9 @@
-"""Where a request goes: to a worker now, or into the queue until one is available."""
+"""Sends a request to a worker, or queues it until one is available."""
 
 from .. import interface
 from ..decision_context import DecisionContext
 from ..pending_requests import Attempt, PendingRequest
-from ..waiting_queue import RECHECK_US, WaitingQueue
+from ..waiting_queue import QUEUE_CHECK_INTERVAL_US, WaitingQueue
 from ..workers import Worker
 from .answers import FinalAnswers
 from .estimates import LoadEstimates
@@ -12,14 +12,14 @@
 from .slow_start import SlowStartBudget
 from .subsets import WorkerSubsets
 
-MAX_SKIPPED = 6
-"""Queued requests that are passed over at one time."""
+MAX_SKIPPED_REQUESTS = 6
+"""Maximum number of queued requests that are skipped in one pass, as no available worker fits them."""
 ASSUMED_QUEUE_LEVEL = 9.0
-"""Queue level of a worker whose health check is not answered: beyond any that is reported."""
+"""Queue level of a worker until it answers its health check: higher than any reported level."""
 
 
 class RequestPlacement:
-    """Sends requests to workers and queues those for which there is none."""
+    """Sends requests to workers, and queues those for which no worker is available."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         answers: FinalAnswers,
         hedging: Hedging,
     ) -> None:
-        """`queue` is empty and filled from here only."""
+        """`queue` must be empty; only this object adds requests to it."""
         self._context = context
         self._queue = queue
         self._subsets = subsets
@@ -44,30 +44,30 @@
         self._recheck_scheduled = False
 
     def check_and_place(self, request: PendingRequest) -> None:
-        """Check the health of a few workers, and place the request when they have had the time to answer."""
-        request.prefers_remote = bool(self._subsets.remote) and self._selection.goes_remote()
+        """Send health checks to a few workers, and place the request after the time that they need to answer."""
+        request.prefers_remote = bool(self._subsets.remote) and self._selection.chooses_remote_zone()
         now = self._context.now
         for worker in dict.fromkeys(self._selection.sample(self._selection.candidates(request))):
             worker.set_queue_level(ASSUMED_QUEUE_LEVEL, now)
             self._context.actions.append(interface.HealthCheck(worker.id))
-        when = now + self._estimates.start_patience()
+        when = now + self._estimates.start_timeout()
         self._context.schedule(when, lambda: self.place_or_queue(request), request)
 
     def place_or_queue(self, request: PendingRequest) -> None:
-        """Send the request, or queue it, or answer it where it can no longer meet its objective."""
+        """Send the request, or queue it, or reject or fail it if it can no longer meet its objective."""
         if self.place(request):
             return
         fastest = max([machine_type.speed() for machine_type in self._subsets.roster.machine_types.values()] or [1.0])
         request.latest_start = request.objective_deadline - int(request.expected_work / fastest)
         if request.latest_start < self._context.now:
-            self._answers.give_up(request)
+            self._answers.reject_or_fail(request)
             return
         self._queue.add(request)
         if not self._recheck_scheduled:
             self._recheck()
 
     def place(self, request: PendingRequest) -> bool:
-        """Send the request, if some worker could start it now and meet its objective; was it sent?"""
+        """Send the request if some worker could start it now and meet its objective; return whether it was sent."""
         sample: list[Worker] = []
         if not self._subsets.uses_whole_fleet and not request.first_possibly_run:
             sample = self._selection.sample(self._subsets.ready)
@@ -78,19 +78,19 @@
                 return True
         return False
 
-    def release(self, worker: Worker | None = None) -> None:
-        """Send queued requests, the most urgent first, to a worker that may have become available (None: to any).
+    def dispatch_queued(self, worker: Worker | None = None) -> None:
+        """Send queued requests to `worker`, which may have become available (None: to any), the most urgent first.
 
-        Those that can no longer meet their objective are answered.
+        Queued requests that can no longer meet their objective are rejected or failed.
         """
         queue = self._queue
         while queue and queue[0].latest_start < self._context.now:
-            self._answers.give_up(queue[0])
+            self._answers.reject_or_fail(queue[0])
         if not queue:
             return
         workers = self._available([worker] if worker else self._subsets.local)
         position = 0
-        while workers and position < min(len(queue), MAX_SKIPPED):
+        while workers and position < min(len(queue), MAX_SKIPPED_REQUESTS):
             request = queue[position]
             chosen = self._selection.choose(request, workers)
             if chosen is None:
@@ -101,7 +101,7 @@
             workers = self._available(workers)
 
     def send(self, request: PendingRequest, worker: Worker) -> None:
-        """Send the request to the worker."""
+        """Send an attempt of the request to the worker."""
         attempt = Attempt(worker, self._context.now)
         if not request.attempt_count:
             self._hedging.budget.add_request(request.without_hint)
@@ -115,8 +115,8 @@
         return [worker for worker in workers if is_available(worker)]
 
     def _recheck(self) -> None:
-        """Examine the queue now and, while requests wait, periodically."""
-        self.release()
+        """Process the queue now, and again every `QUEUE_CHECK_INTERVAL_US` while it is not empty."""
+        self.dispatch_queued()
         self._recheck_scheduled = bool(self._queue)
         if self._queue:
-            self._context.schedule(self._context.now + RECHECK_US, self._recheck)
+            self._context.schedule(self._context.now + QUEUE_CHECK_INTERVAL_US, self._recheck)
--- a/badgerroad/load_balancing/policy/retries.py
+++ b/badgerroad/load_balancing/policy/retries.py
@@ -1,4 +1,4 @@
-"""Rule 2: what the class of a request allows after an attempt that may have run."""
+"""Retry safety: what the semantics of a request class allow after an attempt that may have run."""
 
 from .. import interface
 from ..pending_requests import PendingRequest
@@ -12,7 +12,7 @@
 
 
 def may_repeat(request: PendingRequest, worker: Worker | None, now: int) -> bool:
-    """May it run once more on the worker (None: on some worker) at `now` (microseconds)?"""
+    """Return whether the request may run again on the worker (None: on any worker) at time `now` (microseconds)."""
     first = request.first_possibly_run
     request_class = request.request_class
     if first is None or request_class.semantics == IDEMPOTENT:
@@ -28,7 +28,7 @@
 
 
 def may_reject(request: PendingRequest) -> bool:
-    """Is it harmless if the client asks again?"""
+    """Return whether the client can safely repeat the request after a rejection."""
     request_class = request.request_class
     if request.first_possibly_run is None or request_class.semantics == IDEMPOTENT:
         return True
--- a/badgerroad/load_balancing/policy/selection.py
+++ b/badgerroad/load_balancing/policy/selection.py
@@ -1,4 +1,4 @@
-"""Which worker gets a request: LC*, and its departures (docs/design.md)."""
+"""Selects the worker for a request by the LC* algorithm with the changes listed in docs/design.md."""
 
 from ..decision_context import DecisionContext
 from ..hint_statistics import HintStatistics
@@ -12,35 +12,43 @@
 from .warm_up import WarmUp
 
 SAMPLE_SIZE = 2
-"""Workers checked for a request, or considered beyond the subset; with more, all draw the same ones."""
-SAFE_SHARE = 0.8
-"""Beyond this part of the time to the objective deadline, an expected run is a gamble: hints are rough."""
-REMOTE_LEAD = 0.2
-"""By so much less, twice, must requests start at once in the local zone before any goes to a remote one."""
+"""Number of workers to health-check for a request, or to consider outside the subset.
+
+With more, the dispatchers would all choose the same few best workers."""
+SAFE_TIME_SHARE = 0.8
+"""Share of the time to the objective deadline above which an expected run may miss it, as hints are inexact."""
+MIN_REMOTE_ADVANTAGE = 0.2
+"""Threshold on twice the difference of the queueing shares of the local and the remote zones.
+
+Below it, all first attempts go to the local zone."""
 MAX_REMOTE_SHARE = 0.7
-"""Most first attempts that go to remote zones: the local zone must show when it is better again."""
-STACKING_SHARE = 0.05
-"""Share of requests sent where own ones are in flight: one at a time never shows how many slots there are."""
+"""Maximum share of first attempts sent to remote zones; the rest shows when the local zone has recovered."""
+PREFER_BUSY_SHARE = 0.05
+"""Share of requests sent to workers with own requests in flight.
+
+With one own request at a time, the number of slots of a worker would never be observed."""
 REMOTE_QUEUE_COST = 0.2
-"""Cost of another zone, in parts of a full queue."""
+"""Cost of a remote zone, as a fraction of a full queue."""
 NEW_CONNECTION_COST = 0.2
-"""Cost of a new connection for one hedged request, in parts of a full queue."""
+"""Cost of opening a connection for a single hedged request, as a fraction of a full queue."""
 REMOTE_REQUESTS_COST = 0.3
-"""Cost of another zone, in own requests in flight, where the whole fleet is used."""
-TIGHT_COST = 0.3
-"""Cost of a gamble on the objective deadline, in the same unit."""
+"""Cost of a remote zone, in own requests in flight, where the whole fleet is used."""
+DEADLINE_RISK_COST = 0.3
+"""Cost of an expected run beyond SAFE_TIME_SHARE, in own requests in flight for each slot."""
 TRIAL_COST = 5.0
-"""Cost of a worker whose last attempt failed, for a request that has failed before, in the same unit."""
+"""Cost, in own requests in flight for each slot, of a worker whose last attempt failed.
+
+It applies to a request that was attempted before; other requests serve as the trial of such a worker."""
 SPEED_COST = 0.05
-"""Cost of a worker at speed 1, the less the faster it is, in the same unit."""
+"""Cost of a worker at speed 1, in own requests in flight for each slot; inversely proportional to its speed."""
 MAX_DELAYED_EXCESS_SENDS = 3
-"""Sends beyond the known slots that had to wait, after which a machine type gets no more of them."""
+"""Number of sends beyond the known slots that had to wait, after which no more are sent to the machine type."""
 
 Rank = tuple[float, float]
 
 
 class WorkerSelection:
-    """Chooses among workers; sends nothing."""
+    """Selects workers for requests. Does not send anything or change any state but the random generator's."""
 
     def __init__(
         self,
@@ -51,7 +59,7 @@
         estimates: LoadEstimates,
         hints: HintStatistics,
     ) -> None:
-        """Reads the state of its collaborators and has none of its own."""
+        """All arguments are only read; the object has no state of its own."""
         self._context = context
         self._warm_up = warm_up
         self._subsets = subsets
@@ -59,26 +67,29 @@
         self._estimates = estimates
         self._hints = hints
 
-    def goes_remote(self) -> bool:
-        """Draw whether a first attempt goes to a remote zone: more often as requests start rarer in the local one."""
+    def chooses_remote_zone(self) -> bool:
+        """Decide at random whether a first attempt goes to a remote zone.
+
+        The probability grows as fewer requests start at once in the local zone than in remote ones.
+        """
         shares = self._estimates.queueing_share
-        lead = 2 * (shares[False] - shares[True]) - REMOTE_LEAD
-        return self._context.random.random() < min(lead, MAX_REMOTE_SHARE)
+        advantage = 2 * (shares[False] - shares[True]) - MIN_REMOTE_ADVANTAGE
+        return self._context.random.random() < min(advantage, MAX_REMOTE_SHARE)
 
     def sample(self, workers: list[Worker]) -> list[Worker]:
-        """Draw a few of the workers by their weights; one may come twice."""
+        """Draw `SAMPLE_SIZE` workers at random by their weights, with replacement."""
         if not workers:
             return []
         return self._context.random.choices(workers, [worker.draw_weight for worker in workers], k=SAMPLE_SIZE)
 
     def candidates(self, request: PendingRequest) -> list[Worker]:
-        """The workers among which the request's next attempt chooses."""
+        """Return the workers to consider for the request's next attempt."""
         if request.first_possibly_run:
             return [worker for worker in self._subsets.ready if self.may_send(request, worker)]
         return self._subsets.remote if request.prefers_remote else self._subsets.local
 
     def may_send(self, request: PendingRequest, worker: Worker | None) -> bool:
-        """May another attempt go to the worker (None: to some worker)?"""
+        """Return whether another attempt may be sent to the worker (None: to any worker)."""
         settings = self._context.settings
         if request.finished or request.attempt_count >= settings.max_attempts:
             return False
@@ -87,7 +98,7 @@
         return may_repeat(request, worker, self._context.now)
 
     def has_alternative(self, request: PendingRequest, worker: Worker) -> bool:
-        """Is there another worker that the request may go to and that may meet its objective?"""
+        """Return whether another worker is allowed for the request and expected to meet its objective."""
         now = self._context.now
         return any(
             other is not worker
@@ -98,43 +109,46 @@
         )
 
     def is_available(self, worker: Worker) -> bool:
-        """Could it start one more request now, as far as own traffic shows?
+        """Return whether the worker could start one more request now, judging by own traffic.
 
-        One whose last attempt failed gets one trial at a time.
+        A worker whose last attempt failed gets one trial request at a time.
         """
         if not worker.is_ready() or worker.ejected_until > self._context.now:
             return False
         in_flight = worker.in_flight_slots
         if in_flight > worker.running_slots and self._context.settings.reports_start:
-            return False  # an own request waits there
+            return False  # an own request is waiting in the worker's queue
         if worker.consecutive_failures and in_flight:
             return False
         machine_type = worker.machine_type
         return in_flight < machine_type.slots or machine_type.delayed_excess_sends < MAX_DELAYED_EXCESS_SENDS
 
     def choose(self, request: PendingRequest, workers: list[Worker]) -> Worker | None:
-        """The worker with the least rank, a random one among equals; None if none is fit."""
+        """Return the worker with the lowest rank, ties broken at random; None if no worker is suitable."""
         random = self._context.random.random
         whole_fleet = self._subsets.uses_whole_fleet
-        stacks = not whole_fleet and random() < STACKING_SHARE
+        prefers_busy = not whole_fleet and random() < PREFER_BUSY_SHARE
         best: Worker | None = None
-        least_rank: Rank = (0.0, 0.0)
+        lowest_rank: Rank = (0.0, 0.0)
         weight_of_equals = 0.0
-        for worker in self._fitting(request, workers):
-            rank = self._rank(request, worker, stacks)
-            if rank is None or (best is not None and rank > least_rank) or not self.may_send(request, worker):
+        for worker in self._eligible(request, workers):
+            rank = self._rank(request, worker, prefers_busy)
+            if rank is None or (best is not None and rank > lowest_rank) or not self.may_send(request, worker):
                 continue
             weight = 1.0 if whole_fleet else worker.draw_weight
-            is_equal = best is not None and rank >= least_rank
+            is_equal = best is not None and rank >= lowest_rank
             weight_of_equals = weight + (weight_of_equals if is_equal else 0.0)
             if random() * weight_of_equals < weight:
                 best = worker
-            least_rank = rank
+            lowest_rank = rank
         return best
 
     @staticmethod
-    def _fitting(request: PendingRequest, workers: list[Worker]) -> list[Worker]:
-        """Those of the right machine type, not tried last or now, and without a long request if this is one."""
+    def _eligible(request: PendingRequest, workers: list[Worker]) -> list[Worker]:
+        """Filter the workers by machine type, and leave out those of the last attempt and of attempts in flight.
+
+        A worker with a long request in flight gets no second one.
+        """
         attempts = request.attempts
         tried = [attempt.worker for attempt in attempts if not attempt.result or attempt is attempts[-1]]
         machine_type = request.request_class.machine_type
@@ -146,8 +160,8 @@
             and not (request.is_long and worker.long_in_flight)
         ]
 
-    def _rank(self, request: PendingRequest, worker: Worker, stacks: bool) -> Rank | None:
-        """The worker's rank for the request, the least first; None: not this worker."""
+    def _rank(self, request: PendingRequest, worker: Worker, prefers_busy: bool) -> Rank | None:
+        """Return the worker's rank for the request, lower is better; None if the worker must not get it."""
         speed = self._estimates.speed(worker)
         expected_time = self._estimates.expected_wait(worker) + request.expected_work / speed
         if self._context.now + expected_time > request.objective_deadline:
@@ -159,21 +173,21 @@
             first = self._rank_by_requests(request, worker, speed, expected_time)
             second = 0.0
         else:
-            first = worker.in_flight_slots * (-1 if stacks else 1) / worker.machine_type.slots
+            first = worker.in_flight_slots * (-1 if prefers_busy else 1) / worker.machine_type.slots
             second = self._rank_by_queue(request, worker)
-        # Hardly any other dispatcher may send a warming-up worker a request.
+        # Warming-up workers come first in a tie: few other dispatchers may send to them.
         return first, -1.0 if is_warming_up else second
 
     def _rank_by_requests(self, request: PendingRequest, worker: Worker, speed: float, expected_time: float) -> float:
-        """Own requests in flight for each slot; among near equals the faster one."""
+        """Rank by own requests in flight for each slot; the faster worker wins if they are nearly equal."""
         time_left = request.objective_deadline - self._context.now
-        tight = TIGHT_COST * (expected_time > SAFE_SHARE * time_left)
+        deadline_risk = DEADLINE_RISK_COST * (expected_time > SAFE_TIME_SHARE * time_left)
         trial = TRIAL_COST if worker.consecutive_failures and request.attempts else 0.0
         in_flight = worker.in_flight_slots + REMOTE_REQUESTS_COST * self._subsets.is_remote(worker)
-        return in_flight / worker.machine_type.slots + SPEED_COST / speed + tight + trial
+        return in_flight / worker.machine_type.slots + SPEED_COST / speed + deadline_risk + trial
 
     def _rank_by_queue(self, request: PendingRequest, worker: Worker) -> float:
-        """Where own requests say little: the worker's queue as last reported."""
+        """Rank by the worker's last reported queue level, for subsets, where own traffic is too small to rank by."""
         is_remote = self._subsets.is_remote(worker)
         cost = REMOTE_QUEUE_COST * is_remote
         cost += NEW_CONNECTION_COST * (not worker.last_report_at and bool(request.attempts))
--- a/badgerroad/load_balancing/policy/slow_start.py
+++ b/badgerroad/load_balancing/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Rule 4: a worker that has just started gets no more work than a budget in any rolling window."""
+"""Slow start: limits the work sent to a recently started worker to a budget in any rolling window."""
 
 from ..decision_context import DecisionContext
 from ..hint_statistics import HintStatistics
@@ -6,33 +6,38 @@
 from .subsets import WorkerSubsets
 from .warm_up import WarmUp
 
-BUDGET_USED = 0.6
-"""Part of a warming-up worker's budget that is spent."""
-BUDGET_SPREAD = 1.2
-"""How many square roots of the budget may be spent beyond that while few dispatchers have a part."""
-MAX_REQUEST = 3
-"""Mean requests that the one request of a small part may be; with less, only small ones would qualify."""
+BUDGET_USED_SHARE = 0.6
+"""Share of a warming-up worker's budget that is used, as a safety margin."""
+BUDGET_SPREAD_FACTOR = 1.2
+"""Extra budget in multiples of its square root (in requests of mean work), where few dispatchers share it."""
+MAX_REQUEST_IN_MEANS = 3
+"""Maximum size, in requests of mean work, of the single request that a small share of the budget allows.
+
+With a lower limit, only small requests would qualify."""
 
 
 class SlowStartBudget:
-    """How much work this dispatcher may still send to a worker that is warming up."""
+    """Tracks how much work this dispatcher may still send to a worker that is warming up."""
 
     def __init__(
         self, context: DecisionContext, warm_up: WarmUp, subsets: WorkerSubsets, hints: HintStatistics
     ) -> None:
-        """`hints` gives the mean work of a request."""
+        """`hints` provides the mean work of a request."""
         self._context = context
         self._warm_up = warm_up
         self._subsets = subsets
         self._hints = hints
 
     def record_send(self, worker: Worker, work: float) -> None:
-        """Count work sent to the worker (microseconds), if it is warming up. A small request counts as a mean one."""
+        """Record work sent to the worker (microseconds), if it is warming up.
+
+        Requests below the mean count as the mean, so that many small ones cannot overload the worker.
+        """
         if self._warm_up.is_warming_up(worker):
             worker.slow_start_sends.append((self._context.now, max(work, self._hints.mean)))
 
     def remaining(self, worker: Worker) -> float:
-        """The work that this dispatcher may still send now (microseconds)."""
+        """Return the work that this dispatcher may still send to the worker now (microseconds)."""
         settings = self._context.settings
         window = settings.overload_window
         sends = worker.slow_start_sends
@@ -40,15 +45,16 @@
             sends.popleft()
         allowed = settings.overload_threshold * self._capacity(worker) * window
         mean_request = self._hints.mean + 1.0
-        spread = 0 if self._subsets.uses_whole_fleet else BUDGET_SPREAD
-        budget: float = BUDGET_USED * allowed + spread * (allowed * mean_request) ** 0.5
+        spread = 0 if self._subsets.uses_whole_fleet else BUDGET_SPREAD_FACTOR
+        budget: float = BUDGET_USED_SHARE * allowed + spread * (allowed * mean_request) ** 0.5
         if budget >= mean_request * settings.dispatcher_count:
             return budget / settings.dispatcher_count - sum(work for _, work in sends)
-        # Split evenly, a part would often be below one request and nobody could send any: then the first few in the
-        # worker's own order of dispatchers have one each. What one sent before its own restart it does not know.
-        has_part = (self._warm_up.dispatcher_rank(worker) + 1) * mean_request <= budget
-        just_began = self._context.now - self._context.first_event_at < window
-        return MAX_REQUEST * mean_request * (has_part and not sends and not just_began)
+        # An even share would be below one request, so that no dispatcher could send any. Instead, the first few
+        # dispatchers in the worker's own order may send one request each. A recently started dispatcher sends none,
+        # as it does not know what it sent before its restart.
+        has_share = (self._warm_up.dispatcher_rank(worker) + 1) * mean_request <= budget
+        recently_started = self._context.now - self._context.first_event_at < window
+        return MAX_REQUEST_IN_MEANS * mean_request * (has_share and not sends and not recently_started)
 
     def _capacity(self, worker: Worker) -> float:
         machine_type = worker.machine_type
--- a/badgerroad/load_balancing/policy/subsets.py
+++ b/badgerroad/load_balancing/policy/subsets.py
@@ -1,4 +1,4 @@
-"""Rule 3: the workers that are ready by the endpoint list, and the subset of them that this dispatcher uses."""
+"""Subsetting: selects the ready workers of the endpoint list that this dispatcher sends requests to."""
 
 from .. import interface
 from ..decision_context import DecisionContext
@@ -6,58 +6,60 @@
 from ..workers import Worker
 from .warm_up import WarmUp
 
-MIN_SUBSET = 3
-"""Workers that a dispatcher uses, at least."""
-MIN_DISPATCHERS = 4
-"""Dispatchers that use a worker, at least."""
-SLOW_START_DISPATCHERS = 32
-"""Dispatchers that use a warming-up worker because they may have a part of its budget."""
+MIN_SUBSET_SIZE = 3
+"""Minimum number of workers that a dispatcher uses."""
+MIN_DISPATCHERS_PER_WORKER = 4
+"""Minimum number of dispatchers that use a worker."""
+MAX_SLOW_START_DISPATCHERS = 32
+"""Number of dispatchers that use a warming-up worker outside their subset, as they may have a share of its budget."""
 
 
 class WorkerSubsets:
-    """The listed workers, and this dispatcher's subsets of its own and of other zones."""
+    """The listed workers, and this dispatcher's subsets of the local and of remote zones."""
 
     def __init__(self, context: DecisionContext, warm_up: WarmUp) -> None:
-        """Without workers; `update` takes in the lists."""
+        """There are no workers until the first `update`."""
         self._context = context
         self._warm_up = warm_up
         self.roster = EndpointRoster(self.is_remote, warm_up.is_warming_up)
         self.ready: list[Worker] = self.roster.ready
         self.local: list[Worker] = []
-        """Those of its own zone that this dispatcher uses; all ready workers where it uses the whole fleet."""
+        """The workers of the local zone in use; all ready workers if this dispatcher uses the whole fleet."""
         self.remote: list[Worker] = []
-        """Those of other zones, where crossing has a price."""
+        """The workers of other zones in use, if the settings give cross-zone traffic a cost."""
         self.uses_whole_fleet = True
-        """Own traffic is a fair part of each worker's."""
+        """Whether this dispatcher uses all ready workers. Its own requests are then a fair share of their load."""
 
     def update(self, endpoint_list: interface.EndpointList) -> None:
-        """Take in an endpoint list and choose the subsets anew."""
-        # A warming-up worker that is gone may be listed again; what was sent to it still counts in its budget.
+        """Apply an endpoint list and recompute the subsets."""
+        # The roster keeps removed workers that are warming up. If listed again, earlier sends count in their budget.
         self.roster.update(endpoint_list)
         fleet_size = len(self.ready)
-        size = max(MIN_SUBSET, -(-MIN_DISPATCHERS * fleet_size // self._context.settings.dispatcher_count))
+        size = max(
+            MIN_SUBSET_SIZE, -(-MIN_DISPATCHERS_PER_WORKER * fleet_size // self._context.settings.dispatcher_count)
+        )
         self.uses_whole_fleet = size >= fleet_size
         self.remote = self._subset_of(self.roster.remote, size)
         if self.uses_whole_fleet:
             self.local = self.ready
             return
         subset = self._subset_of(self.roster.local or self.ready, size)
-        self.local = subset + self._warming_up_beyond(subset)
+        self.local = subset + self._warming_up_outside(subset)
 
     def is_remote(self, worker: Worker) -> bool:
-        """Is it in another zone, at a price?"""
+        """Return whether the worker is in another zone and cross-zone traffic has a cost."""
         settings = self._context.settings
         return settings.cross_zone_cost > 0 and worker.info.zone != settings.zone
 
-    def _warming_up_beyond(self, subset: list[Worker]) -> list[Worker]:
+    def _warming_up_outside(self, subset: list[Worker]) -> list[Worker]:
         return [
             worker
             for worker in self.roster.warming_up
-            if self._warm_up.dispatcher_rank(worker) < SLOW_START_DISPATCHERS and worker not in subset
+            if self._warm_up.dispatcher_rank(worker) < MAX_SLOW_START_DISPATCHERS and worker not in subset
         ]
 
     def _subset_of(self, workers: list[Worker], size: int) -> list[Worker]:
-        """This dispatcher's own consecutive `size` of the workers."""
+        """Return `size` consecutive workers, starting at this dispatcher's own offset and wrapping around."""
         if size >= len(workers):
             return workers
         settings = self._context.settings
--- a/badgerroad/load_balancing/policy/warm_up.py
+++ b/badgerroad/load_balancing/policy/warm_up.py
@@ -1,18 +1,18 @@
-"""Which workers have just started, and how fast they are by now."""
+"""Determines which workers are warming up after a start, and their current speed."""
 
 from ..decision_context import DecisionContext
 from ..workers import Worker
 
 
 class WarmUp:
-    """A worker warms up for `slow_start_duration` from its start."""
+    """Warm-up state of workers; a worker warms up for `slow_start_duration` from its start."""
 
     def __init__(self, context: DecisionContext) -> None:
-        """`context` gives clock and settings."""
+        """`context` provides the clock and the settings."""
         self._context = context
 
     def is_warming_up(self, worker: Worker) -> bool:
-        """Has it started less than the slow start's duration ago?"""
+        """Return whether the worker started less than `slow_start_duration` ago."""
         started_at = worker.info.started_at
         if started_at <= 0:
             return False
@@ -20,13 +20,13 @@
         return context.now - started_at < context.settings.slow_start_duration
 
     def speed_share(self, worker: Worker) -> float:
-        """The part of its full speed that a warming-up worker has by now."""
+        """Return the share of its full speed that a warming-up worker has reached; it grows linearly with its age."""
         settings = self._context.settings
         initial = settings.slow_start_share
         age = max(self._context.now - worker.info.started_at, 0)
         return initial + (1 - initial) * age / settings.slow_start_duration
 
     def dispatcher_rank(self, worker: Worker) -> int:
-        """This dispatcher's position in the worker's own order of dispatchers: another rotation for each start."""
+        """Return this dispatcher's position in the worker's own order of dispatchers, rotated for each worker start."""
         settings = self._context.settings
         return (worker.start_hash + settings.dispatcher_index) % settings.dispatcher_count
--- a/badgerroad/load_balancing/quota.py
+++ b/badgerroad/load_balancing/quota.py
@@ -1,44 +1,46 @@
-"""The buckets that decide whether a request exceeds this dispatcher's share of its tenant's quota.
+"""Token buckets that decide whether a request exceeds this dispatcher's share of its tenant's quota.
 
-Each of N dispatchers has a bucket for each tenant. It fills with `quota / N` requests a second, holds that of a second
-but one whole request at least, and starts full. A request within the quota takes one; one over it takes nothing.
+Each of N dispatchers has a bucket for each tenant. It is refilled at `quota / N` tokens a second, holds the refill of
+one second but at least one token, and starts full. A request within the quota takes a token; one over it takes none.
 
-**Bound.** In any window of T seconds all N together find within the quota at most
+**Bound.** In any window of T seconds, all N dispatchers together admit as within the quota at most
 
     quota * T + N * max(1, quota / N)
 
-requests: each bucket gives what it held at the window's start, at most its depth, and what flows in during it. So a
-tenant can have up to N requests more than its quota at once, where a share is below one a second.
+requests, since each bucket provides at most its depth at the start of the window plus the refill during it. If the
+share of a dispatcher is below one request a second, a tenant can thus exceed its quota by up to N requests at once.
 
-**Which requests are over.** A dispatcher that sees its even part of Poisson traffic at a load `load` of the quota finds
-`load / (1 + load)` of it over where its share is at most one request a second: a third at half the quota, as the second
-of two requests comes before one has flowed in. Where its share is more, fewer are over. Traffic that comes to a
-tenth of the dispatchers has a tenth of the buckets: half the quota is five times what they admit, and some four fifths
-are over. Without gossip between dispatchers that cannot be helped: none knows that the others' buckets stay full.
-`docs/quotas.md` has measured figures. Where it is decided outside (`Request.over_quota`), these buckets are not used.
+**Which requests are over.** A dispatcher with a share of at most one request a second that receives its even part of
+Poisson traffic at the fraction `load` of the quota finds `load / (1 + load)` of it over quota: a third at half the
+quota, as the second of two requests arrives before a token is refilled. With a larger share, fewer requests are over.
+Traffic to only a tenth of the dispatchers uses a tenth of the buckets: half the quota is then five times what they
+admit, and about four fifths of the requests are over. Dispatchers that do not exchange their counts cannot avoid
+this, as none knows that the others' buckets are full. `docs/quotas.md` has measured figures. These buckets are not
+used for requests decided externally (`Request.over_quota`).
 """
 
 from . import interface
 
 US_PER_S = 1e6
 FILL_TIME_S = 1.0
-"""A bucket holds what flows in during this time,"""
-MIN_DEPTH = 1.0
-"""and so many requests at least."""
+"""Depth of a bucket as refill time."""
+MIN_DEPTH_REQUESTS = 1.0
+"""Minimum depth of a bucket, so that it can hold a whole request at low rates."""
 
 
 class QuotaBuckets:
-    """This dispatcher's bucket of each tenant, by the tenant's name."""
+    """The token buckets of this dispatcher, one for each tenant."""
 
     def __init__(self) -> None:
-        """A bucket comes with its tenant's first request."""
+        """A bucket is created with the first request of its tenant."""
         self.buckets: dict[str, tuple[float, int]] = {}
-        """Requests left, and when that was computed (microseconds)."""
+        """Tokens, and when they were computed (microseconds), by tenant name."""
 
     def is_over(self, settings: interface.Settings, request: interface.Request, now: int) -> bool:
-        """Count the request (`now` in microseconds); is it beyond this dispatcher's share of the quota?
+        """Return whether the request exceeds this dispatcher's share of the quota, or else take a token.
 
-        Never where requests over quota have the same priority as others, or the tenant has no quota.
+        `now` is in microseconds. Always False if requests over quota have the same priority as others, or if the tenant
+        has no quota.
         """
         if settings.over_quota_priority >= 1:
             return False
@@ -51,8 +53,8 @@
         return rate > 0 and not self._take(tenant.name, rate / settings.dispatcher_count, now)
 
     def _take(self, tenant: str, rate: float, now: int) -> bool:
-        """Take a request from the bucket that fills with `rate` a second; False: there is none."""
-        depth = max(MIN_DEPTH, rate * FILL_TIME_S)
+        """Take a token from a bucket that is refilled with `rate` a second; return False if there is none."""
+        depth = max(MIN_DEPTH_REQUESTS, rate * FILL_TIME_S)
         tokens, computed_at = self.buckets.get(tenant, (depth, now))
         tokens = min(tokens + (now - computed_at) * rate / US_PER_S, depth)
         is_within = tokens >= 1
--- a/badgerroad/load_balancing/retry_after.py
+++ b/badgerroad/load_balancing/retry_after.py
@@ -1,7 +1,8 @@
-"""When a rejected client should come back.
+"""Computes the Retry-After of a rejected request.
 
-The sums are kept running, so they round in another order than a sum over each request and worker. Where that might show
-in the whole microseconds of the answer, the sums are taken one by one: the answer is the same as if they always were.
+Backlog and capacity are running totals, so their rounding depends on the order of the updates. If that could change the
+result in whole microseconds, both are summed again over all requests and workers in a fixed order. The result is thus
+always equal to the full sums.
 """
 
 from collections.abc import Callable
@@ -10,32 +11,33 @@
 from . import interface
 from .endpoint_roster import EndpointRoster
 from .pending_requests import PendingRequests
-from .waiting_queue import RECHECK_US
+from .waiting_queue import QUEUE_CHECK_INTERVAL_US
 from .workers import Worker
 
-ROUNDING = 2.0**-52
-"""The relative difference that one more term can make between two orders of a sum of terms that are not negative: each
-rounds by half of this at most."""
-EXTRA_TERMS = 16
-"""More than enough for the few roundings beside the two sums: products, divisions."""
+RELATIVE_ROUNDING_ERROR = 2.0**-52
+"""Maximum relative difference per term between two summation orders of non-negative terms.
+
+Each addition rounds by at most half of this."""
+EXTRA_ROUNDINGS = 16
+"""Allowance for the few roundings outside the two sums, in products and divisions."""
 
 
 class Backlog(NamedTuple):
-    """Open work (microseconds) and the capacity of this dispatcher's part of the workers."""
+    """Work of unfinished requests (microseconds), and the capacity of this dispatcher's share of the workers."""
 
     work: float
     capacity: float
 
-    def time(self, at_most: int, factor: float = 1.0) -> int:
-        """Microseconds until the work is done, times a factor; within what an answer may say."""
+    def drain_time(self, max_retry_after: int, factor: float = 1.0) -> int:
+        """Return `factor` times the time until the work is done (microseconds), limited to the allowed range."""
         if not self.capacity:
-            return at_most
-        return int(min(max(self.work / self.capacity * factor, RECHECK_US), at_most))
+            return max_retry_after
+        return int(min(max(self.work / self.capacity * factor, QUEUE_CHECK_INTERVAL_US), max_retry_after))
 
-    def is_certain(self, at_most: int, terms: int) -> bool:
-        """Is the time the same in whole microseconds, in whatever order these terms are summed?"""
-        margin = (terms + EXTRA_TERMS) * ROUNDING
-        return self.time(at_most, 1 - margin) == self.time(at_most, 1 + margin)
+    def is_order_independent(self, max_retry_after: int, terms: int) -> bool:
+        """Return whether the drain time in whole microseconds is the same for every summation order of the terms."""
+        margin = (terms + EXTRA_ROUNDINGS) * RELATIVE_ROUNDING_ERROR
+        return self.drain_time(max_retry_after, 1 - margin) == self.drain_time(max_retry_after, 1 + margin)
 
 
 def retry_after(
@@ -46,14 +48,15 @@
     mean_work: float,
     speed: Callable[[Worker], float],
 ) -> int:
-    """Microseconds until a dispatcher's part of the workers is through with the work that it has.
+    """Return the time until this dispatcher's share of the workers has finished its backlog (microseconds).
 
-    `mean_work`: of the hints, the least that a request counts; `speed`: of a worker now.
+    `mean_work` is the mean of the work hints; each request counts at least this much. `speed` gives the current speed
+    of a worker.
     """
-    at_most = settings.max_retry_after
+    max_retry_after = settings.max_retry_after
     capacity = roster.capacity.total(now, mean_work + 1.0, speed) / settings.dispatcher_count
     backlog = Backlog(requests.total_work(mean_work), capacity)
-    if not backlog.is_certain(at_most, len(requests) + len(roster.ready)):
+    if not backlog.is_order_independent(max_retry_after, len(requests) + len(roster.ready)):
         exact = sum(w.machine_type.slots * speed(w) for w in roster.ready if w.ejected_until <= now)
         backlog = Backlog(requests.total_work_in_order(mean_work), exact / settings.dispatcher_count)
-    return backlog.time(at_most)
+    return backlog.drain_time(max_retry_after)
--- a/badgerroad/load_balancing/settings_decoder.py
+++ b/badgerroad/load_balancing/settings_decoder.py
@@ -1,7 +1,7 @@
-"""Decodes the settings object of the simulator and of the configuration file.
+"""Decodes the JSON settings object of the simulator and of the configuration file.
 
-This is the one place where the names of the settings object meet the names used inside the program: `FIELDS` and
-`CLASS_FIELDS` list them side by side.
+`FIELDS` and `CLASS_FIELDS` map the keys of the settings object to the field names of `Settings` and `RequestClass`; no
+other module uses those keys.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
     "dedup": interface.RetrySemantics.IDEMPOTENCY_KEY,
     "fragile": interface.RetrySemantics.NON_IDEMPOTENT,
 }
-"""The names of the settings object for the retry semantics of a class."""
-DEFAULT_POLL_INTERVAL = 10_000_000
-"""Microseconds, where the settings give none or 0."""
+"""Retry semantics by their names in the settings object."""
+DEFAULT_POLL_INTERVAL_US = 10_000_000
+"""The poll interval if the settings give none or 0."""
 
 Object = dict[str, Any]
 
 
 class SettingsError(Exception):
-    """The settings cannot be used; the text names the key and the reason."""
+    """Raised for invalid settings; the message gives the key and the reason."""
 
 
 class Field(NamedTuple):
-    """One value of the settings object."""
+    """Describes one value of the settings object."""
 
     name: str | None
-    """The field of `Settings` or `RequestClass`; None: nothing reads it, but it has to be valid."""
+    """The field of `Settings` or `RequestClass`; None for a value that is validated but not used."""
     section: str
-    """The object that holds it; empty for the settings object itself."""
+    """The object that contains the key; empty for the settings object itself."""
     key: str
     kind: Callable[[Any], Any]
     default: float | None = None
-    """None: the key has to be there."""
+    """The value if the key is missing; None if the key is required."""
 
 
 def _flag(section: str, key: str, name: str) -> Field:
@@ -74,7 +74,7 @@
     Field(None, "deductions", "waste", float, 0.0),
     Field(None, "deductions", "lateFail", float, 0.0),
 )
-"""The values of the settings object but for classes, tenants, `registryMode` and the names of the load report."""
+"""The values of the settings object except classes, tenants, `registryMode` and the names in the load report."""
 
 CLASS_FIELDS = (
     Field("latency_objective", "", "goalTimeUs", int),
@@ -84,18 +84,18 @@
     Field("priority_weight", "", "worth", float, 1.0),
     Field("late_priority_weight", "", "lateWorth", float, 0.0),
 )
-"""The numbers of one entry of `requestClasses`."""
+"""The numeric values of an entry of `requestClasses`."""
 
 _REQUIRED_SECTIONS = ("permissions", "obligations")
 _OPTIONAL_SECTIONS = ("familyInfo", "deductions", "callers", "report")
 
 
 def settings_from(text: bytes) -> interface.Settings:
-    """The settings in a JSON text. Raises SettingsError."""
+    """Decode the settings from a JSON text. Raises SettingsError."""
     try:
         return _decode(json.loads(text))
     except KeyError as error:
-        raise SettingsError(f"settings lack the key {error.args[0]!r}") from error
+        raise SettingsError(f"settings: the key {error.args[0]!r} is missing") from error
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
         raise SettingsError(f"settings cannot be read: {error}") from error
 
@@ -108,7 +108,7 @@
     family = sections["familyInfo"]
     classes = tuple(_request_class(index, entry, family) for index, entry in enumerate(data["requestClasses"]))
     values = _values(FIELDS, sections)
-    values["poll_interval"] = values["poll_interval"] or DEFAULT_POLL_INTERVAL
+    values["poll_interval"] = values["poll_interval"] or DEFAULT_POLL_INTERVAL_US
     settings = interface.Settings(
         classes=classes,
         tenants=tenants,
@@ -118,13 +118,13 @@
     )
     names = [request_class.name for request_class in settings.classes]
     if len({*names}) < len(names):
-        raise SettingsError(f"settings: two classes have one name: {', '.join(names)}")
+        raise SettingsError(f"settings: class names are not unique: {', '.join(names)}")
     settings.check()
     return settings
 
 
 def _values(fields: tuple[Field, ...], sections: dict[str, Object]) -> Object:
-    """The values by the names used inside. Raises KeyError for a missing key, SettingsError for what is no number."""
+    """Return the values by field name. Raises KeyError for a missing key and SettingsError for a non-numeric value."""
     values = {}
     for field in fields:
         value = _value(sections[field.section], field)
@@ -172,6 +172,6 @@
 
 
 def _per_class(family: Object, key: str, index: int, default: float) -> Any:
-    """The value for one class in a list of `familyInfo`, which may be shorter than the list of classes."""
+    """Return the value for a class from a list in `familyInfo`, which may be shorter than the list of classes."""
     values = family.get(key) or []
     return values[index] if index < len(values) else default
--- a/badgerroad/load_balancing/simulator_adapter.py
+++ b/badgerroad/load_balancing/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Connects the decisions to the simulator: its frames on standard input and output, many isolated instances.
+"""Runs many isolated policy instances for the simulator, which sends frames on standard input and reads replies.
 
-Nothing is decided here. A frame has a header, records of events and a tail of texts and lists; the answer has a
-header, records of actions and a tail of texts. Codes and layouts are those of the wire's page; they are mapped to the
-events and actions of `interface` here and nowhere else.
+A frame consists of a header, event records and a tail with strings and lists. The reply consists of a header, action
+records and a tail with strings. Codes and layouts follow the specification of the wire format. Only this module maps
+them to the events and actions of `interface`.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 FRAME_HEADER = Struct("<IIIQ")
 REPLY_HEADER = Struct("<III")
 EVENT_SIZE = 48
-"""Bytes of one event record, its code included."""
+"""Size of an event record in bytes, including its code."""
 LIST_ENTRY = Struct("<Q6sBHHHf")
 
-# Event codes that are not read by a method of `_EventReader`.
+# Codes of records that `Process.batch` handles itself.
 INIT, KILL, LIST, INSTANCE = 1, 10, 11, 13
-# Other event codes.
+# Codes of events, each read by a method in `Process._readers`.
 ENDPOINTS, REQUEST, STREAM_STARTED, ATTEMPT_ENDED, CLIENT_GONE = 2, 3, 4, 5, 6
 TIMER, HEALTH_CHECK_RESULT, PEER_MESSAGE, ATTEMPT_REPORT = 7, 8, 9, 12
 STARTED_TOPIC = 1
-"""The topic of an attempt report that tells of the start; others tell of progress."""
+"""Topic of an attempt report for the start; all other topics are progress reports."""
 
 U32, U64, SPAN = Struct("<I"), Struct("<Q"), Struct("<HII")
 INIT_RECORD, ENDPOINTS_RECORD, REQUEST_RECORD = Struct("<QII"), Struct("<BQH"), Struct("<QHHQIIffH")
@@ -47,10 +47,10 @@
 FAIL_RECORD, REJECT_RECORD, WORKER_RECORD = Struct("<BQ15x"), Struct("<BQI11x"), Struct("<B6s17x")
 FLAG_RECORD, TEXT_RECORD, PEER_RECORD = Struct("<BB22x"), Struct("<BII15x"), Struct("<BIII11x")
 INSTANCE_RECORD = Struct("<BI19x")
-LONGEST_TIMER = 70 * 60 * 1_000_000
-"""Microseconds; the wire holds no longer delay."""
-LONGEST_FAULT = 1000
-"""Characters of the text that tells of a fault."""
+MAX_TIMER_DELAY_US = 70 * 60 * 1_000_000
+"""Maximum delay that fits in the 32-bit field of a timer record."""
+MAX_FAULT_CHARS = 1000
+"""Maximum length of the text of a fault, in characters."""
 
 RESULTS = {
     0: interface.AttemptResult.OK,
@@ -73,14 +73,14 @@
 
 
 class FrameError(Exception):
-    """A frame does not follow the wire's page."""
+    """Raised for a frame that violates the wire format."""
 
 
 class DecisionError(Exception):
-    """The decisions of one instance raised an exception; the simulator is told of it as a fault."""
+    """Raised when the policy of one instance raises; it is reported to the simulator as a fault."""
 
     def __init__(self, instance: int, text: str) -> None:
-        """`instance`: its number on the wire; `text`: what the simulator shows."""
+        """`instance` is its number on the wire; `text` is the message for the simulator."""
         super().__init__(text)
         self.instance = instance
         self.text = text
@@ -91,7 +91,7 @@
 
 
 def _pack_timer(action: interface.SetTimer, _tail: bytearray) -> bytes:
-    return TIMER_RECORD.pack(TIMER_ACTION, min(action.delay, LONGEST_TIMER), action.token)
+    return TIMER_RECORD.pack(TIMER_ACTION, min(action.delay, MAX_TIMER_DELAY_US), action.token)
 
 
 def _pack_peer_message(action: interface.SendToPeer, tail: bytearray) -> bytes:
@@ -123,12 +123,12 @@
 
 
 def pack(actions: list[interface.Action], tail: bytearray) -> list[bytes]:
-    """The records of one instance's actions; their texts are added to `tail`."""
+    """Return the records of one instance's actions, and append their variable-length data to `tail`."""
     return [_PACKERS[type(action)](action, tail) for action in actions]
 
 
 class _Frame:
-    """The body of one frame and the instance that its records speak to."""
+    """The body of a frame, and the instance that its current records are for."""
 
     def __init__(self, number: int, count: int, body: bytes) -> None:
         self.number = number
@@ -139,18 +139,18 @@
             raise FrameError(f"frame {number}: {count} records do not fit in {len(body)} bytes")
 
     def tail(self, start: int, length: int) -> bytes:
-        """A part of the tail. Raises FrameError where it leads out of the frame."""
+        """Return a part of the tail. Raises FrameError if it does not lie within the frame."""
         begin = self.tail_start + start
         if begin + length > len(self.body):
-            raise FrameError(f"an offset leads out of the frame: {begin} + {length} of {len(self.body)} bytes")
+            raise FrameError(f"an offset lies outside the frame: {begin} + {length} of {len(self.body)} bytes")
         return self.body[begin : begin + length]
 
 
 class Process:
-    """All instances that this process hosts. They share nothing but the decoded lists, which never change."""
+    """All policy instances of this process. They share only the decoded endpoint lists, which are immutable."""
 
     def __init__(self) -> None:
-        """No instances and no lists yet: frames bring both."""
+        """There are no instances or lists until frames define them."""
         self.instances: dict[int, DispatchPolicy] = {}
         self.lists: dict[int, tuple[interface.Endpoint, ...]] = {}
         self._readers: dict[int, Callable[[_Frame, int, DispatchPolicy], interface.Event]] = {
@@ -166,51 +166,51 @@
         }
 
     def batch(self, number: int, count: int, now: int, body: bytes) -> bytes:
-        """Handle the events of one frame; return the frame of actions. Raises FrameError, SettingsError, DecisionError.
+        """Handle the events of a frame and return the reply. Raises FrameError, SettingsError or DecisionError.
 
         `now` is the simulator's clock in microseconds.
         """
         frame = _Frame(number, count, body)
         actions_by_instance: dict[int, list[interface.Action]] = {}
-        for at in range(1, frame.tail_start, EVENT_SIZE):
-            code = body[at - 1]
+        for offset in range(1, frame.tail_start, EVENT_SIZE):
+            code = body[offset - 1]
             if code == INSTANCE:
-                frame.instance_number = U32.unpack_from(body, at)[0]
+                frame.instance_number = U32.unpack_from(body, offset)[0]
             elif code == LIST:
-                self._list(frame, at)
+                self._list(frame, offset)
             elif code == INIT:
-                self._init(frame, at)
+                self._init(frame, offset)
                 actions_by_instance.pop(frame.instance_number, None)
             elif code == KILL:
-                # What the instance said before its end would name requests that it no longer has.
+                # Earlier actions of the instance in this frame refer to requests that no longer exist.
                 self.instances.pop(frame.instance_number, None)
                 actions_by_instance.pop(frame.instance_number, None)
             else:
-                actions = self._handle(frame, at, code, now)
+                actions = self._handle(frame, offset, code, now)
                 if actions:
                     actions_by_instance.setdefault(frame.instance_number, []).extend(actions)
         return self._reply(number, actions_by_instance)
 
-    def _init(self, frame: _Frame, at: int) -> None:
-        seed, start, length = INIT_RECORD.unpack_from(frame.body, at)
+    def _init(self, frame: _Frame, offset: int) -> None:
+        seed, start, length = INIT_RECORD.unpack_from(frame.body, offset)
         settings = settings_from(frame.tail(start, length))
         self.instances[frame.instance_number] = DispatchPolicy(settings, seed)
 
-    def _handle(self, frame: _Frame, at: int, code: int, now: int) -> list[interface.Action]:
+    def _handle(self, frame: _Frame, offset: int, code: int, now: int) -> list[interface.Action]:
         instance = self.instances.get(frame.instance_number)
         if instance is None:
             raise FrameError(
-                f"frame {frame.number}: an event for instance {frame.instance_number}, which has not started"
+                f"frame {frame.number}: event for instance {frame.instance_number}, which has not been initialised"
             )
         reader = self._readers.get(code)
         if reader is None:
             raise FrameError(f"frame {frame.number}: unknown event code {code}")
-        event = reader(frame, at, instance)
+        event = reader(frame, offset, instance)
         try:
             return instance.handle(now, event)
         except Exception as error:
             text = f"{type(error).__name__}: {error} on {event!r}"
-            raise DecisionError(frame.instance_number, text[:LONGEST_FAULT]) from error
+            raise DecisionError(frame.instance_number, text[:MAX_FAULT_CHARS]) from error
 
     @staticmethod
     def _reply(number: int, actions_by_instance: dict[int, list[interface.Action]]) -> bytes:
@@ -222,8 +222,8 @@
         body = b"".join(records) + tail
         return REPLY_HEADER.pack(number, len(records), len(body)) + body
 
-    def _list(self, frame: _Frame, at: int) -> None:
-        number, start, entries = SPAN.unpack_from(frame.body, at)
+    def _list(self, frame: _Frame, offset: int) -> None:
+        number, start, entries = SPAN.unpack_from(frame.body, offset)
         endpoints = []
         for row in LIST_ENTRY.iter_unpack(frame.tail(start, entries * LIST_ENTRY.size)):
             started_at, worker, state, machine_type, zone, cell, weight = row
@@ -232,19 +232,19 @@
             endpoints.append(interface.Endpoint(worker, STATES[state], started_at, machine_type, zone, cell, weight))
         self.lists[number] = tuple(endpoints)
 
-    def _endpoints(self, frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        scope, version, number = ENDPOINTS_RECORD.unpack_from(frame.body, at)
+    def _endpoints(self, frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        scope, version, number = ENDPOINTS_RECORD.unpack_from(frame.body, offset)
         if scope not in SCOPES:
-            raise FrameError(f"unknown list scope {scope}")
+            raise FrameError(f"endpoint list event: unknown scope {scope}")
         if scope == FAILED_SCOPE:
             return interface.EndpointList(SCOPES[scope])
         if number not in self.lists:
-            raise FrameError(f"a list event names list {number}, which was never given")
+            raise FrameError(f"an endpoint list event refers to undefined list {number}")
         return interface.EndpointList(SCOPES[scope], version, self.lists[number])
 
     @staticmethod
-    def _request(frame: _Frame, at: int, instance: DispatchPolicy) -> interface.Event:
-        record = REQUEST_RECORD.unpack_from(frame.body, at)
+    def _request(frame: _Frame, offset: int, instance: DispatchPolicy) -> interface.Event:
+        record = REQUEST_RECORD.unpack_from(frame.body, offset)
         request, class_index, tenant, key, time_left, work_hint, slots, memory, flags = record
         if class_index >= len(instance.settings.classes):
             raise FrameError(f"request {request}: class index {class_index} is out of range")
@@ -254,41 +254,41 @@
         return interface.Request(request, class_index, tenant, key, time_left, work_hint, slots or 1.0, memory, retry)
 
     @staticmethod
-    def _stream_started(frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        return interface.StreamStarted(*STREAM_RECORD.unpack_from(frame.body, at)[:3])
+    def _stream_started(frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        return interface.StreamStarted(*STREAM_RECORD.unpack_from(frame.body, offset)[:3])
 
     @staticmethod
-    def _attempt_ended(frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        record = ENDED_RECORD.unpack_from(frame.body, at)
+    def _attempt_ended(frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        record = ENDED_RECORD.unpack_from(frame.body, offset)
         request, attempt, worker, code, elapsed, finished, _note, size, *load = record
         if code not in RESULTS:
-            raise FrameError(f"request {request}: unknown outcome code {code}")
+            raise FrameError(f"request {request}: unknown result code {code}")
         report = tuple(load[:size]) if size else None
         return interface.AttemptEnded(request, attempt, worker, RESULTS[code], elapsed, finished != 0, report)
 
     @staticmethod
-    def _client_disconnected(frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        return interface.ClientDisconnected(U64.unpack_from(frame.body, at)[0])
+    def _client_disconnected(frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        return interface.ClientDisconnected(U64.unpack_from(frame.body, offset)[0])
 
     @staticmethod
-    def _timer(frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        return interface.Timer(U64.unpack_from(frame.body, at)[0])
+    def _timer(frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        return interface.Timer(U64.unpack_from(frame.body, offset)[0])
 
     @staticmethod
-    def _health_check_result(frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        elapsed, code, worker, size, *load = HEALTH_RECORD.unpack_from(frame.body, at)
+    def _health_check_result(frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        elapsed, code, worker, size, *load = HEALTH_RECORD.unpack_from(frame.body, offset)
         if code not in RESULTS:
-            raise FrameError(f"probe: unknown outcome code {code}")
+            raise FrameError(f"health check: unknown result code {code}")
         return interface.HealthCheckResult(worker, RESULTS[code], elapsed, tuple(load[:size]) if size else None)
 
     @staticmethod
-    def _peer_message(frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        sender, start, length = SPAN.unpack_from(frame.body, at)
+    def _peer_message(frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        sender, start, length = SPAN.unpack_from(frame.body, offset)
         return interface.PeerMessage(sender, frame.tail(start, length))
 
     @staticmethod
-    def _attempt_report(frame: _Frame, at: int, _instance: DispatchPolicy) -> interface.Event:
-        request, share, attempt, topic, worker = REPORT_RECORD.unpack_from(frame.body, at)
+    def _attempt_report(frame: _Frame, offset: int, _instance: DispatchPolicy) -> interface.Event:
+        request, share, attempt, topic, worker = REPORT_RECORD.unpack_from(frame.body, offset)
         if topic == STARTED_TOPIC:
             return interface.AttemptStarted(request, attempt, worker)
         return interface.AttemptProgressed(request, attempt, worker, share)
@@ -308,7 +308,7 @@
 
 
 def run(stdin: BinaryIO, stdout: BinaryIO) -> None:
-    """Answer frames until the input ends. Raises FrameError or SettingsError on input that cannot be used."""
+    """Process frames until the end of the input. Raises FrameError or SettingsError on invalid input."""
     process = Process()
     while True:
         first = stdin.read(1)
@@ -326,7 +326,7 @@
 
 
 def main() -> int:
-    """Run as a process; returns the exit code."""
+    """Run the adapter as a process, and return its exit code."""
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
     try:
--- a/badgerroad/load_balancing/state.py
+++ b/badgerroad/load_balancing/state.py
@@ -1,8 +1,8 @@
-"""Copies the decisions' state out and in, for another process of the same dispatcher.
+"""Exports and imports the policy's state, to transfer it to another process of the same dispatcher.
 
-Nothing is decided here. Times are microseconds of the clock that comes with the events; both processes read the same.
-The names and the order of values in what is copied belong to the messages between processes: they are mapped to the
-names of the decisions here and nowhere else.
+Times are microseconds of the clock that is passed with the events; both processes read the same clock. The keys and the
+order of values in the exported state are part of the messages between processes. Only this module maps them to the
+names used in the policy.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from .policy import DispatchPolicy
 from .workers import MachineType, Worker
 
-# What has been learned.
+# Learned state
 
 
-def copy_out(decisions: DispatchPolicy) -> dict[str, Any]:
-    """What has been learned, as JSON can hold it. Worker ids must be text. Attempts in flight are not part of it."""
-    hints = decisions.hints
-    estimates = decisions.estimates
+def export_learned_state(policy: DispatchPolicy) -> dict[str, Any]:
+    """Return the learned state as JSON-compatible values, without attempts in flight. Worker ids must be strings."""
+    hints = policy.hints
+    estimates = policy.estimates
     shares = estimates.queueing_share
     return {
-        "patience": decisions.client_patience.longest_wait,
+        "patience": policy.client_timeouts.longest_timeout,
         "seen": hints.count,
         "cutoff": hints.cutoff,
         "mean": hints.mean,
@@ -33,14 +33,14 @@
         "runs": estimates.class_runs.mean_of,
         "hints": list(hints.sample),
         "busy": [shares[False], shares[True]],
-        "quota": [[tenant, tokens, at] for tenant, (tokens, at) in decisions.quota.buckets.items()],
+        "quota": [[tenant, tokens, at] for tenant, (tokens, at) in policy.quota.buckets.items()],
         "kinds": [
             [number, _machine_type_values(machine_type), _start_delay_rows(machine_type)]
-            for number, machine_type in decisions.subsets.roster.machine_types.items()
+            for number, machine_type in policy.subsets.roster.machine_types.items()
         ],
         "workers": [
             [worker.id, worker.info.started_at, _worker_values(worker), list(worker.slow_start_sends)]
-            for worker in decisions.workers.values()
+            for worker in policy.workers.values()
             if worker.last_run_at or worker.last_report_at or worker.consecutive_failures or worker.slow_start_sends
         ],
     }
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class _MachineTypeState:
-    """What another process has learned of a machine type."""
+    """Learned state of a machine type, received from another process."""
 
     number: int
     work: float
@@ -87,13 +87,13 @@
 
     @classmethod
     def read(cls, row: list[Any]) -> _MachineTypeState:
-        """Raises TypeError or ValueError on another number of values."""
+        """Read the state from its JSON array. Raises TypeError or ValueError on a wrong number of values."""
         number, (work, elapsed, max_slots_seen, slots, delayed_excess_sends), delay_rows = row
         delays = {int(in_flight): (float(delay), int(at)) for in_flight, delay, at in delay_rows}
         return cls(int(number), work, elapsed, max_slots_seen, slots, delayed_excess_sends, delays)
 
     def apply(self, machine_type: MachineType) -> None:
-        """Let it take the place of what is known."""
+        """Replace the learned state of the machine type."""
         machine_type.throughput.work = self.work
         machine_type.throughput.elapsed = self.elapsed
         machine_type.max_slots_seen = self.max_slots_seen
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True)
 class _WorkerState:
-    """What another process has learned of one run of a worker."""
+    """Learned state of one run of a worker, received from another process."""
 
     worker: interface.WorkerId
     started_at: int
@@ -119,7 +119,7 @@
 
     @classmethod
     def read(cls, row: list[Any]) -> _WorkerState:
-        """Raises TypeError or ValueError on another number of values."""
+        """Read the state from its JSON array. Raises TypeError or ValueError on a wrong number of values."""
         worker, started_at, values, sends = row
         consecutive_failures, ejected_until, work, elapsed, last_run_at, queue_level, last_report_at = values
         return cls(
@@ -136,7 +136,7 @@
         )
 
     def apply(self, worker: Worker) -> None:
-        """Let it take the place of what is known; sends of the rolling window are added."""
+        """Replace the learned state of the worker, but add the received slow start sends to its own."""
         worker.consecutive_failures = self.consecutive_failures
         worker.ejected_until = self.ejected_until
         worker.throughput.work = self.work
@@ -147,18 +147,18 @@
         worker.slow_start_sends.extendleft(reversed(self.slow_start_sends))
 
 
-def copy_in(decisions: DispatchPolicy, state: dict[str, Any]) -> None:
-    """Let what another process of this dispatcher has learned take the place of what this one has.
+def import_learned_state(policy: DispatchPolicy, state: dict[str, Any]) -> None:
+    """Replace the learned state with that of another process of the same dispatcher.
 
-    Of a worker, only if it is the same run of it. Raises KeyError, TypeError or ValueError on what is no such state,
-    with nothing done.
+    The state of a worker is imported only if the worker has not restarted since. Raises KeyError, TypeError or
+    ValueError on an invalid `state`, before anything is changed.
     """
-    hints = decisions.hints
-    estimates = decisions.estimates
-    patience, count, cutoff, mean, fastest_start = (
+    hints = policy.hints
+    estimates = policy.estimates
+    longest_timeout, count, cutoff, mean, fastest_start = (
         state[name] for name in ("patience", "seen", "cutoff", "mean", "soon")
     )
-    class_runs = state.get("runs", estimates.class_runs.mean_of)  # older versions do not send it
+    class_runs = state.get("runs", estimates.class_runs.mean_of)  # not sent by older versions
     machine_types = [_MachineTypeState.read(row) for row in state["kinds"]]
     workers = [_WorkerState.read(row) for row in state["workers"]]
     by_run = {(learned.worker, learned.started_at): learned for learned in workers}
@@ -166,8 +166,8 @@
     sample = [int(hint) for hint in state["hints"]]
     local_share, remote_share = state["busy"]
 
-    decisions.client_patience.longest_wait = patience
-    decisions.quota.buckets = quota
+    policy.client_timeouts.longest_timeout = longest_timeout
+    policy.quota.buckets = quota
     estimates.class_runs.mean_of = class_runs
     estimates.fastest_start = fastest_start
     estimates.queueing_share = {False: local_share, True: remote_share}
@@ -175,7 +175,7 @@
     hints.cutoff = cutoff
     hints.mean = mean
     hints.sample.extend(sample)
-    roster = decisions.subsets.roster
+    roster = policy.subsets.roster
     for learned_of_type in machine_types:
         learned_of_type.apply(roster.machine_types.setdefault(learned_of_type.number, MachineType()))
     for worker in roster.workers.values():
@@ -185,7 +185,7 @@
     roster.capacity.reset(roster.ready)
 
 
-# Attempts of the other process.
+# Attempts of the other process
 
 
 @dataclass
@@ -197,85 +197,93 @@
 
 
 class PeerAttempts:
-    """The attempts that the other process has in flight.
+    """The attempts in flight of the other process.
 
-    At their workers they count as own ones: in the slots in flight, as the long request of which a worker has one, and
-    in the slow start's budget.
+    They count at their workers like own attempts: in the slots in flight, towards the limit of one long request, and in
+    the slow start budget.
     """
 
-    def __init__(self, decisions: DispatchPolicy) -> None:
-        """`decisions` knows the workers."""
-        self._decisions = decisions
+    def __init__(self, policy: DispatchPolicy) -> None:
+        """`policy` provides the workers."""
+        self._policy = policy
         self._attempts: dict[Hashable, _PeerAttempt] = {}
 
-    def listed(self) -> list[Any]:
-        """As `attempts_out` lists own ones."""
+    def export(self) -> list[Any]:
+        """Return the attempts in the format of `export_attempts`."""
         return [
             [key, attempt.worker.id, attempt.slots, attempt.is_long, attempt.started]
             for key, attempt in self._attempts.items()
         ]
 
-    def sent(
-        self, key: Hashable, worker_id: interface.WorkerId, slots: float, is_long: bool, spent: tuple[int, float]
+    def record_send(
+        self,
+        key: Hashable,
+        worker_id: interface.WorkerId,
+        slots: float,
+        is_long: bool,
+        slow_start_send: tuple[int, float],
     ) -> None:
-        """Count an attempt.
+        """Record an attempt that the other process has sent.
 
-        `spent`: when, and the work, for the slow start's budget; (0, 0.0) if that is counted already.
+        `slow_start_send` is the time and the work to count in the slow start budget; (0, 0.0) if already counted.
         """
-        worker = self._decisions.workers.get(worker_id)
+        worker = self._policy.workers.get(worker_id)
         if worker is None or key in self._attempts:
             return
         self._attempts[key] = _PeerAttempt(worker, slots, is_long)
         worker.add_attempt(slots, is_long)
-        if spent[0] and worker.info.started_at:
-            worker.slow_start_sends.append(spent)
+        if slow_start_send[0] and worker.info.started_at:
+            worker.slow_start_sends.append(slow_start_send)
 
-    def started(self, key: Hashable) -> None:
-        """The attempt has started at its worker."""
+    def record_start(self, key: Hashable) -> None:
+        """Record that the attempt has started at its worker."""
         attempt = self._attempts.get(key)
         if attempt is not None and not attempt.started:
             attempt.started = True
             attempt.worker.running_slots += attempt.slots
 
-    def over(self, key: Hashable) -> None:
-        """The attempt has ended."""
+    def record_end(self, key: Hashable) -> None:
+        """Remove an attempt that has ended."""
         attempt = self._attempts.pop(key, None)
         if attempt is not None:
             attempt.worker.remove_attempt(attempt.slots, attempt.is_long, attempt.started)
 
     def clear(self) -> None:
-        """All attempts have ended."""
+        """Remove all attempts."""
         for key in list(self._attempts):
-            self.over(key)
+            self.record_end(key)
 
 
-def cost_of(decisions: DispatchPolicy, request_number: int) -> tuple[float, bool, float]:
-    """What an attempt of an open request costs its worker: slots, whether it is long, work (microseconds)."""
-    request = decisions.requests[request_number]
-    return request.slots, request.is_long, float(max(request.expected_work, decisions.hints.mean))
+def attempt_cost(policy: DispatchPolicy, request_number: int) -> tuple[float, bool, float]:
+    """Return what an attempt of an open request uses at its worker: slots, whether it is long, work (microseconds)."""
+    request = policy.requests[request_number]
+    return request.slots, request.is_long, float(max(request.expected_work, policy.hints.mean))
 
 
-def attempts_out(decisions: DispatchPolicy, key_of: Callable[[int, int], str]) -> list[Any]:
-    """All attempts in flight: key (by request and attempt number), worker, slots, long, started."""
+def export_attempts(policy: DispatchPolicy, key_of: Callable[[int, int], str]) -> list[Any]:
+    """Return all attempts in flight as [key, worker, slots, is long, has started].
+
+    `key_of` makes the key of an attempt from its request and attempt numbers.
+    """
     return [
         [key_of(request.id, number), attempt.worker.id, request.slots, request.is_long, bool(attempt.started_at)]
-        for request in decisions.requests.values()
+        for request in policy.requests.values()
         for number, attempt in enumerate(request.attempts)
         if not attempt.result
     ]
 
 
-# An open request, from one process to another. Its times are differences from now.
+# Transfer of an open request to another process; times are relative to the current time
 
 
-def class_of(values: list[Any]) -> interface.RequestClass:
-    """A class as JSON holds it: the request keeps the one that it was accepted with."""
+def request_class_from_values(values: list[Any]) -> interface.RequestClass:
+    """Build a request class from its JSON array. A transferred request keeps the class it was accepted with."""
     return interface.RequestClass(*values)
 
 
-def job_out(decisions: DispatchPolicy, request_number: int, now: int) -> dict[str, Any]:
-    """An open request and its attempts, as JSON can hold it."""
-    request = decisions.requests[request_number]
+def export_request(policy: DispatchPolicy, request_number: int, now: int) -> dict[str, Any]:
+    """Return an open request and its attempts as JSON-compatible values."""
+    request = policy.requests[request_number]
     first = request.first_possibly_run
     return {
         "hint": request.expected_work,
@@ -304,9 +312,9 @@
     ]
 
 
-def job_gone(decisions: DispatchPolicy, request_number: int) -> None:
-    """The request is open elsewhere: its attempts count no longer, without an action."""
-    request = decisions.requests.get(request_number)
+def withdraw_request(policy: DispatchPolicy, request_number: int) -> None:
+    """Remove a request that another process has taken over, with its attempts in flight. Returns no actions."""
+    request = policy.requests.get(request_number)
     if request is None:
         return
     for attempt in request.attempts:
@@ -314,45 +322,44 @@
             attempt.worker.remove_attempt(request.slots, request.is_long, bool(attempt.started_at))
             attempt.result = interface.AttemptResult.NOT_NEEDED
     request.attempts_in_flight = 0
-    decisions.withdraw(request)
+    policy.withdraw(request)
 
 
-def job_in(
-    decisions: DispatchPolicy,
+def import_request(
+    policy: DispatchPolicy,
     request_number: int,
     request_class: interface.RequestClass,
     state: dict[str, Any],
     now: int,
 ) -> list[interface.Action]:
-    """Go on with what `job_out` gave as if it had come here; return what is to be done now."""
+    """Continue a request from `export_request` as if it had been received here; return the actions to perform."""
     event = interface.Request(request_number, slots=state["slots"])
     request = PendingRequest(event, request_class, state["long"], now + state["deadline"], state["hint"])
     request.prefers_remote = state["away"]
     request.work_confirmed = state["believed"]
-    request.without_hint = bool(state.get("blind", False))  # older versions do not send it
+    request.without_hint = bool(state.get("blind", False))  # not sent by older versions
     request.objective_deadline = now + state["due"]
     request.latest_start = now + state["start_by"]
     for values, result in zip(state["attempts"], _results(state), strict=True):
-        _restore_attempt(decisions, request, values, result, now)
+        _restore_attempt(policy, request, values, result, now)
     first = state["maybe"]
     request.first_possibly_run = request.attempts[first] if first >= 0 else None
-    return decisions.resume(now, request)
+    return policy.resume(now, request)
 
 
 def _results(state: dict[str, Any]) -> list[str]:
-    """The results of the attempts, "" for those in flight.
+    """Return the results of the attempts, "" for those in flight.
 
-    An older version sends none: all attempts that have ended may have run, but for what it says of the first that may.
+    Older versions do not send results. Ended attempts are then taken as cancelled, that is, they may have run; the
+    index of the first attempt that may have run is sent separately.
     """
-    sent: list[str] = state.get("ends") or []
-    return sent or ["" if values[-1] else interface.AttemptResult.CANCELLED for values in state["attempts"]]
+    results: list[str] = state.get("ends") or []
+    return results or ["" if values[-1] else interface.AttemptResult.CANCELLED for values in state["attempts"]]
 
 
-def _restore_attempt(
-    decisions: DispatchPolicy, request: PendingRequest, values: list[Any], result: str, now: int
-) -> None:
+def _restore_attempt(policy: DispatchPolicy, request: PendingRequest, values: list[Any], result: str, now: int) -> None:
     info, sent, started, last_report, in_flight_before, _ = values
-    worker = _worker_of(decisions, interface.Endpoint(*info))
+    worker = _worker_for(policy, interface.Endpoint(*info))
     attempt = Attempt(worker, now + sent)
     attempt.started_at = started and now + started
     attempt.last_report_at = now + last_report
@@ -366,10 +373,10 @@
         worker.running_slots += request.slots if attempt.started_at else 0.0
 
 
-def _worker_of(decisions: DispatchPolicy, info: interface.Endpoint) -> Worker:
-    """The same run of the worker; if it is gone, a record that is in no list."""
-    known = decisions.workers.get(info.worker)
+def _worker_for(policy: DispatchPolicy, info: interface.Endpoint) -> Worker:
+    """Return the listed worker if it is the same run, or else a record outside the roster, with state GONE."""
+    known = policy.workers.get(info.worker)
     if known is not None and known.info.started_at == info.started_at:
         return known
-    machine_type = decisions.subsets.roster.machine_types.setdefault(info.machine_type, MachineType())
+    machine_type = policy.subsets.roster.machine_types.setdefault(info.machine_type, MachineType())
     return Worker(info._replace(state=interface.WorkerState.GONE), machine_type)
--- a/badgerroad/load_balancing/timers.py
+++ b/badgerroad/load_balancing/timers.py
@@ -1,4 +1,4 @@
-"""What is to be done when. Nothing is decided here: the policy schedules callbacks and owns them."""
+"""Schedules the callbacks of the policy on a single timer."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -9,15 +9,15 @@
 
 
 class Timers:
-    """Callbacks by time, with one timer set at most, for the earliest. Times are microseconds."""
+    """Scheduled callbacks in order of time, with one timer for the earliest. Times are in microseconds."""
 
     def __init__(self) -> None:
-        """Nothing is scheduled."""
+        """Starts without callbacks."""
         self.entries: list[tuple[int, int, Callable[[], Any], PendingRequest | None]] = []
         self.order = 0
-        """Entries so far; those of equal times fire in the order in which they were added."""
+        """Number of callbacks added so far; those with equal times run in the order in which they were added."""
         self.fires_at = 0
-        """When the timer that is set fires; 0 for none."""
+        """When the current timer fires, which is also its token; 0 if none is set."""
 
     def __len__(self) -> int:
         """The number of scheduled callbacks."""
@@ -31,13 +31,16 @@
         now: int,
         actions: list[interface.Action],
     ) -> None:
-        """Call `callback` at `when`, unless `request` is finished by then; `actions` takes the timer to set."""
+        """Schedule `callback` at `when`; it is dropped if `request` is finished by then.
+
+        A `SetTimer` is appended to `actions` if this is the earliest callback.
+        """
         self.order += 1
         heappush(self.entries, (when, self.order, callback, request))
         self._set(when, now, actions)
 
     def fire(self, token: int, now: int, actions: list[interface.Action]) -> None:
-        """The timer `token` fired: run what is due now and set the next one."""
+        """Run the callbacks that are due after the timer `token` has fired, and set the next timer."""
         self.fires_at = 0 if token == self.fires_at else self.fires_at
         while self.entries:
             when, _, callback, request = self.entries[0]
--- a/badgerroad/load_balancing/waiting_queue.py
+++ b/badgerroad/load_balancing/waiting_queue.py
@@ -1,35 +1,35 @@
-"""The requests that wait here for a worker, in order. Who waits and who goes where is decided by the policy."""
+"""Queue of the requests that wait for a worker. The policy decides which requests are queued and sent."""
 
 from bisect import bisect_left, insort
 
 from .pending_requests import PendingRequest
 
-RECHECK_US = 50_000
-"""The queue is examined this often at least."""
+QUEUE_CHECK_INTERVAL_US = 50_000
+"""Interval at which the queue is processed while it is not empty."""
 
 
 class WaitingQueue:
-    """Queued requests by the latest start that still meets the objective, the most urgent first."""
+    """Queued requests in order of the latest start that still meets the objective, the most urgent first."""
 
     def __init__(self) -> None:
-        """An empty queue."""
+        """Starts empty."""
         self._entries: list[tuple[int, int, PendingRequest]] = []
 
     def __len__(self) -> int:
-        """The number of queued requests."""
+        """Return the number of queued requests."""
         return len(self._entries)
 
     def __getitem__(self, position: int) -> PendingRequest:
-        """The request at a position, 0 the most urgent."""
+        """Return the request at a position; 0 is the most urgent."""
         return self._entries[position][2]
 
     def add(self, request: PendingRequest) -> None:
-        """Queue the request by its `latest_start`."""
+        """Insert the request by its `latest_start`."""
         request.queued = True
         insort(self._entries, (request.latest_start, request.id, request))
 
     def remove(self, request: PendingRequest) -> None:
-        """Take it out, if it is queued."""
+        """Remove the request if it is queued."""
         if request.queued:
             request.queued = False
             del self._entries[bisect_left(self._entries, (request.latest_start, request.id))]
--- a/badgerroad/load_balancing/workers.py
+++ b/badgerroad/load_balancing/workers.py
@@ -1,4 +1,4 @@
-"""What is known of workers and their machine types. Records and statistics: the policy chooses."""
+"""Records and statistics of workers and machine types. The policy makes the choices."""
 
 from collections import deque
 from zlib import crc32
@@ -6,97 +6,107 @@
 from . import interface
 from .run_statistics import FORGET_AFTER_US, StartDelays, Throughput
 
-RUN_FADE = 0.8
-"""Part of the weight of a worker's older runs that stays with each run."""
+RUN_DECAY = 0.8
+"""Factor on the weight of a worker's earlier runs with each new run."""
 MIN_FREE_SLOTS = 0.5
-"""Free slots in a load report below which none is free."""
+"""Number of free slots in a load report below which the worker counts as full."""
 READY = interface.WorkerState.READY
 
 
 class MachineType:
-    """What has been learned of all workers of one machine type."""
+    """Statistics of all workers of one machine type."""
 
     def __init__(self) -> None:
-        """Nothing is known yet: one slot at speed 1."""
+        """Starts with the assumption of one slot at speed 1."""
         self.throughput = Throughput()
-        """Of workers that are not warming up."""
+        """Throughput of the runs on workers that are not warming up."""
         self.max_slots_seen = 1.0
-        """Slots ever seen on one, free or with own requests."""
+        """Maximum number of slots observed on a worker, either reported as free or running own requests."""
         self.start_delays = StartDelays()
         self.slots = 1.0
-        """Most own slots seen running on one."""
+        """Maximum number of slots of own requests observed running at once on a worker."""
         self.delayed_excess_sends = 0
-        """Sends beyond `slots` that had to wait."""
+        """Number of sends beyond `slots` whose start was delayed."""
 
     def speed(self) -> float:
-        """Work per run time."""
+        """Return the work per run time."""
         return self.throughput.speed()
 
 
 class Worker:
-    """One run of a worker's process; attempts from before a restart count for the earlier run. Times: microseconds."""
+    """One run of a worker's process. Times are in microseconds.
+
+    After a restart a new record is used; attempts sent before it count for the old one.
+    """
 
     def __init__(self, info: interface.Endpoint, machine_type: MachineType, listing_number: int = 0) -> None:
-        """`listing_number`: of its id in the order in which ids were first listed."""
+        """`listing_number` is the position of the worker's id in the order in which ids were first listed."""
         self.info = info
         self.id = info.worker
         self.machine_type = machine_type
         self.draw_weight = 1.0
         self.listing_number = listing_number
         self.sort_key = crc32(repr(info.cell).encode()), crc32(repr(info.worker).encode()), listing_number
-        """Its position in the fleet: cells together, each in any order that is the same for all dispatchers."""
+        """Determines the worker's position in the fleet: grouped by cell, in an order that all dispatchers share."""
         self.start_hash = crc32(repr((info.worker, info.started_at)).encode())
-        """Stands for this start of it, the same number at each dispatcher."""
+        """Hash of the worker's id and start time, the same at every dispatcher."""
         self.in_flight_slots = 0.0
-        """Slots of own requests in flight."""
+        """Slots of this dispatcher's requests in flight at the worker."""
         self.long_in_flight = 0
-        """Own long requests in flight."""
+        """Number of this dispatcher's long requests in flight at the worker."""
         self.running_slots = 0.0
-        """Slots of own requests that have started."""
+        """Slots of this dispatcher's requests that have started."""
         self.throughput = Throughput()
         self.last_run_at = 0
-        """When an own run last ended."""
+        """When a run of this dispatcher's requests last ended."""
         self.queue_level = 0.0
-        """How far from a free slot it was at its last report; from 0, with one, to 1."""
+        """Last known load, from 0 (a free slot) to 1 (no free slot)."""
         self.last_report_at = 0
         self.consecutive_failures = 0
         self.ejected_until = 0
-        """Nothing is sent before this."""
+        """Time until which nothing is sent to the worker."""
         self.slow_start_sends: deque[tuple[int, float]] = deque()
-        """While it is warming up: time and work of each send in the rolling window."""
+        """Time and work of each send in the rolling window, while the worker is warming up."""
 
     def is_ready(self) -> bool:
-        """Does the endpoint list say so?"""
+        """Return whether the endpoint list gives the worker as ready."""
         return self.info.state == READY
 
     def add_attempt(self, slots: float, is_long: bool) -> None:
-        """An own attempt is in flight there."""
+        """Count an own attempt that is sent to the worker."""
         self.in_flight_slots += slots
         self.long_in_flight += is_long
 
     def remove_attempt(self, slots: float, is_long: bool, started: bool) -> None:
-        """An own attempt there has ended."""
+        """Remove an own attempt that has ended from the counts."""
         self.in_flight_slots -= slots
         self.long_in_flight -= is_long
         self.running_slots -= slots if started else 0.0
 
     def speed(self, now: int, prior: float) -> float:
-        """Its own speed of late and, the less that says, its machine type's, by which `prior` microseconds count."""
+        """Return the worker's speed, blended with that of its machine type.
+
+        Own runs count less the longer ago the last one ended; `prior` microseconds count at the type's speed.
+        """
         share = max(1 - (now - self.last_run_at) / FORGET_AFTER_US, 0.0)
         return self.throughput.blended_speed(self.machine_type.throughput, share, prior)
 
     def learn_run(self, work: float, elapsed: float, now: int) -> None:
-        """An own run has ended there; work and run time in microseconds."""
-        self.throughput.add(work, elapsed, RUN_FADE)
+        """Add a run of an own request on the worker; work and run time in microseconds."""
+        self.throughput.add(work, elapsed, RUN_DECAY)
         self.last_run_at = now
 
     def set_queue_level(self, level: float, now: int) -> None:
-        """Note how far it is from a free slot, by what was received at `now`."""
+        """Set the queue level, as reported at time `now`."""
         self.queue_level = level
         self.last_report_at = now
 
     def learn_load_report(self, free: float, with_answer: bool, now: int) -> None:
-        """A load report gave its free slots. One with an answer is older than one asked for: it counts half."""
+        """Update the worker with the free slots of a load report.
+
+        A report that comes with an answer may be outdated, so it is averaged with the previous level; the result of a
+        health check replaces it.
+        """
         is_full = free < MIN_FREE_SLOTS
         self.machine_type.max_slots_seen = max(self.machine_type.max_slots_seen, float(round(free)))
         old = self.queue_level if with_answer else float(is_full)
@@ -104,5 +114,5 @@
 
 
 def sort_key_of(worker: Worker) -> tuple[int, int, int]:
-    """The key that gives the one order of workers that all dispatchers share."""
+    """Return the sort key of the order of workers that all dispatchers share."""
     return worker.sort_key
--- a/benchmarks/policy_history.py
+++ b/benchmarks/policy_history.py
@@ -1,6 +1,6 @@
-"""A random history of a decision module, from its seed alone: settings, workers, clock, outcomes, timers and handovers.
+"""Random histories of a policy, determined by their seed: settings, workers, clock, results, timers and transfers.
 
-Used by benchmarks/policy_traces.py to compare what two copies of the module say.
+Used by benchmarks/policy_traces.py to compare the actions of two versions of the policy.
 """
 
 import json
@@ -12,22 +12,22 @@
 
 
 def draw_settings(rng, events):
-    """Settings with or without each permission; small and large fleets against few and many dispatchers."""
-    groups = (events.DeduplicationScope.ALL, events.DeduplicationScope.ZONE, events.DeduplicationScope.CELL)
-    with_unsafe = rng.random() < 0.4
-    kinds = (
+    """Draw settings with or without each permission, for one to 200 dispatchers."""
+    scopes = (events.DeduplicationScope.ALL, events.DeduplicationScope.ZONE, events.DeduplicationScope.CELL)
+    with_non_idempotent = rng.random() < 0.4
+    semantics = (
         (events.RetrySemantics.IDEMPOTENT, events.RetrySemantics.IDEMPOTENCY_KEY, events.RetrySemantics.NON_IDEMPOTENT)
-        if with_unsafe
+        if with_non_idempotent
         else (events.RetrySemantics.IDEMPOTENT, events.RetrySemantics.IDEMPOTENCY_KEY)
     )
     classes = tuple(
         events.RequestClass(
             f"class{n}",
-            rng.choice(kinds),
+            rng.choice(semantics),
             rng.choice((100, 400, 900)) * MS,
             rng.choice((2, 6)) * SEC,
             rng.choice((0.0, 1.0, 2.0)),
-            rng.choice(groups),
+            rng.choice(scopes),
             rng.choice((0, 300 * MS, 5 * SEC)),
             machine_type=rng.choice((-1, -1, -1, 0, 1)),
         )
@@ -64,9 +64,12 @@
     )
     if rng.random() < 0.7:
         return settings
-    # All permissions, and many dispatchers: probes, copies and other zones meet in one history.
+    # All permissions and many dispatchers, so that health checks, hedging and remote zones are combined.
     return settings._replace(
-        classes=tuple(c._replace(semantics=events.RetrySemantics.IDEMPOTENT, machine_type=-1) for c in classes),
+        classes=tuple(
+            request_class._replace(semantics=events.RetrySemantics.IDEMPOTENT, machine_type=-1)
+            for request_class in classes
+        ),
         dispatcher_count=200,
         dispatcher_index=rng.randrange(200),
         max_attempts=4,
@@ -79,36 +82,38 @@
 
 
 class History:
-    """One seed's settings, workers and outside world; `play` feeds one decision module and notes what it says."""
+    """The settings, workers and environment of one seed; `play` delivers events to a policy and records its actions."""
 
     def __init__(self, seed, package, with_tenants=True):
         self.rng = random.Random(seed)
         self.package, self.events = package, package.events
         self.with_tenants = with_tenants
         self.settings = self.draw_settings()
-        self.decisions = package.make(self.settings, seed)
+        self.policy = package.make(self.settings, seed)
         self.now = 1_000 * SEC + self.rng.randrange(SEC)
         self.timers = []
-        self.open = {}  # (request, attempt): worker, started
-        self.made = {}  # request: attempts sent
-        self.infos = {}
+        self.attempts_in_flight = {}  # (request, attempt): worker, started
+        self.attempt_counts = {}  # request: attempts sent
+        self.endpoints = {}
         self.next_request = self.next_worker = self.version = 0
         self.lines, self.actions = [], 0
         self.hint_scale = self.rng.choice((1, 10, 40))
-        self.busyness = self.rng.choice((0.1, 0.25, 0.45, 0.65))
-        self.slow_zone = self.rng.choice((-1, -1, 0, 1))  # its workers seldom start anything
-        self.cold_part = self.rng.choice((0.1, 0.6, 1.0))
+        self.request_share = self.rng.choice((0.1, 0.25, 0.45, 0.65))
+        self.slow_zone = self.rng.choice((-1, -1, 0, 1))  # its workers rarely start an attempt
+        self.warming_up_share = self.rng.choice((0.1, 0.6, 1.0))
 
     def play(self, count):
-        e = self.events
+        events = self.events
         for _ in range(self.rng.choice((0, 1, 3, 8, 30, 80))):
             self.new_worker()
-        self.give(
-            e.EndpointList(self.rng.choice((e.ListScope.CACHED, e.ListScope.COMPLETE)), 1, tuple(self.infos.values()))
+        self.deliver(
+            events.EndpointList(
+                self.rng.choice((events.ListScope.CACHED, events.ListScope.COMPLETE)), 1, tuple(self.endpoints.values())
+            )
         )
         for _ in range(count):
             self.step()
-        for _ in range(200):  # all that is out comes to its end
+        for _ in range(200):  # lets all timers fire
             self.pass_time(100 * MS)
         self.note(self.state())
 
@@ -120,12 +125,12 @@
         self.lines.append(text)
 
     def state(self):
-        return json.dumps(self.package.state.copy_out(self.decisions), sort_keys=True)
+        return json.dumps(self.package.state.export_learned_state(self.policy), sort_keys=True)
 
-    def give(self, event):
-        self.take(event, self.decisions.handle(self.now, event))
+    def deliver(self, event):
+        self.record_actions(event, self.policy.handle(self.now, event))
 
-    def take(self, event, actions):
+    def record_actions(self, event, actions):
         self.actions += len(actions)
         self.note(f"{self.now} {present_name(event)} {describe(event[:3])} -> {self.actions_text(actions)}")
         for action in actions:
@@ -133,111 +138,111 @@
             if name == "SetTimer":
                 self.timers.append((self.now + action.delay, action.token))
             elif name == "Send":
-                number = self.made.get(action.request, 0)
-                self.made[action.request] = number + 1
-                self.open[action.request, number] = [action.worker, 0]
+                number = self.attempt_counts.get(action.request, 0)
+                self.attempt_counts[action.request] = number + 1
+                self.attempts_in_flight[action.request, number] = [action.worker, 0]
 
     @staticmethod
     def actions_text(actions):
         return "; ".join(f"{present_name(action)}{describe(action)}" for action in actions)
 
-    def pass_time(self, by):
-        """Timers come due on the way, sometimes a little late."""
-        end = self.now + by
+    def pass_time(self, microseconds):
+        """Advance the clock, and fire the timers that are due, sometimes slightly late."""
+        end = self.now + microseconds
         while self.timers:
             when, token = min(self.timers)
             if when > end:
                 break
             self.timers.remove((when, token))
             self.now = max(self.now, when + (self.rng.randrange(3 * MS) if self.rng.random() < 0.2 else 0))
-            self.give(self.events.Timer(token))
+            self.deliver(self.events.Timer(token))
         self.now = max(self.now, end)
 
     def step(self):
         self.pass_time(self.rng.choice((0, 0, 1, 200, 2 * MS, 5 * MS, 20 * MS)))
-        roll = self.rng.random()
-        if roll < self.busyness:
-            self.ask()
-        elif roll < 0.93:
+        draw = self.rng.random()
+        if draw < self.request_share:
+            self.send_request()
+        elif draw < 0.93:
             for _ in range(self.rng.randint(1, 3)):
-                self.work()
-        elif roll < 0.96:
-            self.change_list()
-        elif roll < 0.985:
-            self.outside()
+                self.advance_attempt()
+        elif draw < 0.96:
+            self.change_endpoint_list()
+        elif draw < 0.985:
+            self.other_event()
         else:
-            self.rare()
+            self.rare_event()
 
-    def ask(self):
+    def send_request(self):
         rng = self.rng
         request, self.next_request = self.next_request, self.next_request + 1
-        work = rng.choice((0, rng.randrange(1, 20) * MS, rng.randrange(1, 200) * MS)) * self.hint_scale
-        self.give(
+        work_hint = rng.choice((0, rng.randrange(1, 20) * MS, rng.randrange(1, 200) * MS)) * self.hint_scale
+        self.deliver(
             self.events.Request(
                 request,
                 rng.randrange(len(self.settings.classes)),
                 rng.randrange(4),
                 rng.randrange(3),
                 rng.choice((6 * SEC, 2 * SEC, 300 * MS, 20 * MS, 3_600 * SEC)),
-                work,
+                work_hint,
                 rng.choice((1.0, 1.0, 1.0, 0.5, 2.0, 100.0)),
                 client_retry=rng.random() < 0.2,
             )
         )
 
-    def work(self):
-        """A worker tells of an attempt: its start, its progress or its end."""
-        e, rng = self.events, self.rng
-        if not self.open:
+    def advance_attempt(self):
+        """Deliver a start, a progress report or an end of a random attempt."""
+        events, rng = self.events, self.rng
+        if not self.attempts_in_flight:
             return
-        key = rng.choice(list(self.open))
-        worker, started = self.open[key]
-        roll = rng.random()
-        zone = next((info.zone for info in self.infos.values() if info.worker == worker), 0)
-        if not started and zone == self.slow_zone and roll > 0.03:
+        key = rng.choice(list(self.attempts_in_flight))
+        worker, started = self.attempts_in_flight[key]
+        draw = rng.random()
+        zone = next((endpoint.zone for endpoint in self.endpoints.values() if endpoint.worker == worker), 0)
+        if not started and zone == self.slow_zone and draw > 0.03:
             return
-        if not started and roll < 0.6 and self.settings.reports_start:
-            self.open[key][1] = self.now
+        if not started and draw < 0.6 and self.settings.reports_start:
+            self.attempts_in_flight[key][1] = self.now
             if self.may_begin(key):
-                self.give(e.AttemptStarted(*key, worker))
-        elif roll < 0.7:
-            self.give(e.AttemptProgressed(*key, worker, 0.5))
-        elif roll < 0.9 or self.now - started > 400 * MS:
-            self.end(key, e.AttemptResult.OK if rng.random() < 0.75 else self.bad_ending())
+                self.deliver(events.AttemptStarted(*key, worker))
+        elif draw < 0.7:
+            self.deliver(events.AttemptProgressed(*key, worker, 0.5))
+        elif draw < 0.9 or self.now - started > 400 * MS:
+            self.end(key, events.AttemptResult.OK if rng.random() < 0.75 else self.failed_result())
 
     def may_begin(self, key):
-        """The host's last look before the first byte; what may not go any more ends unsent."""
-        if key[0] in pending_requests(self.decisions) and self.rng.random() < 0.5:
-            allowed = self.decisions.may_begin(self.now, *key)
+        """Ask the policy, as the host does before the first byte; end the attempt as NOT_SENT if it refuses."""
+        if key[0] in pending_requests(self.policy) and self.rng.random() < 0.5:
+            allowed = self.policy.may_begin(self.now, *key)
             self.note(f"may begin {key}: {allowed}")
             if not allowed:
                 self.end(key, self.events.AttemptResult.NOT_SENT)
             return allowed
         return True
 
-    def bad_ending(self):
-        e = self.events
+    def failed_result(self):
+        events = self.events
         return self.rng.choice(
             (
-                e.AttemptResult.ERROR,
-                e.AttemptResult.QUEUE_FULL,
-                e.AttemptResult.TIMEOUT,
-                e.AttemptResult.CONNECT_FAILED,
-                e.AttemptResult.RESET,
-                e.AttemptResult.CANCELLED,
-                e.AttemptResult.NOT_NEEDED,
-                e.AttemptResult.INVALID_REQUEST,
+                events.AttemptResult.ERROR,
+                events.AttemptResult.QUEUE_FULL,
+                events.AttemptResult.TIMEOUT,
+                events.AttemptResult.CONNECT_FAILED,
+                events.AttemptResult.RESET,
+                events.AttemptResult.CANCELLED,
+                events.AttemptResult.NOT_NEEDED,
+                events.AttemptResult.INVALID_REQUEST,
             )
         )
 
     def end(self, key, result):
-        worker, _ = self.open.pop(key)
+        worker, _ = self.attempts_in_flight.pop(key)
         finished = (
             result == self.events.AttemptResult.OK
             or result == self.events.AttemptResult.INVALID_REQUEST
             and self.rng.random() < 0.5
         )
-        self.give(self.events.AttemptEnded(*key, worker, result, 0, finished, self.load()))
+        self.deliver(self.events.AttemptEnded(*key, worker, result, 0, finished, self.load()))
 
     def load(self):
         if not self.settings.load_report_fields or self.rng.random() < 0.3:
@@ -247,35 +252,35 @@
     def new_worker(self):
         rng, number = self.rng, self.next_worker
         self.next_worker += 1
-        since = self.now - rng.randrange(12 * SEC) if rng.random() < self.cold_part else 0
-        self.infos[number] = self.events.Endpoint(
+        started_at = self.now - rng.randrange(12 * SEC) if rng.random() < self.warming_up_share else 0
+        self.endpoints[number] = self.events.Endpoint(
             f"w{number}",
             self.events.WorkerState.READY,
-            since,
+            started_at,
             rng.randrange(2),
             rng.randrange(2),
             number % 5,
             rng.choice((1.0, 0.3, 4.0)),
         )
 
-    def change_list(self):
-        e, rng = self.events, self.rng
+    def change_endpoint_list(self):
+        events, rng = self.events, self.rng
         self.version += 1
         changed = []
         for _ in range(rng.randint(1, 3)):
-            if not self.infos or rng.random() < 0.15:
+            if not self.endpoints or rng.random() < 0.15:
                 self.new_worker()
-                changed.append(self.infos[self.next_worker - 1])
+                changed.append(self.endpoints[self.next_worker - 1])
                 continue
-            number = rng.choice(list(self.infos))
+            number = rng.choice(list(self.endpoints))
             change = {
                 "state": rng.choice(
                     (
-                        e.WorkerState.READY,
-                        e.WorkerState.READY,
-                        e.WorkerState.READY,
-                        e.WorkerState.DRAINING,
-                        e.WorkerState.GONE,
+                        events.WorkerState.READY,
+                        events.WorkerState.READY,
+                        events.WorkerState.READY,
+                        events.WorkerState.DRAINING,
+                        events.WorkerState.GONE,
                     )
                 )
             }
@@ -289,71 +294,75 @@
                 change["cell"] = rng.randrange(7)
             if rng.random() < 0.05:
                 change["machine_type"] = rng.randrange(3)
-            self.infos[number] = self.infos[number]._replace(**change)
-            changed.append(self.infos[number])
+            self.endpoints[number] = self.endpoints[number]._replace(**change)
+            changed.append(self.endpoints[number])
         if rng.random() < 0.75:
-            self.give(e.EndpointList(e.ListScope.INCREMENTAL, self.version, tuple(changed)))
+            self.deliver(events.EndpointList(events.ListScope.INCREMENTAL, self.version, tuple(changed)))
         elif rng.random() < 0.3:
-            self.give(e.EndpointList(e.ListScope.FAILED))
+            self.deliver(events.EndpointList(events.ListScope.FAILED))
         else:
-            listed = [info for info in self.infos.values() if rng.random() < 0.95]
+            listed = [endpoint for endpoint in self.endpoints.values() if rng.random() < 0.95]
             rng.shuffle(listed)
-            self.give(
-                e.EndpointList(rng.choice((e.ListScope.COMPLETE, e.ListScope.CACHED)), self.version, tuple(listed))
+            self.deliver(
+                events.EndpointList(
+                    rng.choice((events.ListScope.COMPLETE, events.ListScope.CACHED)), self.version, tuple(listed)
+                )
             )
 
-    def outside(self):
-        e, rng = self.events, self.rng
-        roll = rng.random()
-        if roll < 0.4 and self.next_request:
-            self.give(e.ClientDisconnected(rng.randrange(self.next_request)))
-        elif roll < 0.5 and self.open:
-            key = rng.choice(list(self.open))
-            self.give(e.StreamStarted(*key, self.open[key][0]))
-        elif roll < 0.9 and self.infos:
-            worker = rng.choice(list(self.infos.values())).worker
-            self.give(
-                e.HealthCheckResult(worker, rng.choice((e.AttemptResult.OK, e.AttemptResult.TIMEOUT)), 0, self.load())
+    def other_event(self):
+        events, rng = self.events, self.rng
+        draw = rng.random()
+        if draw < 0.4 and self.next_request:
+            self.deliver(events.ClientDisconnected(rng.randrange(self.next_request)))
+        elif draw < 0.5 and self.attempts_in_flight:
+            key = rng.choice(list(self.attempts_in_flight))
+            self.deliver(events.StreamStarted(*key, self.attempts_in_flight[key][0]))
+        elif draw < 0.9 and self.endpoints:
+            worker = rng.choice(list(self.endpoints.values())).worker
+            self.deliver(
+                events.HealthCheckResult(
+                    worker, rng.choice((events.AttemptResult.OK, events.AttemptResult.TIMEOUT)), 0, self.load()
+                )
             )
         else:
-            self.give(e.PeerMessage(1, b"x"))
+            self.deliver(events.PeerMessage(1, b"x"))
 
-    def rare(self):
-        """New settings, a long silence, or another instance that goes on with what this one learned."""
-        roll = self.rng.random()
-        if roll < 0.4:
+    def rare_event(self):
+        """Change the settings, pass a long time without events, or transfer requests or learned state."""
+        draw = self.rng.random()
+        if draw < 0.4:
             self.new_settings()
-        elif roll < 0.7:
+        elif draw < 0.7:
             self.pass_time(self.rng.choice((SEC, 5 * SEC, 12 * SEC)))
-        elif roll < 0.85:
-            self.move_jobs()
+        elif draw < 0.85:
+            self.transfer_requests()
         else:
-            learned = self.state()
-            self.note(learned)
-            self.package.state.copy_in(self.decisions, json.loads(learned))
+            exported = self.state()
+            self.note(exported)
+            self.package.state.import_learned_state(self.policy, json.loads(exported))
 
     def new_settings(self):
         old, new = self.settings, self.draw_settings()
-        names = {cls.name for cls in old.classes}
-        classes = (*(cls for cls in new.classes if cls.name not in names), *old.classes)
-        same = {"zone": old.zone, "load_report_fields": old.load_report_fields, "reports_start": old.reports_start}
+        names = {request_class.name for request_class in old.classes}
+        classes = (*(request_class for request_class in new.classes if request_class.name not in names), *old.classes)
+        unchanged = {"zone": old.zone, "load_report_fields": old.load_report_fields, "reports_start": old.reports_start}
         if self.rng.random() < 0.6:
-            same |= {"dispatcher_count": old.dispatcher_count, "dispatcher_index": old.dispatcher_index}
-        # A place among the classes is kept: open requests name theirs by it.
-        self.settings = new._replace(classes=(*old.classes, *classes[: -len(old.classes)])[:5], **same)
-        self.give(self.events.SettingsChanged(self.settings))
+            unchanged |= {"dispatcher_count": old.dispatcher_count, "dispatcher_index": old.dispatcher_index}
+        # Classes keep their index, by which open requests refer to them.
+        self.settings = new._replace(classes=(*old.classes, *classes[: -len(old.classes)])[:5], **unchanged)
+        self.deliver(self.events.SettingsChanged(self.settings))
 
-    def move_jobs(self):
-        """Some open jobs leave and come back, as between two processes of one dispatcher."""
-        state, decisions = self.package.state, self.decisions
-        pending = pending_requests(decisions)
-        self.note(repr(state.cost_of(decisions, next(iter(pending)))) if pending else "no jobs")
+    def transfer_requests(self):
+        """Export some open requests and import them again, as between two processes of a dispatcher."""
+        state, policy = self.package.state, self.policy
+        pending = pending_requests(policy)
+        self.note(repr(state.attempt_cost(policy, next(iter(pending)))) if pending else "no requests")
         for request in [number for number in pending if self.rng.random() < 0.3]:
-            finished, request_class = pending_requests(decisions)[request]
+            finished, request_class = pending_requests(policy)[request]
             if finished:
                 continue
-            cls = state.class_of(json.loads(json.dumps(request_class)))
-            told = json.loads(json.dumps(state.job_out(decisions, request, self.now)))
-            self.note(json.dumps(told, sort_keys=True))
-            state.job_gone(decisions, request)
-            self.take((request,), state.job_in(decisions, request, cls, told, self.now))
+            restored_class = state.request_class_from_values(json.loads(json.dumps(request_class)))
+            exported = json.loads(json.dumps(state.export_request(policy, request, self.now)))
+            self.note(json.dumps(exported, sort_keys=True))
+            state.withdraw_request(policy, request)
+            self.record_actions((request,), state.import_request(policy, request, restored_class, exported, self.now))
--- a/benchmarks/policy_pauses.py
+++ b/benchmarks/policy_pauses.py
@@ -1,9 +1,10 @@
-"""How long a dispatcher's decisions hold up everything else: a change of one worker, and a rejection.
+"""Measures how long the policy blocks the event loop for a change of one worker and for a rejection.
 
     python -m benchmarks.policy_pauses [--workers 15 200 1000 3300 6600] [--jobs 1000] [--repeat 60]
 
-Virtual time, no sockets; 200 dispatchers. The change: one worker drains, is ready again, or starts anew. The rejection: a
-request that cannot meet its objective while many are pending, with a Retry-After. Milliseconds: median and the most of the repeats.
+Uses virtual time and no sockets, with 200 dispatchers. Changes: one worker drains, becomes ready again, or restarts.
+Rejection: a request that cannot meet its objective while many are pending, with a Retry-After. Prints the median and the
+maximum of the repeats in milliseconds.
 """
 
 import argparse
@@ -15,14 +16,14 @@
 
 try:
     from badgerroad.load_balancing.policy import DispatchPolicy
-except ImportError:  # a copy from before the package, on the path for comparison
+except ImportError:  # an older version on the path, for comparison
     from badgerroad.load_balancing.brain import Dispatcher as DispatchPolicy
 
 SEC = 1_000_000
 
 
-def served(workers, jobs):
-    """A dispatcher of 200 with the workers listed and some requests pending, most of them queued."""
+def loaded_policy(workers, request_count):
+    """Return the policy of one of 200 dispatchers with listed workers and pending requests, most of them queued."""
     settings = events.Settings(
         (events.RequestClass("c", latency_objective=3_600 * SEC, deadline=7_200 * SEC),),
         dispatcher_count=200,
@@ -36,46 +37,46 @@
         max_retry_after=60 * SEC,
     )
     policy = DispatchPolicy(settings, 1)
-    infos = [events.Endpoint(f"worker-{n}", cell=n // 40, machine_type=n % 3) for n in range(workers)]
+    endpoints = [events.Endpoint(f"worker-{n}", cell=n // 40, machine_type=n % 3) for n in range(workers)]
     now = 1_000 * SEC
-    policy.handle(now, events.EndpointList(events.ListScope.COMPLETE, 1, tuple(infos)))
-    for number in range(jobs):
+    policy.handle(now, events.EndpointList(events.ListScope.COMPLETE, 1, tuple(endpoints)))
+    for number in range(request_count):
         policy.handle(now, events.Request(number, time_left=7_200 * SEC, work_hint=100_000 + number))
-    return policy, infos, now
+    return policy, endpoints, now
 
 
-def timed(policy, now, event):
-    """The actions and how long they took to decide (milliseconds)."""
+def timed_handle(policy, now, event):
+    """Handle an event, and return its actions and the time that it took in milliseconds."""
     begin = time.perf_counter()
     actions = policy.handle(now, event)
     return actions, (time.perf_counter() - begin) * 1e3
 
 
-def changes(workers, repeat):
-    policy, infos, now = served(workers, 0)
-    took = []
+def change_durations(workers, repeat):
+    policy, endpoints, now = loaded_policy(workers, 0)
+    durations = []
     for n in range(repeat):
         now += 1_000
-        info = infos[(n * 7919) % workers]
+        endpoint = endpoints[(n * 7919) % workers]
         for changed in (
-            info._replace(state=events.WorkerState.DRAINING),
-            info,
-            info._replace(started_at=now - 60 * SEC),
+            endpoint._replace(state=events.WorkerState.DRAINING),
+            endpoint,
+            endpoint._replace(started_at=now - 60 * SEC),
         ):
             event = events.EndpointList(events.ListScope.INCREMENTAL, n, (changed,))
-            took.append(timed(policy, now, event)[1])
-    return took
+            durations.append(timed_handle(policy, now, event)[1])
+    return durations
 
 
-def rejections(workers, jobs, repeat):
-    policy, _, now = served(workers, jobs)
-    took = []
+def rejection_durations(workers, request_count, repeat):
+    policy, _, now = loaded_policy(workers, request_count)
+    durations = []
     for n in range(repeat):
-        event = events.Request(jobs + n, time_left=1, work_hint=3_000 * SEC)
-        actions, milliseconds = timed(policy, now, event)
-        took.append(milliseconds)
+        event = events.Request(request_count + n, time_left=1, work_hint=3_000 * SEC)
+        actions, milliseconds = timed_handle(policy, now, event)
+        durations.append(milliseconds)
         assert any(isinstance(action, events.Reject) for action in actions), actions
-    return took
+    return durations
 
 
 def main():
@@ -84,12 +85,17 @@
     parser.add_argument("--jobs", type=int, default=1000)
     parser.add_argument("--repeat", type=int, default=60)
     options = parser.parse_args()
-    print(f"| workers | change of one, median | most | rejection with {options.jobs} pending requests, median | most |")
+    print(
+        f"| workers | change of one, median | maximum | rejection with {options.jobs} pending requests, median | maximum |"
+    )
     print("| --- | --- | --- | --- | --- |")
     for workers in options.workers:
         cells = []
-        for took in (changes(workers, options.repeat), rejections(workers, options.jobs, options.repeat)):
-            cells += [f"{median(took):.3f}", f"{max(took):.3f}"]
+        for durations in (
+            change_durations(workers, options.repeat),
+            rejection_durations(workers, options.jobs, options.repeat),
+        ):
+            cells += [f"{median(durations):.3f}", f"{max(durations):.3f}"]
         print(f"| {workers} | " + " | ".join(cells) + " |", flush=True)
 
 
--- a/benchmarks/policy_traces.py
+++ b/benchmarks/policy_traces.py
@@ -1,11 +1,11 @@
-"""Plays the same random histories into two copies of the decisions and compares every action.
+"""Plays the same random histories to two versions of the policy and compares every action.
 
     python benchmarks/policy_traces.py OLD NEW [--seeds 400] [--first 0] [--events 1200] [--jobs 2]
 
-OLD and NEW are checkouts; a version from before `badgerroad.load_balancing` is found by its earlier name. A history is a
-legal sequence of events with settings, workers, clock, results and timers drawn from its seed alone; at some points
-learned state and open requests go out and come back in, as in a hot restart. What each copy answers is compared event by
-event. Exit code 1 and the first difference if any differs.
+OLD and NEW are checkouts; versions from before `badgerroad.load_balancing` are imported by their earlier name. A history
+is a legal sequence of events whose settings, workers, clock, results and timers are determined by its seed. At some
+points learned state and open requests are exported and imported again, as in a hot restart. The actions are compared
+event by event. If any differ, the first difference is printed and the exit code is 1.
 """
 
 import argparse
@@ -17,24 +17,26 @@
 
 
 class Package:
-    """The decisions of the checkout that is on the path."""
+    """The policy of the checkout on the Python path."""
 
     def __init__(self):
+        from policy_vocabulary import adapt, add_present_functions
+
         try:
             from badgerroad.load_balancing import interface, state
             from badgerroad.load_balancing.policy import DispatchPolicy
         except ImportError:
             from heathcrank import interface, state
             from heathcrank.policy import DispatchPolicy
-            from policy_vocabulary import adapt
 
             adapt(interface)
+        add_present_functions(state)
         self.events, self.state, self.make = interface, state, DispatchPolicy
 
 
 def play(seeds, count, digest, with_tenants):
-    """Print for each seed the lines of its history, or how many there are and their digest."""
-    from policy_history import History  # beside this file, which runs as a script here
+    """Print the lines of each seed's history or, with `digest`, their number and hash."""
+    from policy_history import History  # in the folder of this file, which is on the path as this runs as a script
 
     package = Package()
     for seed in seeds:
@@ -84,7 +86,11 @@
     parser.add_argument("--seeds", type=int, default=400)
     parser.add_argument("--events", type=int, default=1200)
     parser.add_argument("--jobs", type=int, default=2)
-    parser.add_argument("--without-tenants", action="store_true", help="no quotas: for a change of their rule alone")
+    parser.add_argument(
+        "--without-tenants",
+        action="store_true",
+        help="play without quotas, to compare versions that differ in the quota rule",
+    )
     parser.add_argument("--play", help=argparse.SUPPRESS)
     parser.add_argument("--lines", action="store_true", help=argparse.SUPPRESS)
     options = parser.parse_args()
--- a/benchmarks/policy_vocabulary.py
+++ b/benchmarks/policy_vocabulary.py
@@ -1,7 +1,8 @@
-"""Lets the random histories drive a version of the decisions from before the standard terms.
+"""Lets the random histories drive earlier versions of the policy, which use other names.
 
-The histories speak the present names of `badgerroad.load_balancing.interface`. `adapt` gives the earlier module
-`heathcrank.interface` the same names beside its own, so that both versions can be played with one history.
+The histories use the present names of `badgerroad.load_balancing.interface` and `state`. `adapt` adds them to the earlier
+module `heathcrank.interface`, and `add_present_functions` to an earlier module `state`, so that one history can be played
+to both versions.
 """
 
 from types import SimpleNamespace
@@ -76,9 +77,27 @@
     "ListScope": {"INCREMENTAL": "CHANGES", "COMPLETE": "WHOLE", "CACHED": "CACHED", "FAILED": "FAILED"},
 }
 
+EARLIER_FUNCTIONS = {
+    "export_learned_state": "copy_out",
+    "import_learned_state": "copy_in",
+    "export_request": "job_out",
+    "import_request": "job_in",
+    "withdraw_request": "job_gone",
+    "attempt_cost": "cost_of",
+    "request_class_from_values": "class_of",
+}
+"""The functions of `state` that the histories call, with their names in earlier versions."""
+
+
+def add_present_functions(state):
+    """Add the present names of functions to an earlier `state` module."""
+    for present, earlier in EARLIER_FUNCTIONS.items():
+        if not hasattr(state, present):
+            setattr(state, present, getattr(state, earlier))
+
 
 def adapt(interface):
-    """Give an earlier `interface` module the present names of classes, fields and constants."""
+    """Add the present names of classes, fields and constants to an earlier `interface` module."""
     for name, fields in EARLIER_FIELDS.items():
         _accept_present_fields(getattr(interface, name), fields)
     for present, earlier in EARLIER_CLASSES.items():
@@ -89,7 +108,7 @@
 
 
 def _accept_present_fields(record, fields):
-    """The named tuple `record` takes and gives its fields by their present names too."""
+    """Let the named tuple class `record` accept and provide its fields by their present names too."""
     make, replace = record.__new__, record._replace
 
     def earlier(values):
@@ -102,22 +121,22 @@
 
 
 def describe(value):
-    """A value of the interface as text that does not depend on the version's names or enumerations."""
+    """Return a value of the interface as text that does not depend on the names or enumerations of a version."""
     if type(value).__name__ == "Settings":
-        return "settings"  # the versions differ in fields that nothing reads
+        return "settings"  # the versions differ in fields that are not used
     if isinstance(value, tuple | list):
         return f"({', '.join(describe(part) for part in value)})"
     return repr(str(value)) if isinstance(value, str) else repr(value)
 
 
 def present_name(value):
-    """The present name of the class of an event or action of either version."""
+    """Return the present class name of an event or action of either version."""
     name = type(value).__name__
     return next((present for present, earlier in EARLIER_CLASSES.items() if earlier == name), name)
 
 
-def pending_requests(decisions):
-    """By number, what either version of the decisions has pending: whether it is finished, and its class."""
-    if hasattr(decisions, "jobs"):  # the earlier version
-        return {number: (job.done, job.cls) for number, job in decisions.jobs.items()}
-    return {number: (request.finished, request.request_class) for number, request in decisions.requests.items()}
+def pending_requests(policy):
+    """Return whether each pending request is finished, and its class, by request number, for either version."""
+    if hasattr(policy, "jobs"):  # the earlier version
+        return {number: (job.done, job.cls) for number, job in policy.jobs.items()}
+    return {number: (request.finished, request.request_class) for number, request in policy.requests.items()}
--- a/benchmarks/quota_buckets.py
+++ b/benchmarks/quota_buckets.py
@@ -1,10 +1,10 @@
-"""What share of its requests a team has called over while it sends half its quota, in virtual time.
+"""Measures the share of a tenant's requests that are over quota at half the quota, in virtual time.
 
     python -m benchmarks.quota_buckets
 
-Poisson traffic to all dispatchers, and to a tenth of them, by three rules: the earlier one (depth of the part of a
-second, also below one request; a request over the quota emptied the bucket), the earlier one with a depth of at least
-one request, and badgerroad/load_balancing/quota.py. Mean of the seeds, with the least and the most.
+Poisson traffic goes to all dispatchers or to a tenth of them. Three rules are compared: an earlier one (the depth is the
+share of a second, even below one request, and a request over quota empties the bucket), the same with a depth of at
+least one request, and badgerroad/load_balancing/quota.py. Prints the mean of the seeds, with minimum and maximum.
 """
 
 import random
@@ -19,18 +19,18 @@
 
 
 class EmptyingBuckets:
-    """The earlier rule; `least` is the depth's lower limit."""
+    """The earlier rule, with a minimum depth of the buckets."""
 
-    def __init__(self, least):
-        self.least, self.left, self.at = least, None, 0
+    def __init__(self, min_depth):
+        self.min_depth, self.tokens, self.computed_at = min_depth, None, 0
 
     def is_over(self, settings, request, now):
         rate = settings.tenants[0].quota_per_s / settings.dispatchers
-        depth = max(rate, self.least)
-        left = depth if self.left is None else self.left
-        left = min(left + (now - self.at) * rate / SEC, depth) - 1
-        self.left, self.at = max(left, 0.0), now
-        return left < 0
+        depth = max(rate, self.min_depth)
+        tokens = depth if self.tokens is None else self.tokens
+        tokens = min(tokens + (now - self.computed_at) * rate / SEC, depth) - 1
+        self.tokens, self.computed_at = max(tokens, 0.0), now
+        return tokens < 0
 
 
 RULES = {
@@ -40,8 +40,8 @@
 }
 
 
-def share_over(dispatchers, quota, at, seed, rule="now", load=0.5):
-    """Of requests at `load` times the quota that come to `at` of the dispatchers: which share is called over."""
+def share_over(dispatchers, quota, receiving, seed, rule="now", load=0.5):
+    """Return the share of requests over quota, with traffic of `load` times the quota to `receiving` of the dispatchers."""
     rng = random.Random(seed)
     settings = interface.Settings(
         (interface.RequestClass("c"),),
@@ -49,11 +49,11 @@
         dispatcher_count=dispatchers,
         over_quota_priority=0.1,
     )
-    tier = [RULES[rule]() for _ in range(at)]
+    buckets = [RULES[rule]() for _ in range(receiving)]
     request, now, over = interface.Request(1), float(SEC), 0
     for _ in range(REQUESTS):
         now += rng.expovariate(load * quota) * SEC
-        over += rng.choice(tier).is_over(settings, request, int(now))
+        over += rng.choice(buckets).is_over(settings, request, int(now))
     return over / REQUESTS
 
 
@@ -61,13 +61,13 @@
     print("| dispatchers | quota/s | traffic at | " + " | ".join(RULES) + " |")
     print("| --- | --- | --- |" + " --- |" * len(RULES))
     for dispatchers, quota in CASES:
-        for at in (dispatchers, max(dispatchers // 10, 1)):
+        for receiving in (dispatchers, max(dispatchers // 10, 1)):
             cells = []
             for rule in RULES:
-                shares = [share_over(dispatchers, quota, at, seed, rule) for seed in SEEDS]
+                shares = [share_over(dispatchers, quota, receiving, seed, rule) for seed in SEEDS]
                 mean = sum(shares) / len(shares)
                 cells.append(f"{mean:.3f} ({min(shares):.3f} to {max(shares):.3f})")
-            print(f"| {dispatchers} | {quota:g} | {at} | " + " | ".join(cells) + " |")
+            print(f"| {dispatchers} | {quota:g} | {receiving} | " + " | ".join(cells) + " |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/record_compatibility.py
+++ b/benchmarks/record_compatibility.py
@@ -1,11 +1,11 @@
-"""Record the messages that a version of the program writes to other processes of one dispatcher.
+"""Records the messages that a version of the program sends to other processes of the same dispatcher.
 
     python benchmarks/record_compatibility.py TREE TARGET
 
-TREE is a checkout of the version before the packages were renamed; its own tests of upgrades and of server processes
+TREE is a checkout of the version before the packages were renamed. Its own tests of hot restart and of server processes
 are run, and for each kind of message the shortest and the longest packet are written to TARGET/SUBSYSTEM/KIND-N.packet.
-The saved state of the decisions and of an open job goes to TARGET/decisions.
-`tests/compatibility` reads these files with the present code.
+The exported state of the policy and of an open request is written to TARGET/decisions. `tests/compatibility` reads
+these files with the present code.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def record_decisions(folder: Path) -> None:
-    """What the decisions save of themselves and of an open job, as the tests of the rules have it."""
+    """Record the exported state of the policy and of an open request, from the tests of the earlier version."""
     import pytest
     from heathcrank import state
 
@@ -50,7 +50,7 @@
 
 
 def server_process_messages() -> dict[str, list[bytes]]:
-    """The messages that are written in other processes than that of the tests."""
+    """Return the messages that are sent by other processes than that of the tests."""
     from tornado.ioloop import IOLoop
 
     from badgerroad.config import read
@@ -69,8 +69,8 @@
             file.flush()
             operator = load(file.name)
         heads = []
-        for present in (None, operator):
-            supervisor = Supervisor(2, config, text.encode(), present, None, False, wheel)
+        for operator_config in (None, operator):
+            supervisor = Supervisor(2, config, text.encode(), operator_config, None, False, wheel)
             supervisor.listen = "127.0.0.1:8080"
             heads.append(supervisor._config())
         return {
@@ -82,7 +82,7 @@
 
 
 def record(tests: list[str]) -> dict[str, list[bytes]]:
-    """Run `tests` in the current directory; the packets that were written, by kind, without repetitions."""
+    """Run `tests` in the current directory, and return the packets sent, by kind and without duplicates."""
     import pytest
 
     from badgerroad.net import packets
@@ -105,11 +105,11 @@
 
 
 def main() -> None:
-    tree, target = Path(sys.argv[1]).resolve(), Path(sys.argv[2]).resolve()
+    checkout, target = Path(sys.argv[1]).resolve(), Path(sys.argv[2]).resolve()
     sys.dont_write_bytecode = True
     os.environ["PYTHONDONTWRITEBYTECODE"] = "1"
-    os.chdir(tree)
-    sys.path.insert(0, str(tree))
+    os.chdir(checkout)
+    sys.path.insert(0, str(checkout))
     record_decisions(target / "decisions")
     for subsystem, tests in SUBSYSTEM_TESTS.items():
         folder = target / subsystem
--- a/tests/compatibility/test_recorded_messages.py
+++ b/tests/compatibility/test_recorded_messages.py
@@ -1,7 +1,7 @@
-"""The messages and the saved state that the version before the packages were renamed wrote, under `data/`.
+"""Messages between the processes of a dispatcher are compatible with the version before the packages were renamed.
 
-`benchmarks/record_compatibility.py` recorded them. Two processes of one dispatcher may be of two versions: so each
-message has to be read, and the same content has to be written as the same bytes.
+`benchmarks/record_compatibility.py` recorded the messages of that version under `data/`. The processes of a dispatcher
+may run different versions, so each recorded message must be readable, and its content must be encoded as the same bytes.
 """
 
 import json
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("packet", [*recorded("hot_restart"), *recorded("multiprocess")])
-def test_a_recorded_packet_is_read_and_written_as_the_same_bytes(packet):
+def test_a_recorded_packet_is_decoded_and_encoded_as_the_same_bytes(packet):
     kind, head, payload = framing.Reader().read(packet)
     content = {name: value for name, value in head.items() if name != "kind"}
     assert framing.one(kind, content, payload) == packet
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("packet", recorded("hot_restart"))
-def test_a_recorded_message_of_an_upgrade_is_decoded_and_encoded_as_the_same_bytes(packet):
+def test_a_recorded_hot_restart_message_is_decoded_and_encoded_as_the_same_bytes(packet):
     kind, head, payload = framing.Reader().read(packet)
     message = hot_restart_messages.decode(kind, head)
     assert framing.one(message.kind, message.to_head(), payload) == packet
@@ -77,13 +77,13 @@
 
 
 @pytest.mark.parametrize("packet", recorded("multiprocess"))
-def test_a_recorded_message_of_server_processes_is_decoded_and_encoded_as_the_same_bytes(packet):
+def test_a_recorded_multiprocess_message_is_decoded_and_encoded_as_the_same_bytes(packet):
     kind, head, payload = framing.Reader().read(packet)
     message = MULTIPROCESS_MESSAGES[kind].from_head(head)
     assert framing.one(message.kind, message.to_head(), payload) == packet
 
 
-def test_a_long_head_is_sent_in_the_parts_that_the_version_before_wrote():
+def test_a_long_head_is_split_into_the_same_parts_as_in_the_earlier_version():
     head = {"text": "x" * 70_000}
     encoded = json.dumps({**head, "kind": "config"}, separators=(",", ":")).encode()
     part = 32 * 1024
--- a/tests/compatibility/test_saved_state.py
+++ b/tests/compatibility/test_saved_state.py
@@ -1,4 +1,4 @@
-"""The saved state of the decisions, as recorded from the version before the packages were renamed."""
+"""The exported policy state is compatible with that of the version before the packages were renamed."""
 
 import json
 from pathlib import Path
@@ -7,7 +7,7 @@
 from badgerroad.load_balancing.policy import DispatchPolicy
 
 DATA = Path(__file__).parent / "data" / "decisions"
-RECORDED_AT = 5000  # microseconds of the recorded policy's clock, of the job
+RECORDED_AT = 5000  # time of the recording of the request, in microseconds of the policy's clock
 
 
 def recorded(name):
@@ -19,7 +19,7 @@
 
 
 def recorded_policy():
-    """The settings and workers with which the state was recorded; `c` is a worker that is warming up."""
+    """Return a policy with the settings and workers of the recording; worker `c` is warming up."""
     policy = DispatchPolicy(
         interface.Settings(
             (interface.RequestClass("s", deadline=9_000_000),),
@@ -37,14 +37,14 @@
     return policy
 
 
-def test_a_recorded_state_is_restored_and_saved_as_the_same_bytes():
+def test_a_recorded_state_is_imported_and_exported_as_the_same_bytes():
     policy = recorded_policy()
-    state.copy_in(policy, json.loads(recorded("copy_out")))
-    assert as_json(state.copy_out(policy)) == recorded("copy_out")
+    state.import_learned_state(policy, json.loads(recorded("copy_out")))
+    assert as_json(state.export_learned_state(policy)) == recorded("copy_out")
 
 
-def test_a_recorded_open_job_is_restored_and_saved_as_the_same_bytes():
+def test_a_recorded_open_request_is_imported_and_exported_as_the_same_bytes():
     policy = recorded_policy()
-    state.copy_in(policy, json.loads(recorded("copy_out")))
-    state.job_in(policy, 1, policy.settings.classes[0], json.loads(recorded("job_out")), RECORDED_AT)
-    assert as_json(state.job_out(policy, 1, RECORDED_AT)) == recorded("job_out")
+    state.import_learned_state(policy, json.loads(recorded("copy_out")))
+    state.import_request(policy, 1, policy.settings.classes[0], json.loads(recorded("job_out")), RECORDED_AT)
+    assert as_json(state.export_request(policy, 1, RECORDED_AT)) == recorded("job_out")
--- a/tests/load_balancing/test_deploy_file.py
+++ b/tests/load_balancing/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file names the modules that choose workers, and only modules that exist."""
+"""deploy/balancer.toml lists every module of the policy package, and only files that exist."""
 
 import tomllib
 from pathlib import Path
