--- a/tests/load_balancing/test_dispatch_policy.py
+++ b/tests/load_balancing/test_dispatch_policy.py
@@ -1,4 +1,4 @@
-"""What the policy answers to each event, and when."""
+"""Final answers of the policy, and the events and settings that lead to them."""
 
 import pytest
 
@@ -12,8 +12,8 @@
 def test_queued_request_is_answered_before_its_deadline():
     driver = Driver(infos=())
     driver.request(1, hint=0)
-    out = driver.advance(7 * SEC)
-    assert finals(out) == [interface.Reject(1)]
+    actions = driver.advance(7 * SEC)
+    assert finals(actions) == [interface.Reject(1)]
     assert not driver.policy.requests
     assert not driver.policy.queue
 
@@ -21,8 +21,8 @@
 def test_request_that_cannot_meet_its_objective_is_rejected_early():
     driver = Driver(infos=())
     driver.request(1, hint=100 * MS)
-    out = driver.advance(600 * MS)
-    assert finals(out) == [interface.Reject(1)]
+    actions = driver.advance(600 * MS)
+    assert finals(actions) == [interface.Reject(1)]
 
 
 def test_subscription_is_renewed_with_bounded_backoff():
@@ -61,7 +61,7 @@
 def test_events_about_unknown_requests_and_workers_are_ignored():
     driver = Driver(workers=1)
     before = len(driver.policy.context.timers)
-    out = driver.handle(
+    actions = driver.handle(
         interface.AttemptStarted(7, 0, "x"),
         interface.AttemptProgressed(7, 0, "x", 0.5),
         interface.AttemptEnded(7, 3, "x", interface.AttemptResult.OK),
@@ -71,7 +71,7 @@
         interface.PeerMessage(1, b""),
         interface.Timer(12345),
     )
-    assert out == []
+    assert actions == []
     assert not driver.policy.requests
     assert len(driver.policy.context.timers) == before
 
@@ -96,9 +96,9 @@
 def test_finished_requests_leave_no_state():
     driver = Driver(workers=2)
     for n in range(20_000):
-        for _, w in sends(driver.request(n, hint=(n % 90 + 1) * MS)):
-            driver.start(n, 0, w)
-            driver.end(n, 0, w)
+        for _, worker in sends(driver.request(n, hint=(n % 90 + 1) * MS)):
+            driver.start(n, 0, worker)
+            driver.end(n, 0, worker)
         driver.advance(MS)
     driver.advance(10 * SEC)
     assert not driver.policy.requests
@@ -106,16 +106,16 @@
     assert len(driver.policy.context.timers) < 50
 
 
-def test_objective_of_a_client_retry_counts_from_its_first_try():
-    # Retries of rejected requests, served as if new, made most answers late under overload.
+def test_latency_objective_of_a_client_retry_counts_from_the_first_try():
+    # Treating retries of rejected requests as new ones made most answers late under overload.
     driver = Driver(workers=1)
     driver.request(1, left=6 * SEC)
-    out = driver.request(2, left=5 * SEC, hint=100 * MS)
-    assert finals(out) == [interface.Reject(2)]
+    actions = driver.request(2, left=5 * SEC, hint=100 * MS)
+    assert finals(actions) == [interface.Reject(2)]
 
 
-def test_short_deadline_is_no_wait_where_clients_mark_retries():
-    # One claim of a long wait had all later first tries of the class rejected at once, though workers were idle.
+def test_short_time_left_does_not_count_as_waiting_if_clients_mark_retries():
+    # A single request with a long time left led to the rejection of all later first tries of its class, with idle workers.
     driver = Driver(workers=1, clients_mark_retries=True)
     driver.request(1, left=6 * SEC)
     driver.start(1, 0, "w0")
@@ -125,18 +125,18 @@
     driver.end(2, 0, "w0")
     assert finals(driver.request(3, left=2 * SEC, hint=100 * MS, client_retry=True)) == [
         interface.Reject(3)
-    ]  # a second of its objective is gone
+    ]  # it has waited for a second, longer than its objective
     assert sends(driver.request(4, left=2900 * MS, hint=100 * MS, client_retry=True)) == [(4, "w0")]
 
 
-def test_time_left_beyond_the_class_deadline_does_not_count_where_retries_are_not_marked():
+def test_time_left_beyond_the_class_deadline_is_ignored_if_clients_do_not_mark_retries():
     driver = Driver(workers=1)
     driver.request(1, left=3600 * SEC)
     assert not finals(driver.request(2, left=6 * SEC, hint=100 * MS))
 
 
 def test_request_over_quota_is_rejected_while_others_are_queued():
-    # A tenant's traffic over quota took slots from what has ten times its priority weight.
+    # Requests over quota took slots from requests with ten times their priority weight.
     driver = Driver(
         workers=1, tenants=(interface.Tenant("a", 2.0), interface.Tenant("b", 100.0)), over_quota_priority=0.1
     )
@@ -148,23 +148,23 @@
     assert not finals(driver.request(6, tenant=1))
 
 
-def test_no_subscription_where_changes_come_unprompted():
+def test_no_subscription_if_list_changes_are_sent_without_one():
     driver = Driver(must_subscribe=False)
     assert interface.Subscribe() not in driver.actions
 
 
-def test_rejection_carries_retry_after_where_the_settings_allow_it():
-    def advice(workers, max_retry_after=2 * SEC, **over):
-        driver = Driver(workers=workers, cls=IDEMPOTENT_CLASS, max_retry_after=max_retry_after, **over)
+def test_rejection_carries_retry_after_if_the_settings_allow_it():
+    def retry_after(workers, max_retry_after=2 * SEC, **settings_changes):
+        driver = Driver(workers=workers, cls=IDEMPOTENT_CLASS, max_retry_after=max_retry_after, **settings_changes)
         for n in range(9):
-            driver.request(n, hint=300 * MS)  # 3 or 1 each; none of them starts
+            driver.request(n, hint=300 * MS)  # one is sent to each worker, and none starts
         return finals(driver.advance(900 * MS) + driver.request(99, hint=300 * MS, left=100 * MS))[0].retry_after
 
-    assert advice(3) == 0
-    few, many = advice(1, retry_after_allowed=True), advice(3, retry_after_allowed=True)
+    assert retry_after(3) == 0
+    few, many = retry_after(1, retry_after_allowed=True), retry_after(3, retry_after_allowed=True)
     assert 0 < many < few <= 2 * SEC
-    assert advice(0, retry_after_allowed=True) == 2 * SEC
-    assert advice(1, MS, retry_after_allowed=True) == MS
+    assert retry_after(0, retry_after_allowed=True) == 2 * SEC
+    assert retry_after(1, MS, retry_after_allowed=True) == MS
 
 
 def test_retry_after_does_not_count_ejected_workers():
@@ -174,7 +174,7 @@
     assert finals(driver.handle(interface.Request(2, time_left=MS)) + driver.advance(MS))[0].retry_after >= 50 * MS
 
 
-def test_attempts_of_a_disconnected_client_are_cancelled_where_allowed():
+def test_attempts_of_a_disconnected_client_are_cancelled_if_allowed():
     for allowed in (True, False):
         driver = Driver(workers=1, cancel_allowed=allowed)
         driver.request(1)
@@ -185,18 +185,18 @@
 
 
 def test_only_a_worker_with_missing_progress_reports_loses_its_request():
-    # A worker that fell silent kept its requests until their clients gave up.
+    # A worker that stopped responding kept its requests until their clients gave up.
     long = interface.RequestClass("s", interface.RetrySemantics.IDEMPOTENT, 20 * SEC, 30 * SEC, 2.0)
     driver = Driver(workers=2, cls=long, progress_interval=SEC, cancel_allowed=True, hedging_allowed=True)
     for n in (1, 2):
-        ((_, w),) = sends(driver.request(n, hint=SEC, left=30 * SEC))
-        driver.start(n, 0, w)
+        ((_, worker),) = sends(driver.request(n, hint=SEC, left=30 * SEC))
+        driver.start(n, 0, worker)
     silent = sends(driver.actions)[0][1]
     other = sends(driver.actions)[1][1]
-    said = []
+    actions = []
     for _ in range(4):
-        said += driver.advance(SEC) + driver.handle(interface.AttemptProgressed(2, 0, other, 0.1))
-    assert [a for a in said if isinstance(a, interface.Cancel)] == [interface.Cancel(1, 0)]
+        actions += driver.advance(SEC) + driver.handle(interface.AttemptProgressed(2, 0, other, 0.1))
+    assert [a for a in actions if isinstance(a, interface.Cancel)] == [interface.Cancel(1, 0)]
     assert driver.policy.workers[silent].consecutive_failures == 1
     assert driver.policy.workers[other].consecutive_failures == 0
     driver.end(2, 0, other)
--- a/tests/load_balancing/test_endpoint_roster.py
+++ b/tests/load_balancing/test_endpoint_roster.py
@@ -1,4 +1,4 @@
-"""The roster's orders and counts, kept change by change, are those that a look at all workers gives."""
+"""The roster's incrementally maintained lists equal those computed from all workers."""
 
 from zlib import crc32
 
@@ -52,39 +52,39 @@
 def test_incremental_orders_equal_a_full_sort(lists):
     now = 0
 
-    def is_cold(worker):
+    def is_warming_up(worker):
         return worker.info.started_at > 0 and now - worker.info.started_at < 30
 
     def is_remote(worker):
         return worker.info.zone == 1
 
-    roster = EndpointRoster(is_remote, is_cold)
-    for number, (scope, entries, passed) in enumerate(lists):
-        now += passed
+    roster = EndpointRoster(is_remote, is_warming_up)
+    for number, (scope, entries, elapsed) in enumerate(lists):
+        now += elapsed
         roster.update(interface.EndpointList(scope, number, tuple(entries)))
         listed = roster.workers.values()
         ready = sorted(
-            (w for w in listed if w.is_ready()), key=lambda w: w.sort_key[:2]
-        )  # equal ones as they were listed
+            (worker for worker in listed if worker.is_ready()), key=lambda worker: worker.sort_key[:2]
+        )  # ties in the order in which ids were first listed
         assert roster.ready == ready
-        assert roster.local == [w for w in ready if not is_remote(w)]
-        assert roster.remote == [w for w in ready if is_remote(w)]
-        assert roster.warming_up == [w for w in ready if is_cold(w)]
-        assert all(w.info.state != interface.WorkerState.GONE or is_cold(w) for w in listed)
+        assert roster.local == [worker for worker in ready if not is_remote(worker)]
+        assert roster.remote == [worker for worker in ready if is_remote(worker)]
+        assert roster.warming_up == [worker for worker in ready if is_warming_up(worker)]
+        assert all(worker.info.state != interface.WorkerState.GONE or is_warming_up(worker) for worker in listed)
 
 
-def test_incremental_change_examines_no_other_worker():
-    looked = []
+def test_incremental_change_examines_only_the_changed_worker():
+    examined = []
 
     def is_remote(worker):
-        looked.append(worker.id)
+        examined.append(worker.id)
         return False
 
     roster = EndpointRoster(is_remote, lambda worker: False)
     roster.update(
         interface.EndpointList(interface.ListScope.COMPLETE, 1, tuple(interface.Endpoint(f"w{n}") for n in range(500)))
     )
-    looked.clear()
+    examined.clear()
     for state in (
         interface.WorkerState.DRAINING,
         interface.WorkerState.READY,
@@ -92,4 +92,4 @@
         interface.WorkerState.READY,
     ):
         roster.update(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (interface.Endpoint("w7", state),)))
-    assert set(looked) == {"w7"}
+    assert set(examined) == {"w7"}
--- a/tests/load_balancing/test_large_fleets.py
+++ b/tests/load_balancing/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""Many dispatchers and workers, where each dispatcher's own traffic is a small part of a worker's load."""
+"""Policies of many dispatchers, where the traffic of each is a small part of a worker's load."""
 
 import random
 import subprocess
@@ -14,34 +14,35 @@
 
 @pytest.mark.parametrize("warming_up", [1, 50])
 def test_all_dispatchers_together_keep_the_slow_start_budget_and_use_it(warming_up):
-    # A hundredth of a budget is less than one request: such workers once got nothing until they were warm.
+    # A hundredth of a budget is less than one request: with even shares, such workers got nothing until warmed up.
     start = 100 * SEC
-    fleet = tuple(w._replace(started_at=start) if n < warming_up else w for n, w in enumerate(infos(60)))
+    fleet = tuple(worker._replace(started_at=start) if n < warming_up else worker for n, worker in enumerate(infos(60)))
     deployment = Deployment(100, 5, fleet, [5 * MS, 20 * MS, 20 * MS, 40 * MS, 300 * MS])
-    s = deployment.drivers[0].policy.settings
+    settings = deployment.drivers[0].policy.settings
     deployment.run(3)
-    # A restart under the same id, reported to each at another time; and one that is gone and comes back.
-    again = fleet[0]._replace(started_at=deployment.drivers[0].now)
-    deployment.started_at["w0"] = again.started_at
+    # A restart under the same id, which each dispatcher learns of separately; for a third, the worker is also removed and
+    # listed again.
+    restarted = fleet[0]._replace(started_at=deployment.drivers[0].now)
+    deployment.started_at["w0"] = restarted.started_at
     for n, driver in enumerate(deployment.drivers):
-        deployment.notify(driver, (again,))
+        deployment.notify(driver, (restarted,))
         if n % 3 == 0:
-            deployment.notify(driver, (again._replace(state=interface.WorkerState.GONE),))
-            deployment.notify(driver, (again,))
+            deployment.notify(driver, (restarted._replace(state=interface.WorkerState.GONE),))
+            deployment.notify(driver, (restarted,))
     deployment.run(3)
     assert (
-        0.4 < deployment.max_share_of_slow_start_bound(1.0, s) <= 1.0
-    )  # a worker does at least what one slot at speed 1 does
+        0.4 < deployment.max_share_of_slow_start_bound(1.0, settings) <= 1.0
+    )  # each worker has at least the capacity of one slot at speed 1
     slow_start_sends = [sent.worker for sent in deployment.log if sent.worker_started_at]
     assert len({*slow_start_sends}) == warming_up
     assert len(slow_start_sends) > 5 * warming_up
 
 
-def test_worker_listed_again_has_no_new_slow_start_budget():
+def test_worker_listed_again_gets_no_new_slow_start_budget():
     driver = many(dispatcher_count=1, workers=1, fleet=infos(1, started_at=99 * SEC), max_attempts=9)
     for n in range(1, 31):
-        out = driver.request(n, 100 * MS)
-        for request, worker in sends(out):
+        actions = driver.request(n, 100 * MS)
+        for request, worker in sends(actions):
             driver.start(request, 0, worker)
             driver.end(request, 0, worker)
         driver.handle(
@@ -56,21 +57,21 @@
 
 
 def test_subsets_spread_workers_evenly_over_dispatchers():
-    uses = {}
+    use_counts = {}
     for n in range(100):
         subset = many(n).policy.subsets.local
         assert 3 <= len(subset) <= 4
-        for w in subset:
-            uses[w.id] = uses.get(w.id, 0) + 1
-    assert len(uses) == 60
-    assert max(uses.values()) - min(uses.values()) <= 2
+        for worker in subset:
+            use_counts[worker.id] = use_counts.get(worker.id, 0) + 1
+    assert len(use_counts) == 60
+    assert max(use_counts.values()) - min(use_counts.values()) <= 2
 
 
 def test_subset_changes_little_when_one_worker_joins_or_leaves():
-    before = [{w.id for w in many(n).policy.subsets.local} for n in range(0, 100, 9)]
+    before = [{worker.id for worker in many(n).policy.subsets.local} for n in range(0, 100, 9)]
     for workers in (59, 61):
-        after = [{w.id for w in many(n, workers=workers).policy.subsets.local} for n in range(0, 100, 9)]
-        assert max(len(b - a) for b, a in zip(before, after, strict=False)) <= 2
+        after = [{worker.id for worker in many(n, workers=workers).policy.subsets.local} for n in range(0, 100, 9)]
+        assert max(len(old - new) for old, new in zip(before, after, strict=False)) <= 2
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 2, 3])
@@ -86,7 +87,7 @@
         "worker=w.worker.encode()) for w in infos(60, started_at=99 * SEC)));"
         "print([w.id for w in driver.policy.subsets.local], [driver.policy.warm_up.dispatcher_rank(w) for w in driver.policy.subsets.local], driver.request(1))"
     )
-    outs = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
             env={"PYTHONHASHSEED": seed, "PYTHONPATH": "."},
@@ -96,21 +97,21 @@
         ).stdout
         for seed in ("1", "2")
     }
-    assert len(outs) == 1
-    assert "w" in outs.pop()
+    assert len(outputs) == 1
+    assert "w" in outputs.pop()
 
 
 @pytest.mark.parametrize("fault", ["silent", "draining", "gone", "error", "full"])
-def test_requests_go_beyond_the_subset_when_all_its_workers_fail(fault):
+def test_requests_go_outside_the_subset_when_all_its_workers_fail(fault):
     driver = many()
-    subset = [w.id for w in driver.policy.subsets.local]
+    subset = [worker.id for worker in driver.policy.subsets.local]
     if fault in ("draining", "gone"):
         state = interface.WorkerState.DRAINING if fault == "draining" else interface.WorkerState.GONE
         driver.handle(
             interface.EndpointList(
                 interface.ListScope.INCREMENTAL,
                 2,
-                tuple(w._replace(state=state) for w in infos(60) if w.worker in subset),
+                tuple(worker._replace(state=state) for worker in infos(60) if worker.worker in subset),
             )
         )
     sent_elsewhere = []
@@ -128,27 +129,27 @@
                     interface.AttemptResult.ERROR if fault == "error" else interface.AttemptResult.QUEUE_FULL,
                 )
         driver.advance(20 * MS)
-    assert len(sent_elsewhere) > 40, "requests stuck to workers that do not serve"
+    assert len(sent_elsewhere) > 40, "requests were sent only to failing workers"
     if fault in ("draining", "gone"):
-        assert not any(w in subset for _, w in sends(driver.actions))
+        assert not any(worker in subset for _, worker in sends(driver.actions))
     driver.advance(7 * SEC)
-    answered = {a.request for a in finals(driver.actions)} | set(sent_elsewhere)
-    assert answered == set(range(1, 81)), "a request without an answer"
+    answered = {action.request for action in finals(driver.actions)} | set(sent_elsewhere)
+    assert answered == set(range(1, 81)), "a request was not answered"
 
 
-def hedged_request(**over):
-    driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, **over)
+def hedged_request(**settings_changes):
+    driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, **settings_changes)
     ((_, first),) = sends(driver.request(1))
-    out = driver.advance(50 * MS)
-    return driver, first, sends(out)
+    actions = driver.advance(50 * MS)
+    return driver, first, sends(actions)
 
 
-def test_waiting_request_with_an_idempotency_key_is_hedged_in_its_cell_and_the_rest_is_cancelled():
-    driver, first, copies = hedged_request()
-    cell = {w.worker: w.cell for w in infos(60)}
-    assert copies
-    assert all(cell[w] == cell[first] and w != first for _, w in copies)
-    assert interface.Cancel(1, 0) in driver.start(1, 1, copies[0][1])
+def test_waiting_request_with_an_idempotency_key_is_hedged_in_its_cell_and_other_attempts_are_cancelled():
+    driver, first, hedged = hedged_request()
+    cell = {worker.worker: worker.cell for worker in infos(60)}
+    assert hedged
+    assert all(cell[worker] == cell[first] and worker != first for _, worker in hedged)
+    assert interface.Cancel(1, 0) in driver.start(1, 1, hedged[0][1])
 
 
 def test_started_request_is_not_hedged():
@@ -159,12 +160,12 @@
 
 
 @pytest.mark.parametrize(
-    "over",
+    "settings_changes",
     [dict(dispatcher_count=1), dict(cancel_allowed=False), dict(reports_start=False)],
     ids=["whole_fleet", "no_cancel", "no_start_reports"],
 )
-def test_no_hedging_without_its_conditions(over):
-    driver = many(**{**dict(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True), **over})
+def test_no_hedging_without_a_subset_cancels_or_start_reports(settings_changes):
+    driver = many(**{**dict(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True), **settings_changes})
     driver.request(1)
     assert not sends(driver.advance(SEC))
 
@@ -187,14 +188,16 @@
 
 @pytest.mark.parametrize("workers", [60, 600])
 def test_workers_examined_for_a_request_do_not_grow_with_the_fleet(workers, monkeypatch):
-    # Ranking all workers for each request took too much CPU time in large fleets.
+    # Ranking all workers for each request used too much CPU time in large fleets.
     examined = []
-    plain = WorkerSelection.is_available
-    monkeypatch.setattr(WorkerSelection, "is_available", lambda self, w: examined.append(w) or plain(self, w))
+    original = WorkerSelection.is_available
+    monkeypatch.setattr(
+        WorkerSelection, "is_available", lambda self, worker: examined.append(worker) or original(self, worker)
+    )
     driver = many(dispatcher_count=workers * 2, workers=workers)
     examined.clear()
-    for rid in range(50):
-        for request, worker in sends(driver.request(rid)):
+    for number in range(50):
+        for request, worker in sends(driver.request(number)):
             driver.start(request, 0, worker)
             driver.end(request, 0, worker)
     assert 0 < len(examined) <= 50 * 20
@@ -205,7 +208,8 @@
     for n in range(400):
         driver.advance(SEC)
         fresh = tuple(
-            interface.Endpoint(f"n{n}-{k}", interface.WorkerState.READY, driver.now, 0, 0, k // 4) for k in range(20)
+            interface.Endpoint(f"n{n}-{index}", interface.WorkerState.READY, driver.now, 0, 0, index // 4)
+            for index in range(20)
         )
         driver.handle(interface.EndpointList(interface.ListScope.COMPLETE, n + 2, fresh))
         for request, worker in sends(driver.request(n, left=SEC)):
@@ -217,14 +221,14 @@
     assert len(driver.policy.context.timers) < 50
 
 
-def test_failed_subscriptions_are_retried_out_of_step_and_within_the_interval():
+def test_failed_subscriptions_are_retried_at_spread_times_within_the_interval():
     times = set()
     for n in range(60):
         driver = many(n, seed=1000 + n)
         driver.handle(interface.EndpointList(interface.ListScope.FAILED))
         last = began = driver.now
         for _ in range(6):
-            while not any(isinstance(a, interface.Subscribe) for a in driver.advance(5 * MS)):
+            while not any(isinstance(action, interface.Subscribe) for action in driver.advance(5 * MS)):
                 assert driver.now - last < 4 * 10 * SEC
             last = driver.now
             driver.handle(interface.EndpointList(interface.ListScope.FAILED))
@@ -233,54 +237,56 @@
 
 
 @pytest.mark.parametrize("weight", [1.0, 0.0, "live"])
-def test_any_weights_leave_all_workers_of_the_subset_in_use(weight):
-    driver, r = many(), random.Random(3)
+def test_all_workers_of_the_subset_are_used_with_any_weights(weight):
+    driver, rng = many(), random.Random(3)
     for n in range(200):
         if n % 10 == 0:
             driver.handle(
                 interface.EndpointList(
                     interface.ListScope.COMPLETE,
                     n + 2,
-                    tuple(w._replace(weight=r.random() * 4 if weight == "live" else weight) for w in infos(60)),
+                    tuple(
+                        worker._replace(weight=rng.random() * 4 if weight == "live" else weight) for worker in infos(60)
+                    ),
                 )
             )
         for request, worker in sends(driver.request(n)):
             driver.start(request, 0, worker)
             driver.end(request, 0, worker)
         driver.advance(5 * SEC)
-    assert {w for _, w in sends(driver.actions)} >= {w.id for w in driver.policy.subsets.local}
+    assert {worker for _, worker in sends(driver.actions)} >= {worker.id for worker in driver.policy.subsets.local}
 
 
-def report(driver, rid, worker, free):
-    driver.start(rid, 0, worker)
-    driver.handle(interface.AttemptEnded(rid, 0, worker, interface.AttemptResult.OK, 0, True, (free,)))
+def report(driver, number, worker, free):
+    driver.start(number, 0, worker)
+    driver.handle(interface.AttemptEnded(number, 0, worker, interface.AttemptResult.OK, 0, True, (free,)))
 
 
-def test_reported_free_slots_settle_ties_until_stale():
+def test_reported_free_slots_break_ties_until_stale():
     driver = many(load_report_fields=("x0",), seed=4)
-    subset = [w.id for w in driver.policy.subsets.local]
+    subset = [worker.id for worker in driver.policy.subsets.local]
     for n in range(300):
-        out = sends(driver.request(n))
-        report(driver, n, out[0][1], 1.0 if out[0][1] == subset[1] else 0.0)
-    picks = [sends(driver.request(1000))[0][1]]
-    assert picks == [subset[1]], "a worker with a free slot comes first"
+        actions = sends(driver.request(n))
+        report(driver, n, actions[0][1], 1.0 if actions[0][1] == subset[1] else 0.0)
+    chosen = [sends(driver.request(1000))[0][1]]
+    assert chosen == [subset[1]], "the worker with a free slot must be chosen"
     report(driver, 1000, subset[1], 1.0)
     seen = set()
     for n in range(2000, 2100):
-        driver.advance(10 * SEC)  # all reports are stale each time
-        out = sends(driver.request(n))
-        seen.add(out[0][1])
-        report(driver, n, out[0][1], 0.0)
+        driver.advance(10 * SEC)  # all reports are stale by then
+        actions = sends(driver.request(n))
+        seen.add(actions[0][1])
+        report(driver, n, actions[0][1], 0.0)
     assert seen == set(subset)
 
 
-def test_health_checks_only_where_allowed_and_own_traffic_is_small():
+def test_health_checks_are_sent_only_if_allowed_and_own_traffic_is_small():
     for checks_allowed, dispatcher_count, expected in ((True, 100, 2), (True, 1, 0), (False, 100, 0)):
         driver = many(
             dispatcher_count=dispatcher_count, health_checks_allowed=checks_allowed, load_report_fields=("x0",)
         )
-        out = driver.request(1)
-        checked = [a.worker for a in out if isinstance(a, interface.HealthCheck)]
+        actions = driver.request(1)
+        checked = [action.worker for action in actions if isinstance(action, interface.HealthCheck)]
         assert len(checked) == expected
         if checks_allowed and dispatcher_count == 100:
             driver.handle(
@@ -290,24 +296,24 @@
             assert sends(driver.advance(50 * MS)) == [(1, checked[0])]
 
 
-def test_worker_whose_last_start_was_late_comes_last_at_ties():
+def test_worker_whose_last_start_was_late_loses_ties():
     driver = many(seed=8)
     ((_, slow),) = sends(driver.request(1))
     driver.advance(300 * MS)
     driver.start(1, 0, slow)
     driver.end(1, 0, slow)
     for n in range(2, 200):
-        ((_, w),) = sends(driver.request(n))
-        assert w != slow
-        driver.start(n, 0, w)
-        driver.end(n, 0, w)
+        ((_, worker),) = sends(driver.request(n))
+        assert worker != slow
+        driver.start(n, 0, worker)
+        driver.end(n, 0, worker)
 
 
-def test_start_delay_is_learned_from_few_starts_where_own_traffic_is_small():
-    # Each dispatcher of many sees few starts: at a tenth a start it sent on into full queues for seconds.
-    for dispatcher_count, part in ((100, 0.25), (1, 0.1)):
+def test_start_delay_is_learned_from_few_starts_if_own_traffic_is_small():
+    # Each of many dispatchers sees few starts. With a weight of 0.1 they went on sending to full queues for seconds.
+    for dispatcher_count, weight in ((100, 0.25), (1, 0.1)):
         driver = many(dispatcher_count=dispatcher_count)
-        ((_, w),) = sends(driver.request(1))
+        ((_, worker),) = sends(driver.request(1))
         driver.advance(200 * MS)
-        driver.start(1, 0, w)
-        assert driver.policy.subsets.roster.machine_types[0].start_delays.by_in_flight[0][0] == part * 200 * MS
+        driver.start(1, 0, worker)
+        assert driver.policy.subsets.roster.machine_types[0].start_delays.by_in_flight[0][0] == weight * 200 * MS
--- a/tests/load_balancing/test_random_histories.py
+++ b/tests/load_balancing/test_random_histories.py
@@ -1,4 +1,7 @@
-"""Seeded random histories of legal events; each action is checked against rules 1 to 3 and the budget of rule 4."""
+"""Seeded random histories of legal events; each action of the policy is checked for safety.
+
+Checked: one final answer in time, retry safety, sends to ready workers only, and the slow start budget.
+"""
 
 import random
 from dataclasses import dataclass, field
@@ -23,8 +26,8 @@
     ),
 )
 
-ANSWER_SLACK = 20 * MS  # that the deployment allows after a deadline
-SLOTS = 2  # of each worker, each of speed 1: its true capacity
+ANSWER_SLACK = 20 * MS  # time that the deployment allows for an answer after its deadline
+SLOTS = 2  # the true capacity of each worker, with speed 1 for each slot
 FAILURES = (
     interface.AttemptResult.ERROR,
     interface.AttemptResult.QUEUE_FULL,
@@ -60,7 +63,7 @@
 
 
 class RandomHistory:
-    """Plays random legal events to a policy and checks each of its actions against the rules."""
+    """Plays random legal events to a policy and checks each of its actions."""
 
     def __init__(self, seed, hedging_allowed):
         self.rng = random.Random(seed)
@@ -76,12 +79,12 @@
         }
         self.requests = {}
         self.in_flight = {}  # (request, attempt): worker
-        self.started_at = {}  # (request, attempt): when
+        self.started_at = {}  # (request, attempt): time
         self.timers = []
-        self.slow_start_sends = {}  # (worker, start): (when, work) of each
-        self.give(interface.EndpointList(interface.ListScope.CACHED, 1, tuple(self.endpoints.values())))
+        self.slow_start_sends = {}  # (worker, start): (time, work) of each send
+        self.deliver(interface.EndpointList(interface.ListScope.CACHED, 1, tuple(self.endpoints.values())))
 
-    def give(self, event):
+    def deliver(self, event):
         for action in self.policy.handle(self.now, event):
             if isinstance(action, interface.SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
@@ -119,7 +122,7 @@
             assert scope != interface.DeduplicationScope.CELL or first.worker.cell == endpoint.cell
 
     def check_slow_start_budget(self, endpoint, work):
-        """This dispatcher alone stays within the whole budget; test_large_fleets sees to all together."""
+        """Check that this dispatcher alone keeps the whole budget; test_large_fleets covers all dispatchers together."""
         age = self.now - endpoint.started_at
         if not endpoint.started_at or age >= self.settings.slow_start_duration:
             return
@@ -146,27 +149,27 @@
         self.now += self.rng.choice((0, 0, 5 * MS, 5 * MS, 20 * MS))
         self.fire_timers()
         for request in self.requests.values():
-            latest = request.deadline + ANSWER_SLACK + 20 * MS
-            assert request.answered or self.now <= latest, "a request was lost"
-        roll = self.rng.random()
-        if roll < 0.4:
+            latest_answer = request.deadline + ANSWER_SLACK + 20 * MS
+            assert request.answered or self.now <= latest_answer, "a request was lost"
+        draw = self.rng.random()
+        if draw < 0.4:
             self.send_request()
-        elif roll < 0.9 and self.in_flight:
+        elif draw < 0.9 and self.in_flight:
             if not self.continue_attempt():
                 return
-        elif roll < 0.93 and self.requests:
+        elif draw < 0.93 and self.requests:
             self.disconnect_client()
-        elif roll < 0.97:
+        elif draw < 0.97:
             self.change_worker()
-        elif roll < 0.98:
-            self.give(interface.EndpointList(interface.ListScope.FAILED))
+        elif draw < 0.98:
+            self.deliver(interface.EndpointList(interface.ListScope.FAILED))
         self.forget_old_requests()
 
     def fire_timers(self):
         for when, token in sorted(self.timers):
             if when <= self.now:
                 self.timers.remove((when, token))
-                self.give(interface.Timer(token))
+                self.deliver(interface.Timer(token))
 
     def send_request(self):
         class_index = self.rng.randrange(len(CLASSES))
@@ -175,16 +178,16 @@
         work = self.rng.choice((0, self.rng.randrange(1, 200) * MS, self.rng.randrange(1, 30) * MS))
         time_left = self.rng.choice((CLASSES[class_index].deadline, 300 * MS, 60 * MS))
         self.requests[number] = AcceptedRequest(CLASSES[class_index], self.now + time_left, work)
-        self.give(interface.Request(number, class_index, 0, 0, time_left, work))
+        self.deliver(interface.Request(number, class_index, 0, 0, time_left, work))
 
     def continue_attempt(self):
-        """Did an attempt end? It may start or run on: a worker does as much as SLOTS at speed 1, and no more."""
+        """Start, continue or end a random attempt; return whether one ended. Workers run SLOTS attempts at speed 1."""
         key, worker = self.rng.choice(list(self.in_flight.items()))
         request = self.requests[key[0]]
         started_at = self.started_at.get(key)
         if started_at is None and sum(self.in_flight.get(other) == worker for other in self.started_at) < SLOTS:
             self.started_at[key] = self.now
-            self.give(interface.AttemptStarted(*key, worker))
+            self.deliver(interface.AttemptStarted(*key, worker))
             return False
         has_run = started_at is not None and self.now - started_at >= request.work
         if not has_run and self.rng.random() < 0.7:
@@ -195,13 +198,13 @@
         result = interface.AttemptResult.OK if has_run and self.rng.random() < 0.7 else failure
         request.attempts[key[1]].result = result
         request.answered = request.answered or result == interface.AttemptResult.OK
-        self.give(interface.AttemptEnded(*key, worker, result, 0, request.answered))
+        self.deliver(interface.AttemptEnded(*key, worker, result, 0, request.answered))
         return True
 
     def disconnect_client(self):
         number = self.rng.choice(list(self.requests))
         self.requests[number].answered = True
-        self.give(interface.ClientDisconnected(number))
+        self.deliver(interface.ClientDisconnected(number))
 
     def change_worker(self):
         number = self.rng.randrange(6)
@@ -209,18 +212,20 @@
         state = self.rng.choice(STATES)
         started_at = self.now if old.state != interface.WorkerState.READY else old.started_at
         self.endpoints[number] = old._replace(state=state, started_at=started_at)
-        self.give(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (self.endpoints[number],)))
+        self.deliver(interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (self.endpoints[number],)))
 
     def forget_old_requests(self):
         with_attempts = {number for number, _ in self.in_flight}
-        over = [n for n, request in self.requests.items() if request.answered and n not in with_attempts]
-        for number in over[:-20]:
+        finished = [
+            number for number, request in self.requests.items() if request.answered and number not in with_attempts
+        ]
+        for number in finished[:-20]:
             del self.requests[number]
 
 
 @pytest.mark.parametrize("hedging_allowed", [False, True], ids=["without_hedging", "with_hedging"])
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_in_a_random_history(seed, hedging_allowed):
+def test_actions_are_safe_in_a_random_history(seed, hedging_allowed):
     history = RandomHistory(seed, hedging_allowed)
     for _ in range(2500):
         history.step()
--- a/tests/load_balancing/test_retries.py
+++ b/tests/load_balancing/test_retries.py
@@ -1,4 +1,4 @@
-"""What may be sent again after an attempt has ended, and where (rule 2)."""
+"""Whether a request may be sent again after an attempt has ended, and to which workers."""
 
 import pytest
 
@@ -23,8 +23,8 @@
         interface.AttemptResult.RESET,
     ],
 )
-def test_fault_ejects_the_worker_and_then_allows_one_trial(result):
-    # Rejections and instant errors leave few requests in flight, which drew traffic.
+def test_fault_ejects_the_worker_which_then_gets_one_trial_request(result):
+    # Workers that reject or fail at once have few requests in flight, which attracted traffic.
     driver = Driver(workers=1, cls=IDEMPOTENT_CLASS)
     driver.request(1)
     driver.end(1, 0, "w0", result)
@@ -32,7 +32,7 @@
     assert len(sends(driver.advance(300 * MS))) == 1
 
 
-def test_full_queue_for_more_slots_than_any_worker_has_is_no_fault():
+def test_rejection_of_more_slots_than_any_worker_has_is_no_fault():
     driver = Driver(workers=1, cls=IDEMPOTENT_CLASS)
     driver.request(1, slots=1e5)
     driver.end(1, 0, "w0", interface.AttemptResult.QUEUE_FULL)
@@ -45,9 +45,9 @@
 )
 def test_non_idempotent_request_is_retried_when_it_never_ran(result):
     driver = Driver(workers=2)
-    ((_, w),) = sends(driver.request(1))
-    other = {"w0": "w1", "w1": "w0"}[w]
-    assert sends(driver.end(1, 0, w, result)) == [(1, other)]
+    ((_, worker),) = sends(driver.request(1))
+    other = {"w0": "w1", "w1": "w0"}[worker]
+    assert sends(driver.end(1, 0, worker, result)) == [(1, other)]
 
 
 @pytest.mark.parametrize(
@@ -61,10 +61,10 @@
 )
 def test_non_idempotent_request_fails_once_it_may_have_run(result):
     driver = Driver(workers=2)
-    ((_, w),) = sends(driver.request(1))
-    out = driver.end(1, 0, w, result)
-    assert finals(out) == [interface.Fail(1)]
-    assert not sends(out)
+    ((_, worker),) = sends(driver.request(1))
+    actions = driver.end(1, 0, worker, result)
+    assert finals(actions) == [interface.Fail(1)]
+    assert not sends(actions)
 
 
 @pytest.mark.parametrize(
@@ -80,10 +80,10 @@
 )
 def test_idempotent_request_is_retried_on_another_worker(result):
     driver = Driver(workers=2, cls=IDEMPOTENT_CLASS)
-    ((_, w),) = sends(driver.request(1))
-    out = driver.end(1, 0, w, result)
-    assert [s[1] for s in sends(out)] == [{"w0": "w1", "w1": "w0"}[w]]
-    assert not finals(out)
+    ((_, worker),) = sends(driver.request(1))
+    actions = driver.end(1, 0, worker, result)
+    assert [send[1] for send in sends(actions)] == [{"w0": "w1", "w1": "w0"}[worker]]
+    assert not finals(actions)
 
 
 @pytest.mark.parametrize(
@@ -103,42 +103,44 @@
         assert sends(driver.request(1)) == [(1, "a")]
         driver.handle(
             interface.EndpointList(
-                interface.ListScope.INCREMENTAL, 2, tuple(interface.Endpoint(w, zone=z, cell=c) for w, z, c in rows)
+                interface.ListScope.INCREMENTAL,
+                2,
+                tuple(interface.Endpoint(worker, zone=z, cell=c) for worker, z, c in rows),
             )
         )
-        assert {w for _, w in sends(driver.end(1, 0, "a", interface.AttemptResult.ERROR))} <= allowed
+        assert {worker for _, worker in sends(driver.end(1, 0, "a", interface.AttemptResult.ERROR))} <= allowed
 
 
 def test_no_retry_after_the_deduplication_window():
     driver = Driver(workers=2, cls=with_idempotency_key(interface.DeduplicationScope.CELL, 100 * MS))
-    ((_, w),) = sends(driver.request(1))
+    ((_, worker),) = sends(driver.request(1))
     driver.advance(150 * MS)
-    out = driver.end(1, 0, w, interface.AttemptResult.ERROR)
-    assert finals(out) == [interface.Fail(1)]
-    assert not sends(out)
+    actions = driver.end(1, 0, worker, interface.AttemptResult.ERROR)
+    assert finals(actions) == [interface.Fail(1)]
+    assert not sends(actions)
 
 
-def test_no_more_than_max_attempts():
+def test_request_gets_no_more_than_max_attempts():
     driver = Driver(workers=9, cls=IDEMPOTENT_CLASS, max_attempts=2)
-    ((_, w),) = sends(driver.request(1))
-    ((_, w),) = sends(driver.end(1, 0, w, interface.AttemptResult.ERROR))
-    assert finals(driver.end(1, 1, w, interface.AttemptResult.ERROR)) == [interface.Reject(1)]
+    ((_, worker),) = sends(driver.request(1))
+    ((_, worker),) = sends(driver.end(1, 0, worker, interface.AttemptResult.ERROR))
+    assert finals(driver.end(1, 1, worker, interface.AttemptResult.ERROR)) == [interface.Reject(1)]
 
 
-def test_request_that_cannot_meet_its_objective_fails_where_rejecting_could_do_harm():
+def test_request_that_cannot_meet_its_objective_fails_if_a_rejection_is_not_safe():
     driver = Driver(workers=2, cls=with_idempotency_key(interface.DeduplicationScope.CELL))
-    ((_, w),) = sends(driver.request(1, hint=10 * MS))
-    driver.now += 450 * MS  # more than its objective and its work allow
-    assert finals(driver.end(1, 0, w, interface.AttemptResult.ERROR)) == [interface.Fail(1)]
+    ((_, worker),) = sends(driver.request(1, hint=10 * MS))
+    driver.now += 450 * MS  # beyond its latest start for the objective
+    assert finals(driver.end(1, 0, worker, interface.AttemptResult.ERROR)) == [interface.Fail(1)]
     assert not driver.policy.queue
     assert not driver.policy.requests
 
 
 def test_timeout_counts_as_a_fault_of_the_worker():
     driver = Driver(workers=2, cls=IDEMPOTENT_CLASS)
-    ((_, w),) = sends(driver.request(1))
-    assert sends(driver.end(1, 0, w, interface.AttemptResult.TIMEOUT))
-    assert driver.policy.workers[w].consecutive_failures == 1
+    ((_, worker),) = sends(driver.request(1))
+    assert sends(driver.end(1, 0, worker, interface.AttemptResult.TIMEOUT))
+    assert driver.policy.workers[worker].consecutive_failures == 1
 
 
 def test_silent_worker_keeps_a_request_that_no_other_may_run():
@@ -149,7 +151,7 @@
         cancel_allowed=True,
         hedging_allowed=True,
     )
-    ((_, w),) = sends(driver.request(1, hint=3 * SEC))
-    driver.start(1, 0, w)
+    ((_, worker),) = sends(driver.request(1, hint=3 * SEC))
+    driver.start(1, 0, worker)
     assert not [a for a in driver.advance(5 * SEC) if isinstance(a, interface.Cancel)]
-    assert driver.policy.workers[w].consecutive_failures == 1
+    assert driver.policy.workers[worker].consecutive_failures == 1
--- a/tests/load_balancing/test_retry_after.py
+++ b/tests/load_balancing/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Running sums give the answer that sums over each job and worker give, to the microsecond."""
+"""The Retry-After from running totals equals that from full sums over requests and workers, to the microsecond."""
 
 import pytest
 from hypothesis import given
@@ -12,16 +12,20 @@
 CLASS = interface.RequestClass("c", latency_objective=60 * SEC, deadline=120 * SEC)
 
 
-def plain_sums(policy):
-    """The answer by its definition: a look at each open job and each ready worker."""
+def full_sums(policy):
+    """Compute Retry-After by its definition, from each unfinished request and each ready worker."""
     mean, now = policy.hints.mean, policy.context.now
-    work = sum(max(job.expected_work, mean) for job in policy.requests.values() if not job.finished)
-    pace = (
-        sum(w.machine_type.slots * policy.estimates.speed(w) for w in policy.subsets.ready if w.ejected_until <= now)
+    work = sum(max(request.expected_work, mean) for request in policy.requests.values() if not request.finished)
+    capacity = (
+        sum(
+            worker.machine_type.slots * policy.estimates.speed(worker)
+            for worker in policy.subsets.ready
+            if worker.ejected_until <= now
+        )
         / policy.settings.dispatcher_count
     )
-    most = policy.settings.max_retry_after
-    return int(min(max(work / pace, 50_000), most)) if pace else most
+    max_retry_after = policy.settings.max_retry_after
+    return int(min(max(work / capacity, 50_000), max_retry_after)) if capacity else max_retry_after
 
 
 @given(st.randoms(use_true_random=False))
@@ -40,7 +44,8 @@
     open_attempts = []
     for number in range(60):
         open_attempts += [
-            (r, 0, w) for r, w in sends(driver.request(number, hint=rng.choice((0, 7, 100)) * MS, left=100 * SEC))
+            (request, 0, worker)
+            for request, worker in sends(driver.request(number, hint=rng.choice((0, 7, 100)) * MS, left=100 * SEC))
         ]
         if rng.random() < 0.2:
             info = rng.choice(infos)._replace(
@@ -59,21 +64,23 @@
                     (interface.AttemptResult.OK, interface.AttemptResult.OK, interface.AttemptResult.ERROR)
                 ),
             )
-        assert driver.policy.answers.retry_after() == plain_sums(driver.policy)
+        assert driver.policy.answers.retry_after() == full_sums(driver.policy)
 
 
 @given(st.lists(st.tuples(st.integers(0, 10**7), st.booleans()), max_size=40), st.floats(1.0, 1e7))
 def test_total_work_equals_the_sum_over_pending_requests(history, mean):
-    jobs = PendingRequests()
-    for number, (hint, ends) in enumerate(history):
-        jobs.add(PendingRequest(interface.Request(number), CLASS, False, 0, hint))
-        if ends:
-            jobs.finish(jobs[next(iter(jobs))])
-    assert jobs.total_work(mean) == pytest.approx(sum(max(job.expected_work, mean) for job in jobs.values()), rel=1e-12)
+    requests = PendingRequests()
+    for number, (work, finishes) in enumerate(history):
+        requests.add(PendingRequest(interface.Request(number), CLASS, False, 0, work))
+        if finishes:
+            requests.finish(requests[next(iter(requests))])
+    assert requests.total_work(mean) == pytest.approx(
+        sum(max(request.expected_work, mean) for request in requests.values()), rel=1e-12
+    )
 
 
-def test_a_time_close_to_a_whole_microsecond_is_not_certain():
-    assert not Backlog(300_000.0, 1.0).is_certain(SEC, terms=10)
-    assert Backlog(300_000.5, 1.0).is_certain(SEC, terms=10_000)
-    assert Backlog(10.0, 1.0).is_certain(SEC, terms=10_000)  # the least that an answer says
-    assert Backlog(10.0, 0.0).is_certain(SEC, terms=10_000)
+def test_a_drain_time_close_to_a_whole_microsecond_depends_on_the_summation_order():
+    assert not Backlog(300_000.0, 1.0).is_order_independent(SEC, terms=10)
+    assert Backlog(300_000.5, 1.0).is_order_independent(SEC, terms=10_000)
+    assert Backlog(10.0, 1.0).is_order_independent(SEC, terms=10_000)  # the minimum Retry-After
+    assert Backlog(10.0, 0.0).is_order_independent(SEC, terms=10_000)
--- a/tests/load_balancing/test_simulator_adapter.py
+++ b/tests/load_balancing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Frames written from the wire's page, fed to the adapter as a process and in place."""
+"""The simulator adapter, given frames that follow the wire format, as a process and called directly."""
 
 import io
 import json
@@ -30,7 +30,7 @@
 WORKER = bytes.fromhex("0a124a07c32b")
 
 
-def rec(text):
+def event_record(text):
     return bytes.fromhex(text.replace(" ", "")).ljust(48, b"\0")
 
 
@@ -39,22 +39,22 @@
     return struct.pack("<IIIQ", number, len(records), len(body), now) + body
 
 
-def start(config=None):
+def start_frame(config=None):
     text = config if isinstance(config, bytes) else json.dumps(config or CONFIG).encode()
     entry = bytes.fromhex("0000000000000000 0a124a07c32b 03 0000 0000 0000 0000803f".replace(" ", ""))
     return frame(
         1,
         [
-            rec("0d 03000000"),
-            rec("01")[:1] + struct.pack("<QII", 7, 0, len(text)) + bytes(31),
+            event_record("0d 03000000"),
+            event_record("01")[:1] + struct.pack("<QII", 7, 0, len(text)) + bytes(31),
             b"\x0b" + struct.pack("<HII", 0, len(text), 1) + bytes(37),
-            rec("02 02 2900000000000000 0000"),
+            event_record("02 02 2900000000000000 0000"),
         ],
         text + entry,
     )
 
 
-ACCEPT = rec("03 c4913a5d39310c00 0000 0000 640ad2557c3bf091 80a90300 e02e0000 00000040 00000000 0100")
+REQUEST_RECORD = event_record("03 c4913a5d39310c00 0000 0000 640ad2557c3bf091 80a90300 e02e0000 00000040 00000000 0100")
 
 
 def run(data):
@@ -66,62 +66,66 @@
     )
 
 
-def test_an_accept_is_forwarded_and_the_end_of_input_ends_it():
-    p = run(frame(0, []) + start() + frame(2, [rec("0d 03000000"), ACCEPT]))
-    assert p.returncode == 0
-    assert p.stderr == b""
-    assert p.stdout[:12] == struct.pack("<III", 0, 0, 0)
-    assert bytes.fromhex("45c4913a5d39310c00") + WORKER in p.stdout
+def test_a_request_is_sent_to_the_worker_and_the_end_of_input_ends_the_process():
+    process = run(frame(0, []) + start_frame() + frame(2, [event_record("0d 03000000"), REQUEST_RECORD]))
+    assert process.returncode == 0
+    assert process.stderr == b""
+    assert process.stdout[:12] == struct.pack("<III", 0, 0, 0)
+    assert bytes.fromhex("45c4913a5d39310c00") + WORKER in process.stdout
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "expected_text"),
     [
-        (start()[:30], b"truncated"),
-        (start()[:10], b"truncated frame header"),
-        (start() + frame(2, [rec("0d 03000000"), rec("63")]), b"unknown event code 99"),
-        (start() + frame(2, [rec("0b 0000 ffff0000 02000000")]), b"offset"),
-        (start() + frame(2, [rec("0d 03000000"), ACCEPT[:9] + b"\x05\x00" + ACCEPT[11:]]), b"class index 5"),
-        (start(b"not json"), b"settings"),
-        (start({k: v for k, v in CONFIG.items() if k != "siblings"}), b"siblings"),
-        (start({**CONFIG, "siblings": 0}), b"dispatchers"),
+        (start_frame()[:30], b"truncated"),
+        (start_frame()[:10], b"truncated frame header"),
+        (start_frame() + frame(2, [event_record("0d 03000000"), event_record("63")]), b"unknown event code 99"),
+        (start_frame() + frame(2, [event_record("0b 0000 ffff0000 02000000")]), b"offset"),
+        (
+            start_frame()
+            + frame(2, [event_record("0d 03000000"), REQUEST_RECORD[:9] + b"\x05\x00" + REQUEST_RECORD[11:]]),
+            b"class index 5",
+        ),
+        (start_frame(b"not json"), b"settings"),
+        (start_frame({k: v for k, v in CONFIG.items() if k != "siblings"}), b"siblings"),
+        (start_frame({**CONFIG, "siblings": 0}), b"dispatchers"),
     ],
 )
-def test_bad_input_gets_one_plain_message(data, words):
-    p = run(data)
-    assert p.returncode != 0
-    assert words in p.stderr
-    assert p.stderr.count(b"\n") == 1
+def test_invalid_input_ends_the_process_with_one_line_on_stderr(data, expected_text):
+    process = run(data)
+    assert process.returncode != 0
+    assert expected_text in process.stderr
+    assert process.stderr.count(b"\n") == 1
 
 
-def test_an_exception_goes_out_as_fault(monkeypatch):
+def test_an_exception_of_the_policy_is_reported_as_a_fault(monkeypatch):
     def broken(self, now, event):
         raise RuntimeError("boom")
 
     monkeypatch.setattr(simulator_adapter.DispatchPolicy, "handle", broken)
-    out = io.BytesIO()
-    simulator_adapter.run(io.BytesIO(start()), out)
-    assert b"RuntimeError: boom" in out.getvalue()
-    assert out.getvalue()[36] == 75
+    output = io.BytesIO()
+    simulator_adapter.run(io.BytesIO(start_frame()), output)
+    assert b"RuntimeError: boom" in output.getvalue()
+    assert output.getvalue()[36] == 75
 
 
-def test_restart_in_one_batch_forgets_what_the_old_one_said():
-    p = simulator_adapter.Process()
-    first = start()
-    p.batch(1, 4, 10_000_000, first[20:])
+def test_restart_within_one_frame_drops_the_actions_of_the_old_instance():
+    process = simulator_adapter.Process()
+    first = start_frame()
+    process.batch(1, 4, 10_000_000, first[20:])
     text = json.dumps(CONFIG).encode()
     records = [
-        rec("0d 03000000"),
-        ACCEPT,
-        rec("0a"),
+        event_record("0d 03000000"),
+        REQUEST_RECORD,
+        event_record("0a"),
         b"\x01" + struct.pack("<QII", 8, 0, len(text)) + bytes(31),
-        rec("02 02 2900000000000000 0000"),
+        event_record("02 02 2900000000000000 0000"),
     ]
-    reply = p.batch(2, 5, 10_005_000, b"".join(records) + text)
+    reply = process.batch(2, 5, 10_005_000, b"".join(records) + text)
     assert bytes.fromhex("c4913a5d39310c00") not in reply
 
 
-def test_every_action_has_its_record():
+def test_every_action_is_packed_as_a_record_of_24_bytes():
     tail = bytearray()
     records = simulator_adapter.pack(
         [
@@ -139,15 +143,15 @@
         ],
         tail,
     )
-    assert [r[0] for r in records] == [69, 77, 68, 65, 66, 67, 72, 71, 76, 73, 70]
-    assert all(len(r) == 24 for r in records)
+    assert [row[0] for row in records] == [69, 77, 68, 65, 66, 67, 72, 71, 76, 73, 70]
+    assert all(len(row) == 24 for row in records)
     assert bytes(tail) == b"hitwo"
     assert records[4] == bytes.fromhex("42 20a10700 4d00000000000000".replace(" ", "")).ljust(24, b"\0")
     assert records[9][:13] == bytes.fromhex("49ffffffff0000000002000000")
 
 
 class Recorder:
-    """An instance that keeps the events that it is given."""
+    """A policy instance that records the events it receives."""
 
     def __init__(self):
         self.events = []
@@ -157,14 +161,16 @@
         return []
 
 
-def test_outcome_with_and_without_a_report():
-    p, recorder = simulator_adapter.Process(), Recorder()
-    p.instances[0] = recorder
-    select = rec("0d 00000000")
-    body = rec("05 c4913a5d39310c00 0000 0a124a07c32b 0000 44480000 01 00 00")
-    p.batch(1, 2, 10_000_000, select + body)
-    body = body[:25] + b"\x02" + struct.pack("<2f", 1.5, 2.0) + body[34:]
-    p.batch(2, 2, 10_000_000, select + body)
-    without, with_report = recorder.events
-    assert without == interface.AttemptEnded(0xC31395D3A91C4, 0, WORKER, interface.AttemptResult.OK, 0x4844, True, None)
+def test_attempt_end_is_decoded_with_and_without_a_load_report():
+    process, recorder = simulator_adapter.Process(), Recorder()
+    process.instances[0] = recorder
+    select_instance = event_record("0d 00000000")
+    ended = event_record("05 c4913a5d39310c00 0000 0a124a07c32b 0000 44480000 01 00 00")
+    process.batch(1, 2, 10_000_000, select_instance + ended)
+    ended = ended[:25] + b"\x02" + struct.pack("<2f", 1.5, 2.0) + ended[34:]
+    process.batch(2, 2, 10_000_000, select_instance + ended)
+    without_report, with_report = recorder.events
+    assert without_report == interface.AttemptEnded(
+        0xC31395D3A91C4, 0, WORKER, interface.AttemptResult.OK, 0x4844, True, None
+    )
     assert with_report.load_report == (1.5, 2.0)
--- a/tests/load_balancing/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -1,4 +1,4 @@
-"""Many dispatchers with local and remote zones, health checks and hedging, and how they share discovery."""
+"""Policies of many dispatchers with zones, health checks and hedging, and how they spread their polls of discovery."""
 
 import random
 
@@ -10,31 +10,37 @@
 from tests.support.policy_driver import MS, SEC, Driver, sends
 
 
-def first_sends(driver, jobs, starts, number=1):
-    """Requests one by one; those sent to a zone of `starts` start at once. The zones of the first attempts."""
+def first_sends(driver, count, starting_zones, first_request=1):
+    """Play `count` requests one after the other, and return the zones of their first attempts.
+
+    Attempts in `starting_zones` start at once; the others wait and are cancelled in the end.
+    """
     zones = []
-    for rid in range(number, number + jobs):
-        driver.request(rid)
+    for request in range(first_request, first_request + count):
+        driver.request(request)
         sent = []
         for _ in range(50):
             for _, worker in sends(driver.advance(20 * MS)):
                 sent.append((worker, driver.policy.workers[worker].info.zone))
-                if sent[-1][1] in starts:
-                    driver.start(rid, len(sent) - 1, worker)
+                if sent[-1][1] in starting_zones:
+                    driver.start(request, len(sent) - 1, worker)
         zones.append(sent[0][1])
-        for n, (worker, zone) in enumerate(sent):
+        for attempt, (worker, zone) in enumerate(sent):
             driver.end(
-                rid, n, worker, interface.AttemptResult.OK if zone in starts else interface.AttemptResult.CANCELLED
+                request,
+                attempt,
+                worker,
+                interface.AttemptResult.OK if zone in starting_zones else interface.AttemptResult.CANCELLED,
             )
     return zones
 
 
 def test_first_attempts_stay_local_until_requests_start_at_once_only_remotely():
     driver = zoned()
-    calm = first_sends(driver, 60, starts={0, 1})
-    assert calm.count(1) == 0
-    busy = first_sends(zoned(seed=2), 120, starts={1})
-    assert 0.3 < busy[60:].count(1) / 60 < 0.9  # never all: the local zone must show when it is better again
+    all_start = first_sends(driver, 60, starting_zones={0, 1})
+    assert all_start.count(1) == 0
+    local_zone_waits = first_sends(zoned(seed=2), 120, starting_zones={1})
+    assert 0.3 < local_zone_waits[60:].count(1) / 60 < 0.9  # some stay local, so that a recovery is noticed
 
 
 def test_requests_are_hedged_at_growing_intervals():
@@ -42,25 +48,27 @@
     driver.request(1)
     sent = [driver.now for _ in range(1500) for _ in sends(driver.advance(2 * MS))]
     assert len(sent) == 4
-    gaps = [b - a for a, b in zip(sent, sent[1:], strict=False)]
+    gaps = [later - earlier for earlier, later in zip(sent, sent[1:], strict=False)]
     assert gaps[1] >= 3 * gaps[0]
     assert gaps[2] >= 3 * gaps[1]
 
 
 def test_one_slow_outlier_does_not_slow_its_machine_type():
-    """A run twenty times its hint, weighed by its length, had requests with ample time rejected without an attempt."""
+    """An uncapped run of twenty times its hint lowered the speed of the type so far that requests were rejected unsent."""
     driver = zoned()
-    for rid, slow in ((1, 20), (2, 1), (3, 1)):
-        (_, worker), *_ = sends([*driver.request(rid, 2 * SEC, 200 * SEC), *driver.advance(50 * MS)])
-        driver.start(rid, 0, worker)
-        driver.advance(slow * 2 * SEC)
-        driver.end(rid, 0, worker)
-    assert sends([*driver.request(9, 3 * SEC, 20 * SEC), *driver.advance(50 * MS)])  # aim 4 s and twice its hint
-    assert min(k.speed() for k in driver.policy.subsets.roster.machine_types.values()) > 0.5
-
-
-def test_long_run_counts_in_full_where_the_whole_fleet_is_used():
-    """Clipped there too, days of two dispatchers on real sockets came out lower in each of five pairs."""
+    for request, slowdown in ((1, 20), (2, 1), (3, 1)):
+        (_, worker), *_ = sends([*driver.request(request, 2 * SEC, 200 * SEC), *driver.advance(50 * MS)])
+        driver.start(request, 0, worker)
+        driver.advance(slowdown * 2 * SEC)
+        driver.end(request, 0, worker)
+    assert sends(
+        [*driver.request(9, 3 * SEC, 20 * SEC), *driver.advance(50 * MS)]
+    )  # its objective: 4 s plus twice its hint
+    assert min(machine_type.speed() for machine_type in driver.policy.subsets.roster.machine_types.values()) > 0.5
+
+
+def test_slow_run_counts_in_full_where_the_whole_fleet_is_used():
+    """Capping runs there as well lowered the score of two dispatchers on real sockets in each of five paired runs."""
     driver = Driver(
         workers=2, cls=interface.RequestClass("job", interface.RetrySemantics.IDEMPOTENT, 4 * SEC, 60 * SEC, 2.0)
     )
@@ -74,54 +82,63 @@
 
 def test_one_join_changes_few_workers_of_the_subsets():
     moved = []
-    for n in range(40):
-        driver = zoned(dispatcher_index=n)
-        before = {w.id for w in driver.policy.subsets.local + driver.policy.subsets.remote}
+    for index in range(40):
+        driver = zoned(dispatcher_index=index)
+        before = {worker.id for worker in driver.policy.subsets.local + driver.policy.subsets.remote}
         driver.handle(
             interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (interface.Endpoint("new", zone=0, cell=3),))
         )
-        moved.append(len({w.id for w in driver.policy.subsets.local + driver.policy.subsets.remote} - before))
+        moved.append(len({worker.id for worker in driver.policy.subsets.local + driver.policy.subsets.remote} - before))
     assert max(moved) <= 3
     assert sum(moved) <= 100
 
 
-def test_dispatchers_that_failed_together_do_not_poll_together_again():
-    """A failed call costs discovery as much as another: 24 that asked anew within half a second all failed again."""
-    for many_of in (40, 200):
-        asked = []
-        for n in range(many_of):
-            p, at = WatchSchedule(many_of, n, random.Random(n)), 0
-            for _ in range(4):  # two looks, after which it is out, and two more, all of them without an answer
-                call = p.call()
-                at += call.patience + p.failed(call, call.patience)
-            assert p.out
-            assert at < 4 * 3_500 * MS
-            asked.append(at)
-        assert max(sum(a <= x < a + 500 * MS for x in asked) for a in asked) <= 0.35 * many_of  # as before: 14 of 40
+def test_dispatchers_whose_polls_failed_together_spread_their_retries():
+    """Failed calls cost discovery as much as others: 24 retries within half a second all failed again."""
+    for dispatcher_count in (40, 200):
+        retry_times = []
+        for index in range(dispatcher_count):
+            schedule, elapsed = WatchSchedule(dispatcher_count, index, random.Random(index)), 0
+            for _ in range(4):  # all calls fail; discovery counts as unavailable after the second
+                call = schedule.call()
+                elapsed += call.patience + schedule.failed(call, call.patience)
+            assert schedule.out
+            assert elapsed < 4 * 3_500 * MS
+            retry_times.append(elapsed)
+        assert (
+            max(sum(begin <= time < begin + 500 * MS for time in retry_times) for begin in retry_times)
+            <= 0.35 * dispatcher_count
+        )  # 14 of 40
 
 
 @pytest.mark.parametrize(
-    ("local_share", "remote_share", "least", "most"),
+    ("local_share", "remote_share", "min_share", "max_share"),
     [(0.55, 0.5, 0.0, 0.0), (0.6, 0.4, 0.12, 0.28), (1.0, 0.0, 0.65, 0.75), (0.3, 0.6, 0.0, 0.0)],
     ids=["nearly_equal", "local_waits_more", "only_local_waits", "remote_waits_more"],
 )
-def test_remote_share_grows_with_the_difference_and_has_a_cap(local_share, remote_share, least, most):
+def test_remote_share_grows_with_the_difference_of_queueing_and_is_capped(
+    local_share, remote_share, min_share, max_share
+):
     driver = zoned()
     driver.policy.estimates.queueing_share = {False: local_share, True: remote_share}
-    assert least <= sum(driver.policy.selection.goes_remote() for _ in range(2000)) / 2000 <= most
+    assert min_share <= sum(driver.policy.selection.chooses_remote_zone() for _ in range(2000)) / 2000 <= max_share
 
 
 def test_hedged_requests_go_remote_when_requests_start_only_there():
     driver = zoned(seed=3)
-    first_sends(driver, 60, starts={1})
+    first_sends(driver, 60, starting_zones={1})
     driver.actions.clear()
-    first_sends(driver, 60, starts={1}, number=100)
-    zones = [driver.policy.workers[a.worker].info.zone for a in driver.actions if isinstance(a, interface.Send)]
+    first_sends(driver, 60, starting_zones={1}, first_request=100)
+    zones = [
+        driver.policy.workers[action.worker].info.zone
+        for action in driver.actions
+        if isinstance(action, interface.Send)
+    ]
     assert zones.count(1) > zones.count(0)
 
 
-def test_new_dispatcher_gives_health_checks_and_starts_the_time_of_a_connection():
-    """It waited 4 ms, in which no new connection comes up: no health check counted, and the first request was hedged at once."""
+def test_new_dispatcher_allows_health_checks_and_starts_the_time_to_connect():
+    """A limit of 4 ms was too short for a new connection: no health check counted, and the first request was hedged."""
     driver = zoned()
     assert not sends([*driver.request(1), *driver.advance(20 * MS)])
     assert len(sends(driver.advance(35 * MS))) == 1
@@ -129,24 +146,26 @@
 
 def test_no_worker_is_health_checked_twice_for_one_request():
     driver = zoned()
-    for rid in range(1, 60):
-        checked = [a.worker for a in driver.request(rid) if isinstance(a, interface.HealthCheck)]
+    for request in range(1, 60):
+        checked = [action.worker for action in driver.request(request) if isinstance(action, interface.HealthCheck)]
         assert len(set(checked)) == len(checked) > 0
         driver.advance(SEC)
 
 
-def test_hedged_request_prefers_a_worker_with_a_known_connection():
-    """Each to a worker without a connection opens one for one request."""
+def test_hedged_requests_prefer_workers_with_an_open_connection():
+    """A hedged request to any other worker opens a connection for that request alone."""
     driver = zoned()
-    without_connection = hedged = 0
-    for rid in range(1, 81):
-        driver.request(rid)
+    hedged_without_connection = hedged = 0
+    for request in range(1, 81):
+        driver.request(request)
         sent = sends(driver.advance(110 * MS))
         hedged += len(sent) - 1
-        without_connection += sum(not driver.policy.workers[w].last_report_at for _, w in sent[1:])
-        driver.start(rid, 0, sent[0][1])
-        for n, (_, worker) in enumerate(sent):
-            driver.end(rid, n, worker, interface.AttemptResult.CANCELLED if n else interface.AttemptResult.OK)
-        driver.advance(5 * SEC)  # what was reported of the others' load is old by then
+        hedged_without_connection += sum(not driver.policy.workers[worker].last_report_at for _, worker in sent[1:])
+        driver.start(request, 0, sent[0][1])
+        for attempt, (_, worker) in enumerate(sent):
+            driver.end(
+                request, attempt, worker, interface.AttemptResult.CANCELLED if attempt else interface.AttemptResult.OK
+            )
+        driver.advance(5 * SEC)  # the load reports are stale by then
     assert hedged > 20
-    assert without_connection < hedged / 4
+    assert hedged_without_connection < hedged / 4
