--- a/badgerroad/hot_restart/actions.py
+++ b/badgerroad/hot_restart/actions.py
@@ -199,9 +199,9 @@
 
     def _send_grant(self, peer: PeerProcess) -> None:
         peers, dispatcher = self._peers, self._dispatcher
-        attempts = state.attempts_out(dispatcher.decisions, self._attempt_reports.key)
+        attempts = state.export_attempts(dispatcher.decisions, self._attempt_reports.key)
         if peers.older is not None and peer is not peers.older:
-            attempts += peers.older.attempts.listed()
+            attempts += peers.older.attempts.export()
         # An older process that accepts again has the state: this one's attempts were reported to it.
         with_state = peer is peers.newer
         peer.send(snapshot.grant(dispatcher, attempts, peers.open_requests, with_state))
--- a/badgerroad/hot_restart/attempt_reports.py
+++ b/badgerroad/hot_restart/attempt_reports.py
@@ -28,7 +28,7 @@
         """An attempt goes out."""
         if not peers:
             return
-        slots, long, work = state.cost_of(self._dispatcher.decisions, attempt.request)
+        slots, long, work = state.attempt_cost(self._dispatcher.decisions, attempt.request)
         key = self.key(attempt.request, attempt.number)
         self._send(peers, messages.AttemptSent(key, attempt.worker, slots, long, work))
 
@@ -49,4 +49,4 @@
 def count_sent(sender: PeerProcess, message: messages.AttemptSent, now: int) -> None:
     """Count an attempt of `sender`; `now` in microseconds."""
     spent = now, message.work
-    sender.attempts.sent(message.attempt, message.worker, message.slots, message.long, spent)
+    sender.attempts.record_send(message.attempt, message.worker, message.slots, message.long, spent)
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -205,9 +205,9 @@
             case messages.AttemptSent():
                 count_sent(sender, message, now)
             case messages.AttemptStarted(attempt):
-                sender.attempts.started(attempt)
+                sender.attempts.record_start(attempt)
             case messages.AttemptEnded(attempt):
-                sender.attempts.over(attempt)
+                sender.attempts.record_end(attempt)
             case _:
                 raise BadPacketError(f"a message that is not expected: {message.kind}")
         third_process = self.peers.third_process(sender)
--- a/badgerroad/hot_restart/request_transfer.py
+++ b/badgerroad/hot_restart/request_transfer.py
@@ -58,7 +58,7 @@
         "hint": request.work_hint,
         "slots": request.slots,
         "attempts": [_attempt_fields(attempt, now) for attempt in request.attempts],
-        "job": state.job_out(dispatcher.decisions, request.number, now),
+        "job": state.export_request(dispatcher.decisions, request.number, now),
     }
     return RequestCopy(fields, order.body)
 
@@ -79,7 +79,7 @@
     """The request is another process's now: drop it without a message to its client or its workers."""
     for attempt in request.attempts:
         dispatcher.backend.release_attempt(attempt)
-    state.job_gone(dispatcher.decisions, request.number)
+    state.withdraw_request(dispatcher.decisions, request.number)
     request.exchange.answered = True
     request.open_attempts = 0
     if dispatcher.counts:
@@ -92,7 +92,7 @@
     now = dispatcher.clock.now()
     exchange = connection.exchange = Exchange(connection)
     order = _order(fields, body, now)
-    request_class = state.class_of(fields["cls"])
+    request_class = state.request_class_from_values(fields["cls"])
     request = OpenRequest(dispatcher.next_request_number(), order, exchange, request_class, now + fields["begun"])
     exchange.number = request.number
     request.work_hint = fields["hint"]
@@ -105,7 +105,9 @@
             request.open_attempts += 1
             dispatcher.backend.resume_attempt(attempt, attempt_fields["left"])
     dispatcher.register_request(request)
-    dispatcher.perform_actions(state.job_in(dispatcher.decisions, request.number, request_class, fields["job"], now))
+    dispatcher.perform_actions(
+        state.import_request(dispatcher.decisions, request.number, request_class, fields["job"], now)
+    )
 
 
 def _order(fields: dict[str, Any], body: bytes, now: int) -> ForwardedRequest:
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -38,7 +38,7 @@
     """`attempts`: those in flight, as `state` lists them; `open_elsewhere`: ids open in other processes; `with_state`:
     with what the decisions have learned."""
     return messages.Grant(
-        state=state.copy_out(dispatcher.decisions) if with_state else None,
+        state=state.export_learned_state(dispatcher.decisions) if with_state else None,
         attempts=attempts,
         open_requests=list({*dispatcher.requests_by_id, *open_elsewhere}),
     )
@@ -47,9 +47,9 @@
 def restore(dispatcher: Dispatcher, message: messages.Grant, sender: PeerProcess) -> None:
     """Put what a grant carries into the decisions, and into what is known of its sender."""
     if message.state is not None:
-        state.copy_in(dispatcher.decisions, message.state)
+        state.import_learned_state(dispatcher.decisions, message.state)
     for attempt, worker, slots, long, started in message.attempts:
-        sender.attempts.sent(attempt, worker, float(slots), bool(long), (0, 0.0))
+        sender.attempts.record_send(attempt, worker, float(slots), bool(long), (0, 0.0))
         if started:
-            sender.attempts.started(attempt)
+            sender.attempts.record_start(attempt)
     sender.open_requests = set(message.open_requests) - dispatcher.requests_by_id.keys()
--- a/benchmarks/handover_state.py
+++ b/benchmarks/handover_state.py
@@ -70,13 +70,13 @@
 for workers in (15, 200, 1_000):
     d = busy(workers)
     begun = time.perf_counter()
-    told = {"state": state.copy_out(d), "attempts": state.attempts_out(d, lambda r, n: f"1.{r}.{n}")}
+    told = {"state": state.export_learned_state(d), "attempts": state.export_attempts(d, lambda r, n: f"1.{r}.{n}")}
     out = (time.perf_counter() - begun) * 1e3
     begun = time.perf_counter()
-    state.copy_in(busy(workers), json.loads(json.dumps(told["state"])))
+    state.import_learned_state(busy(workers), json.loads(json.dumps(told["state"])))
     fresh = busy(workers)
     begun = time.perf_counter()
-    state.copy_in(fresh, told["state"])
+    state.import_learned_state(fresh, told["state"])
     into = (time.perf_counter() - begun) * 1e3
     for name, encode, decode in (
         ("json", lambda v: json.dumps(v, separators=(",", ":")).encode(), json.loads),
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -49,7 +49,7 @@
                     finished=True,
                 ),
             )
-    state.copy_in(new, json.loads(json.dumps(state.copy_out(old))))
+    state.import_learned_state(new, json.loads(json.dumps(state.export_learned_state(old))))
     assert (vars(new.hints), new.estimates.fastest_start) == (vars(old.hints), old.estimates.fastest_start)
     for w in "abc":
         a, b = old.workers[w], new.workers[w]
@@ -59,12 +59,12 @@
             vars(b.throughput),
             [tuple(x) for x in b.slow_start_sends],
         )
-    job = json.loads(json.dumps(state.job_out(old, 8, 5000)))
-    state.job_gone(old, 8)
+    job = json.loads(json.dumps(state.export_request(old, 8, 5000)))
+    state.withdraw_request(old, 8)
     assert not old.requests
     assert all(w.in_flight_slots == w.running_slots == 0 for w in old.workers.values())
     struck = new.workers[send.worker].consecutive_failures
-    state.job_in(new, 1, old.settings.classes[0], job, 6000)
+    state.import_request(new, 1, old.settings.classes[0], job, 6000)
     assert new.requests[1].deadline == 208 + 9_000_000 + 1000
     assert new.workers[send.worker].running_slots == 1
     assert (
@@ -83,13 +83,13 @@
 def test_attempts_of_the_other_process_count_until_they_end():
     d = fleet()
     others = state.PeerAttempts(d)
-    others.sent("x", "a", 2.0, True, (150, 5.0))
-    others.sent("y", "c", 1.0, False, (150, 5.0))
-    others.sent("y", "c", 1.0, False, (150, 5.0))  # told twice
-    others.started("x")
+    others.record_send("x", "a", 2.0, True, (150, 5.0))
+    others.record_send("y", "c", 1.0, False, (150, 5.0))
+    others.record_send("y", "c", 1.0, False, (150, 5.0))  # told twice
+    others.record_start("x")
     a, c = d.workers["a"], d.workers["c"]
     assert (a.in_flight_slots, a.long_in_flight, a.running_slots, list(a.slow_start_sends)) == (2.0, 1, 2.0, [])
     assert (c.in_flight_slots, list(c.slow_start_sends)) == (1.0, [(150, 5.0)])
-    others.over("x")
+    others.record_end("x")
     others.clear()
     assert a.in_flight_slots == a.long_in_flight == a.running_slots == c.in_flight_slots == 0
