--- a/badgerroad/load_balancing/policy/estimates.py
+++ b/badgerroad/load_balancing/policy/estimates.py
@@ -15,9 +15,9 @@
 UNKNOWN_QUEUE_LEVEL = 0.5
 """Queue level assumed for a worker of unknown load; 0 means a free slot, 1 means none."""
 OUTLIER_RUN_FACTOR = 3.0
-"""Where a subset is used, longer multiples of the expected work are capped in the statistics of the machine type.
+"""Multiple of the expected work at which a run is capped in the statistics of the machine type, if a subset is used.
 
-Such a long run reflects a problem of the single worker."""
+A longer run reflects a problem of the single worker."""
 BASE_EJECTION_US = 100_000
 """Duration of the ejection after a fault; doubled with each consecutive fault, up to FORGET_AFTER_US.
 
--- a/badgerroad/load_balancing/timers.py
+++ b/badgerroad/load_balancing/timers.py
@@ -20,7 +20,7 @@
         """When the current timer fires, which is also its token; 0 if none is set."""
 
     def __len__(self) -> int:
-        """The number of scheduled callbacks."""
+        """Return the number of scheduled callbacks."""
         return len(self.entries)
 
     def add(
