--- a/badgerroad/hot_restart/actions.py
+++ b/badgerroad/hot_restart/actions.py
@@ -207,9 +207,9 @@
 
     def _send_grant(self, peer: PeerProcess) -> None:
         peers, dispatcher = self._peers, self._dispatcher
-        attempts = state.attempts_out(dispatcher.decisions, self._attempt_reports.attempt_key)
+        attempts = state.export_attempts(dispatcher.decisions, self._attempt_reports.attempt_key)
         if peers.older is not None and peer is not peers.older:
-            attempts += peers.older.attempts.listed()
+            attempts += peers.older.attempts.export()
         # Only a newer process is sent the learned state. An older one that resumes has kept its own, and this process's
         # attempts were reported to it.
         with_state = peer is peers.newer
--- a/badgerroad/hot_restart/attempt_reports.py
+++ b/badgerroad/hot_restart/attempt_reports.py
@@ -28,7 +28,7 @@
         """Report to `peers` that an attempt is being sent, with its cost."""
         if not peers:
             return
-        slots, long, work = state.cost_of(self._dispatcher.decisions, attempt.request)
+        slots, long, work = state.attempt_cost(self._dispatcher.decisions, attempt.request)
         key = self.attempt_key(attempt.request, attempt.number)
         self._send(peers, messages.AttemptSent(key, attempt.worker, slots, long, work))
 
@@ -49,4 +49,4 @@
 def record_peer_attempt(sender: PeerProcess, message: messages.AttemptSent, now: int) -> None:
     """Count an attempt that `sender` has reported; `now` is in microseconds."""
     spent = now, message.work
-    sender.attempts.sent(message.attempt, message.worker, message.slots, message.long, spent)
+    sender.attempts.record_send(message.attempt, message.worker, message.slots, message.long, spent)
--- a/badgerroad/hot_restart/request_transfer.py
+++ b/badgerroad/hot_restart/request_transfer.py
@@ -59,7 +59,7 @@
         "hint": request.work_hint,
         "slots": request.slots,
         "attempts": [_attempt_fields(attempt, now) for attempt in request.attempts],
-        "job": state.job_out(dispatcher.decisions, request.number, now),
+        "job": state.export_request(dispatcher.decisions, request.number, now),
     }
     return RequestCopy(fields, forwarded.body)
 
@@ -80,7 +80,7 @@
     """Drop a request that another process has taken over, without a message to its client or its workers."""
     for attempt in request.attempts:
         dispatcher.backend.release_attempt(attempt)
-    state.job_gone(dispatcher.decisions, request.number)
+    state.withdraw_request(dispatcher.decisions, request.number)
     request.exchange.answered = True
     request.open_attempts = 0
     if dispatcher.counts:
@@ -93,7 +93,7 @@
     now = dispatcher.clock.now()
     exchange = connection.exchange = Exchange(connection)
     forwarded = _restore_forwarded_request(fields, body, now)
-    request_class = state.class_of(fields["cls"])
+    request_class = state.request_class_from_values(fields["cls"])
     request = OpenRequest(dispatcher.next_request_number(), forwarded, exchange, request_class, now + fields["begun"])
     exchange.number = request.number
     request.work_hint = fields["hint"]
@@ -106,7 +106,9 @@
             request.open_attempts += 1
             dispatcher.backend.resume_attempt(attempt, attempt_fields["left"])
     dispatcher.register_request(request)
-    dispatcher.perform_actions(state.job_in(dispatcher.decisions, request.number, request_class, fields["job"], now))
+    dispatcher.perform_actions(
+        state.import_request(dispatcher.decisions, request.number, request_class, fields["job"], now)
+    )
 
 
 def _restore_forwarded_request(fields: dict[str, Any], body: bytes, now: int) -> ForwardedRequest:
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -39,11 +39,11 @@
 ) -> messages.Grant:
     """Return the message that hands new requests over.
 
-    `attempts`: in flight, as `state.attempts_out` lists them; `peer_open_requests`: ids of requests that are open in
+    `attempts`: in flight, as `state.export_attempts` lists them; `peer_open_requests`: ids of requests that are open in
     other processes; `with_state`: include the learned state of the dispatch policy.
     """
     return messages.Grant(
-        state=state.copy_out(dispatcher.decisions) if with_state else None,
+        state=state.export_learned_state(dispatcher.decisions) if with_state else None,
         attempts=attempts,
         open_requests=list({*dispatcher.requests_by_id, *peer_open_requests}),
     )
@@ -52,9 +52,9 @@
 def restore(dispatcher: Dispatcher, message: messages.Grant, sender: PeerProcess) -> None:
     """Apply a grant: the learned state to the dispatch policy, attempts and open requests to the record of `sender`."""
     if message.state is not None:
-        state.copy_in(dispatcher.decisions, message.state)
+        state.import_learned_state(dispatcher.decisions, message.state)
     for attempt, worker, slots, long, started in message.attempts:
-        sender.attempts.sent(attempt, worker, float(slots), bool(long), (0, 0.0))
+        sender.attempts.record_send(attempt, worker, float(slots), bool(long), (0, 0.0))
         if started:
-            sender.attempts.started(attempt)
+            sender.attempts.record_start(attempt)
     sender.open_requests = set(message.open_requests) - dispatcher.requests_by_id.keys()
--- a/benchmarks/handover_state.py
+++ b/benchmarks/handover_state.py
@@ -75,13 +75,16 @@
 for workers in (15, 200, 1_000):
     policy = busy_policy(workers)
     started = time.perf_counter()
-    grant = {"state": state.copy_out(policy), "attempts": state.attempts_out(policy, lambda r, n: f"1.{r}.{n}")}
+    grant = {
+        "state": state.export_learned_state(policy),
+        "attempts": state.export_attempts(policy, lambda r, n: f"1.{r}.{n}"),
+    }
     save_ms = (time.perf_counter() - started) * 1e3
     started = time.perf_counter()
-    state.copy_in(busy_policy(workers), json.loads(json.dumps(grant["state"])))
+    state.import_learned_state(busy_policy(workers), json.loads(json.dumps(grant["state"])))
     fresh_policy = busy_policy(workers)
     started = time.perf_counter()
-    state.copy_in(fresh_policy, grant["state"])
+    state.import_learned_state(fresh_policy, grant["state"])
     restore_ms = (time.perf_counter() - started) * 1e3
     for name, encode, decode in (
         ("json", lambda v: json.dumps(v, separators=(",", ":")).encode(), json.loads),
