--- a/badgerroad/__init__.py
+++ b/badgerroad/__init__.py
@@ -1,3 +1,3 @@
-"""badgerroad: a dispatcher that pushes render jobs to workers, round the decisions of badgerroad.load_balancing."""
+"""badgerroad: a dispatcher that sends render jobs to workers, by the policy of badgerroad.load_balancing."""
 
 __version__ = "0.1.0"
--- a/badgerroad/__main__.py
+++ b/badgerroad/__main__.py
@@ -1,6 +1,6 @@
 """Entry point of `python -m badgerroad`.
 
-While a dispatcher restarts, others may be restarting too: what start-up takes is time in which nobody serves.
+Start-up must be short: all dispatchers may restart at the same time, and then no requests are served until they are up.
 """
 
 import gc
@@ -9,14 +9,15 @@
 
 
 def start() -> int:
-    """Run the command line; the exit code."""
-    # Tornado loads the system's certificates as it is imported, a fifth of the start; this program speaks no TLS.
+    """Run the command line and return the exit code."""
+    # Importing Tornado loads the system's certificates, which takes a fifth of the start-up time. This program does not
+    # use TLS.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
-    gc.disable()  # nothing that imports make is garbage
+    gc.disable()  # imports create no garbage worth collecting
     if sys.argv[1:2] in (["serve"], ["control"]):
         from badgerroad import startup_signals
 
-        startup_signals.install()  # the imports take longest, and a reload may be asked for meanwhile
+        startup_signals.install()  # a reload may be requested during the imports, which take most of the start-up time
     from badgerroad.cli import main
 
     gc.enable()
--- a/badgerroad/class_table.py
+++ b/badgerroad/class_table.py
@@ -1,7 +1,7 @@
-"""The indices of request classes: clients name a class, the decisions know it by its index in the settings.
+"""Assigns indices to request classes: clients refer to a class by name, the dispatch policy by its index in the settings.
 
-An index whose class has open requests is never given to another class: a class that is removed, or that comes back with
-other settings under its name, keeps its index, retired, until its last request has ended.
+The index of a class with open requests is never assigned to another class. A class that is removed, or replaced by one of
+the same name with other settings, is retired: it keeps its index until its last request has ended.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class ClassTable:
-    """The request classes by index, retired ones included, and the index of each current name."""
+    """The request classes by index, including retired ones, and the index of each current name."""
 
     def __init__(self, classes: Sequence[interface.RequestClass]) -> None:
         """Start with the classes of the settings, in their order."""
@@ -22,7 +22,7 @@
     def update(
         self, classes: Sequence[interface.RequestClass], indices_in_use: set[int]
     ) -> tuple[interface.RequestClass, ...]:
-        """Put new classes in force; open requests refer to `indices_in_use`. Returns all classes by index."""
+        """Put new classes in force and return all classes by index. Open requests refer to `indices_in_use`."""
         slots: list[interface.RequestClass | None] = [
             request_class if index in indices_in_use else None
             for index, request_class in enumerate(self.request_classes)
@@ -42,7 +42,7 @@
             index_by_name[request_class.name.encode()] = index
         while slots and slots[-1] is None:
             slots.pop()
-        # No name leads to an unused index in between; any class may fill it.
+        # No name refers to an unused index in between, so any class may stand there.
         self.request_classes = [classes[0] if request_class is None else request_class for request_class in slots]
         self.index_by_name = index_by_name
         return tuple(self.request_classes)
--- a/badgerroad/config.py
+++ b/badgerroad/config.py
@@ -1,6 +1,6 @@
-"""The configuration: the PROXY_* variables and the JSON file that PROXY_CONFIG names, read and checked.
+"""Reads and checks the configuration: the PROXY_* environment variables and the JSON file that PROXY_CONFIG names.
 
-The file's field names are mapped here; a ConfigError names the field as the file does.
+This module maps the field names of the file to those of the program. A ConfigError names the field as the file does.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class ConfigError(BadgerroadError):
-    """The configuration is not valid; the one line names the field."""
+    """The configuration is invalid. The text is one line that names the field."""
 
     code = "config"
-    remedy = "mend the field and try badgerroad check-config"
+    remedy = "correct the field and run badgerroad check-config"
 
 
-LEAST_SOCKETS = 64
+MIN_SOCKETS = 64
 
 
 class Config(NamedTuple):
@@ -40,37 +40,37 @@
     settings: interface.Settings
     zones: list[str]
     machine_types: list[str]
-    admin: Address | None = None  # the second listener's; None: there is none
-    settings_keys: frozenset[str] = frozenset()  # as the file has them
+    admin: Address | None = None  # of the admin listener; None if there is none
+    settings_keys: frozenset[str] = frozenset()  # the keys of `settings` in the file
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration for a start. Raises ConfigError."""
-    return read(_file(environment), environment)
+    """Load the configuration for a start. Raises ConfigError."""
+    return check_config(_read_data(environment), environment)
 
 
 def reload(environment: Mapping[str, str], present: Config) -> Config:
-    """The configuration for a reload of `present`. Raises ConfigError, also for what a start would accept: a key of the
-    present settings that is missing may have been lost on the way. PROXY_DISCOVERY is as old as the process, so the
-    file's `discovery` takes precedence."""
-    return reread(_file(environment), environment, present)
+    """Load the configuration for a reload that replaces `present`. Raises ConfigError, also for settings that a start would
+    accept: a key of the present settings that is missing may mean that the file is incomplete. PROXY_DISCOVERY dates from
+    the start of the process, so the file's `discovery` takes precedence over it."""
+    return check_reload(_read_data(environment), environment, present)
 
 
-def reread(data: dict[str, Any], environment: Mapping[str, str], present: Config) -> Config:
-    """As `reload`, with the file already parsed."""
-    fresh = read(data, {name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"})
+def check_reload(data: dict[str, Any], environment: Mapping[str, str], present: Config) -> Config:
+    """Check the file's JSON object for a reload, by the rules of `reload`. Raises ConfigError."""
+    fresh = check_config(data, {name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"})
     missing = present.settings_keys - fresh.settings_keys
     if missing:
-        raise ConfigError(f"settings: without {', '.join(sorted(missing))}, which the settings in force have")
+        raise ConfigError(f"settings: {', '.join(sorted(missing))} missing, but present in the settings in force")
     return fresh
 
 
-def _file(environment: Mapping[str, str]) -> dict[str, Any]:
-    return parse(text_of(environment), environment.get("PROXY_CONFIG", ""))
+def _read_data(environment: Mapping[str, str]) -> dict[str, Any]:
+    return parse(read_config_file(environment), environment.get("PROXY_CONFIG", ""))
 
 
-def text_of(environment: Mapping[str, str]) -> bytes:
-    """The bytes of the file that PROXY_CONFIG names. Raises ConfigError."""
+def read_config_file(environment: Mapping[str, str]) -> bytes:
+    """Return the content of the file that PROXY_CONFIG names. Raises ConfigError."""
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG: not set")
@@ -81,7 +81,7 @@
 
 
 def parse(text: bytes, path: str) -> dict[str, Any]:
-    """The file's JSON object; `path` is for the error. Raises ConfigError."""
+    """Parse the file's JSON object; `path` is named in errors. Raises ConfigError."""
     try:
         data = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -91,8 +91,8 @@
     return data
 
 
-def read(data: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    """Check the file's object. A variable that is set overrides the field of its name. Raises ConfigError."""
+def check_config(data: dict[str, Any], environment: Mapping[str, str]) -> Config:
+    """Check the file's JSON object. A PROXY_* variable that is set overrides the field of its name. Raises ConfigError."""
     seed = _seed(data)
     max_sockets = _max_sockets(data)
     settings = _settings(data)
@@ -128,7 +128,7 @@
         raise ConfigError("limits: not an object")
     process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = limits.get("sockets", process_limit)
-    if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < LEAST_SOCKETS:
+    if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < MIN_SOCKETS:
         raise ConfigError(f"limits.sockets: not a whole number of 64 or more: {sockets!r}")
     return min(sockets, process_limit) if process_limit > 0 else sockets
 
--- a/badgerroad/discovery/__init__.py
+++ b/badgerroad/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where lists of workers come from."""
+"""Discovery: where the dispatcher obtains its list of workers."""
--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list: first the cached one of the configuration, then kept current by a watch."""
+"""Keeps the endpoint list: starts with the cached list of the configuration and watches discovery for changes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 WIRE_LIST_LIMIT_BYTES = 4 * 1024 * 1024  # 10,000 workers take 1.4 MB, 2.5 MB with long names
 FETCH_TIMEOUT_US = 1_500_000
-# After a change of address the first list is asked for again and again for a while.
+# For this period after a change of discovery's address, failed calls are retried at the delay below and not reported.
 MOVE_RETRY_PERIOD_US = 3_000_000
 MOVE_RETRY_DELAY_US = 250_000
 TARGETS_PATH = b"/api/targets"
@@ -31,10 +31,10 @@
 
 
 class SilentWatchError(ConnectionBrokenError):
-    """A watch gave no answer when its wait was over; the connection itself shows no fault. Discovery may be healthy."""
+    """A watch was not answered in time, though its connection shows no fault. Discovery itself may be healthy."""
 
     code = "silent"
-    remedy = "nothing, if a worker list follows; else look at the network to discovery"
+    remedy = "nothing, if a worker list is received soon after; otherwise check the network to discovery"
 
 
 class EndpointWatch:
@@ -51,62 +51,63 @@
         number: int = 0,
         seed: int = 0,
     ) -> None:
-        """This is dispatcher `number` of `dispatchers`, which spread their calls by that; `seed` for random waits."""
+        """Watch for dispatcher `number` of `dispatchers`; both determine how its calls are staggered. `seed` is that of the
+        random waits."""
         self.wheel = wheel
         self.descriptors = descriptors
         self.reader = reader
         self.address = address
         self.on_update = on_update
         self.schedule = WatchSchedule(dispatchers, number, random.Random(seed))
-        self.version: int | None = None  # of the current list; None: a complete list is needed
-        self.has_answered = False  # or is known to be unavailable
+        self.version: int | None = None  # of the current list; None if a complete list is needed
+        self.has_answered = False  # also True once discovery counts as unavailable
         self.endpoints: dict[str, interface.Endpoint] = {}
         self.states: dict[str, str] = {}
         self.zones: dict[str, str] = {}
         self._watching = False
         self._wanted = False
-        self._address_changed_at_us: int | None = None  # until the new address has answered
+        self._address_changed_at_us: int | None = None  # None once the new address has answered
         self._address_changes = 0
         self._delay_over: asyncio.Event | None = None
         self._connection: CallConnection | None = None
 
     def load_cached(self, data: Any) -> None:
-        """Publish a cached list in wire form, possibly out of date. The watch then starts at its version: asking for
-        the changes costs discovery less than a complete list. Raises EndpointListError."""
+        """Publish a cached list in wire form, which may be out of date. The watch then starts at its version, since
+        sending the changes costs discovery less than a complete list. Raises EndpointListError."""
         parsed = self.reader.read(data, cached=True)
         self._publish(parsed)
         if parsed.update.entries:
             self.version = parsed.update.version
 
     def to_wire(self, addresses: dict[str, Address]) -> dict[str, Any]:
-        """The current list in wire form, for another process of this dispatcher."""
+        """Return the current list in wire form, for another process of this dispatcher."""
         return self.reader.write(self.endpoints.values(), addresses, self.version or 0)
 
     def subscribe(self, on: bool) -> None:
-        """Start the watch, or let it end after its present call."""
+        """Start the watch, or end it after the call in progress."""
         self._wanted = on
         if on and not self._watching:
             self._watching = True
             spawn(self._watch())
 
     def set_agent_mode(self, on: bool, stop_sending_within_us: int = 0) -> None:
-        """Whether an agent on this machine holds the list, so that sends must stop within that time of its change. An
-        agent's list is watched from the start, without being subscribed to."""
+        """Set whether an agent on this machine holds the list. If so, sends to a worker must stop within the given time
+        of a change, and the list is watched from the start, without a subscription."""
         if on:
-            self.schedule.agent(stop_sending_within_us)
+            self.schedule.use_agent(stop_sending_within_us)
             self.subscribe(True)
         else:
-            self.schedule.asked()
+            self.schedule.use_discovery()
 
     def change_address(self, address: Address) -> None:
-        """Watch discovery at another address, beginning with a complete list. Ends a call or delay in progress."""
+        """Watch discovery at another address, starting with a complete list. Ends a call or delay in progress."""
         if address == self.address:
             return
         self.address = address
         self._address_changed_at_us = self.wheel.clock.now()
         self._address_changes += 1
         self.version = None
-        self.schedule.look()
+        self.schedule.poll_next()
         if self._connection:
             self._connection.close()
         if self._delay_over:
@@ -115,7 +116,7 @@
             self.subscribe(True)
 
     def fetch(self) -> None:
-        """Ask once for a complete list, beside the watch; a failure is reported as a failed update."""
+        """Request a complete list once, independently of the watch. A failure is reported as a failed update."""
         spawn(self._fetch())
 
     def close(self) -> None:
@@ -146,71 +147,71 @@
         self.on_update(update, parsed.addresses)
 
     async def _watch(self) -> None:
-        """One call after another, without a delay while they succeed."""
+        """Make one call after another, without a delay while they succeed."""
         try:
-            await self._delay(self.schedule.before(self.version is not None))
+            await self._delay(self.schedule.first_call_delay(self.version is not None))
             while self._wanted:
                 await self._poll_once()
         finally:
             self._watching = False
             if self._wanted:
-                self._report_failure()  # without it the decisions would never subscribe again
+                self._report_failure()  # otherwise the dispatch policy would never subscribe again
 
     def _report_failure(self) -> None:
         self.has_answered = True
         self.on_update(interface.EndpointList(interface.ListScope.FAILED), {})
 
     async def _poll_once(self) -> None:
-        call = self.schedule.call()
+        call = self.schedule.next_call()
         address_changes = self._address_changes
         started_at_us = self.wheel.clock.now()
         try:
-            parsed = await self._call(self._watch_connection(), self._target(call), call.patience)
+            parsed = await self._call(self._watch_connection(), self._target(call), call.timeout_us)
             self._check_version(parsed.update)
         except (ConnectionBrokenError, EndpointListError) as error:
             took_us = self.wheel.clock.now() - started_at_us
-            delay_us = self.schedule.failed(call, took_us)
-            if isinstance(error, ConnectionBrokenError) and call.watches and took_us >= call.patience:
+            delay_us = self.schedule.call_failed(call, took_us)
+            if isinstance(error, ConnectionBrokenError) and call.is_watch and took_us >= call.timeout_us:
                 await self._retry_later(
-                    SilentWatchError(True, "the watch has fallen silent"), address_changes, delay_us
+                    SilentWatchError(True, "discovery did not answer a watch within its timeout"), address_changes, delay_us
                 )
             else:
                 await self._retry_later(error, address_changes, delay_us)
             return
         if address_changes != self._address_changes:
-            return  # an answer of the former address
+            return  # the answer came from the previous address
         self._address_changed_at_us = None
         self.version = parsed.update.version
         self.has_answered = True
-        self.schedule.answered()
+        self.schedule.call_answered()
         self._publish(parsed)
 
     def _target(self, call: Call) -> bytes:
         if self.version is None:
             return TARGETS_PATH
-        return TARGETS_PATH + b"?index=%d&wait=%d" % (self.version, call.wait // 1000)
+        return TARGETS_PATH + b"?index=%d&wait=%d" % (self.version, call.wait_us // 1000)
 
     def _check_version(self, update: interface.EndpointList) -> None:
         if update.scope != interface.ListScope.INCREMENTAL or self.version is None:
             return
         if update.version < self.version:
-            raise EndpointListError(f"version {update.version} after {self.version}")
+            raise EndpointListError(f"version {update.version} of the list is older than version {self.version}, received before")
 
     async def _retry_later(
         self, error: ConnectionBrokenError | EndpointListError, address_changes: int, delay_us: int
     ) -> None:
-        """Wait before the next call. The failure is reported only once discovery counts as unavailable, and not for
-        some time after a change of address."""
+        """Log a failed call and wait before the next one. The failure is reported to the dispatch policy only once
+        discovery counts as unavailable, and not within MOVE_RETRY_PERIOD_US of a change of address."""
         log.info("discovery_failed", code=error.code, error=str(error), again=delay_us // 1000)
         if address_changes != self._address_changes:
-            self.schedule.look()
+            self.schedule.poll_next()
             return
         if isinstance(error, EndpointListError):
             self.version = None
         if self._address_changed_recently():
-            self.schedule.look()
+            self.schedule.poll_next()
             delay_us = MOVE_RETRY_DELAY_US
-        elif self.schedule.out:
+        elif self.schedule.discovery_unavailable:
             self._report_failure()
         await self._delay(delay_us)
 
@@ -219,7 +220,7 @@
         return changed_at_us is not None and self.wheel.clock.now() - changed_at_us <= MOVE_RETRY_PERIOD_US
 
     async def _delay(self, delay_us: int) -> None:
-        """Wait; a change of address ends it."""
+        """Wait for `delay_us`, or until the address changes."""
         if delay_us <= 0 or not self._wanted:
             return
         self._delay_over = asyncio.Event()
@@ -248,10 +249,10 @@
         try:
             return CallConnection(self.descriptors, WIRE_LIST_LIMIT_BYTES)
         except OSError as error:
-            raise NoDescriptorError(False, f"no descriptor for discovery: {error}") from error
+            raise NoDescriptorError(False, f"no file descriptor for a connection to discovery: {error}") from error
 
     async def _call(self, connection: CallConnection, target: bytes, timeout_us: int) -> ParsedList:
-        """One call, closed after `timeout_us`. Raises ConnectionBrokenError and EndpointListError."""
+        """Make one call; the connection is closed after `timeout_us`. Raises ConnectionBrokenError and EndpointListError."""
         timer = self.wheel.after(timeout_us, connection.close, awaits_peer=True)
         host, port = self.address
         try:
@@ -261,8 +262,8 @@
         finally:
             timer.cancel()
         if answer.status != 200:
-            raise ConnectionBrokenError(True, f"status {answer.status}")
+            raise ConnectionBrokenError(True, f"discovery answered with status {answer.status}")
         try:
             return await self.reader.read_in_slices(json.loads(answer.body))
         except (ValueError, RecursionError) as error:
-            raise EndpointListError(f"not JSON: {error}") from error
+            raise EndpointListError(f"the list is not JSON: {error}") from error
--- a/badgerroad/discovery/reader.py
+++ b/badgerroad/discovery/reader.py
@@ -1,10 +1,10 @@
-"""Endpoint lists in discovery's wire form: the one place that knows its field names, for reading and for writing.
+"""Reads and writes endpoint lists in discovery's wire form. No other module knows the field names of that form.
 
-| wire | here |
+| wire form | program |
 | --- | --- |
-| `hosts`, `seq`, `whole` | the entries, the version, whether the list is complete (else incremental) |
+| `hosts`, `seq`, `whole` | the entries, the version, whether the list is complete or incremental |
 | `host`, `dial`, `health` | worker, address, state |
-| `site`, `class`, `block` | zone, machine type, cell; the first two by name, inside by index |
+| `site`, `class`, `block` | zone, machine type, cell; zone and machine type are names on the wire and indices here |
 | `share`, `born_ms` | weight, `started_at` (microseconds) |
 """
 
@@ -19,7 +19,7 @@
 from badgerroad.load_balancing import interface
 from badgerroad.net.connection import Address
 
-SLICE_LENGTH = 250  # entries read without a break: 10,000 take 60 ms, in which nobody else would be served
+SLICE_LENGTH = 250  # entries read without yielding to the event loop: 10,000 at once would block it for 60 ms
 MICROSECONDS_PER_MILLISECOND = 1000
 STATE_BY_WIRE_NAME = {
     "ready": interface.WorkerState.READY,
@@ -30,45 +30,46 @@
 
 
 class EndpointListError(BadgerroadError):
-    """What came is not a list of hosts."""
+    """The data received from discovery is not a valid endpoint list."""
 
     code = "list"
-    remedy = "ask discovery for /api/targets by hand and look at the entry named"
+    remedy = "request /api/targets from discovery by hand and check the entry named"
 
 
 class ParsedList(NamedTuple):
-    """An endpoint list as the decisions read it, and the addresses of its workers."""
+    """An endpoint list in the form that the dispatch policy reads, and the addresses of its workers."""
 
     update: interface.EndpointList
     addresses: dict[str, Address]
 
 
 def address_of(text: object) -> Address:
-    """`host:port` as a pair. Raises ValueError."""
+    """Return the host and port of a text `host:port`. Raises ValueError."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text!r}")
+        raise ValueError(f"not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
 def empty_wire_list() -> dict[str, Any]:
-    """A complete list of no workers."""
+    """Return a complete list without workers, in wire form."""
     return {"seq": 0, "whole": True, "hosts": []}
 
 
 class EndpointListReader:
-    """Reads and writes endpoint lists. Zones and machine types are names on the wire and indices inside; names that the
-    settings do not have get indices after theirs."""
+    """Reads and writes endpoint lists. Zones and machine types are names on the wire and indices in the program; names
+    that are missing from the settings get the indices after those of the settings."""
 
     def __init__(self, zones: list[str], machine_types: list[str]) -> None:
-        """`zones` and `machine_types`: the names of the settings, in their order."""
+        """Start with the names of the settings; their positions become the indices."""
         self.zones = list(zones)
         self.machine_types = list(machine_types)
 
     def renumbered(
         self, settings: interface.Settings, zones: list[str], machine_types: list[str]
     ) -> interface.Settings:
-        """Settings whose indices refer to the given lists, with the indices of this reader, which never change."""
+        """Return the settings with their zone and machine type indices translated from the given lists to this reader's,
+        which never change."""
         zone = settings.zone
         if zone < len(zones):
             zone = self._index_of(self.zones, zones[zone])
@@ -81,7 +82,7 @@
         return settings._replace(zone=zone, classes=tuple(classes))
 
     def read(self, data: Any, cached: bool = False) -> ParsedList:
-        """Read a list at once; `cached`: it may be out of date. Raises EndpointListError."""
+        """Read a whole list without yielding. `cached` marks a list that may be out of date. Raises EndpointListError."""
         entries: list[interface.Endpoint] = []
         addresses: dict[str, Address] = {}
         for hosts in self._slices(data):
@@ -89,7 +90,7 @@
         return ParsedList(self._update(data, cached, entries), addresses)
 
     async def read_in_slices(self, data: Any) -> ParsedList:
-        """Read a list, letting others run between the slices of a long one. Raises EndpointListError."""
+        """Read a list, yielding to the event loop between slices. Raises EndpointListError."""
         entries: list[interface.Endpoint] = []
         addresses: dict[str, Address] = {}
         for number, hosts in enumerate(self._slices(data)):
@@ -101,7 +102,7 @@
     def write(
         self, endpoints: Iterable[interface.Endpoint], addresses: dict[str, Address], version: int
     ) -> dict[str, Any]:
-        """A complete list in wire form, for another process of this dispatcher. Skips workers without an address."""
+        """Return a complete list in wire form, for another process of this dispatcher. Omits workers without an address."""
         hosts = [
             self._wire_host(endpoint, addresses[str(endpoint.worker)])
             for endpoint in endpoints
@@ -161,10 +162,10 @@
         name = host["host"]
         state = STATE_BY_WIRE_NAME[host["health"]]
         if not isinstance(name, str) or not name:
-            raise ValueError("a host without a name")
+            raise ValueError("a host entry has no name")
         weight = float(host.get("share", 1.0))
         if not math.isfinite(weight):
-            raise ValueError(f"share of {name}")
+            raise ValueError(f"share of {name} is not a finite number")
         if state != _GONE or "dial" in host:
             addresses[name] = address_of(host["dial"])
         return interface.Endpoint(
--- a/badgerroad/discovery/watch_schedule.py
+++ b/badgerroad/discovery/watch_schedule.py
@@ -1,129 +1,155 @@
-"""When discovery is asked, how long an answer is waited for, and when it counts as out: rules without I/O or a clock.
+"""Decides when discovery is called, how long an answer is awaited, and when discovery counts as unavailable.
 
-What discovery has to tell counts as told TOLD after it had it and could be reached, whatever calls failed meanwhile. So
-much later at most it is known here, if one of the two looks that fall into that time is answered (docs/silence.md):
+The module holds rules only, without I/O or a clock; all times are in microseconds. A call is either a watch, which
+discovery answers when the endpoint list changes or the requested wait ends, or a poll, which it answers at once.
 
-    a watch that falls silent         WAIT + SILENCE + LOOKS x CALL_TIME       6.0 s
-    a watch that breaks               MOST_TURN + LOOKS x CALL_TIME            4.7 s
-    discovery is back after an outage 2 x PERIOD                               5.6 s
-    a new process                     MOST_FIRST + CALL_TIME                   5.5 s
+Each change of the endpoint list must be known here within NOTIFICATION_DEADLINE_US of the moment when discovery had it
+and could be reached, even if calls fail in that time. This holds if one of the two polls that fall into that time is
+answered (docs/silence.md). The longest delays are:
 
-Where an agent on the same machine holds the list, what it has counts as told at once, and sends have to stop `within`
-so long: it is asked anew in parts of that, which burdens nobody else.
+    an unanswered watch       MAX_WATCH_WAIT + WATCH_ANSWER_GRACE + FAILED_POLLS_BEFORE_UNAVAILABLE x POLL_TIMEOUT 6.0 s
+    a broken watch            MAX_STAGGER + FAILED_POLLS_BEFORE_UNAVAILABLE x POLL_TIMEOUT                         4.7 s
+    the end of an outage      2 x UNAVAILABLE_POLL_PERIOD                                                          5.6 s
+    the start of a process    MAX_FIRST_CALL_STAGGER + POLL_TIMEOUT                                                5.5 s
 
-Discovery serves all dispatchers in turn, and calls that nobody waits for any more cost it time too. A watch that goes
-on costs it next to nothing (0 ms each where a look took 17 to 27, with 200 dispatchers), so waits are short, and drawn
-anew for each: those of all dispatchers must not end together. Looks take turns.
+Where an agent on the same machine holds the list, a change counts as known as soon as the agent has it, and sends must
+stop within the time that the settings give. The agent is therefore called at intervals that are fractions of that time;
+these calls put no load on discovery.
+
+Discovery serves the dispatchers' calls one after another, and calls that the dispatcher has given up still cost it time.
+With 200 dispatchers a poll took it 17 to 27 ms, and continuing a watch took 0 ms. Watches can therefore be short. Their
+waits are random, so that the watches of all dispatchers do not end together, and polls are staggered.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple, Protocol
 
-TOLD = 6_000_000
-LEAST_WAIT, WAIT = 300_000, 2_300_000
-# Beyond its wait, how long a watch is waited for. Answers without news come with it, but up to 1 s late where too many
-# call.
-SILENCE = 700_000
-CALL_TIME = 1_500_000  # how long a look is waited for: it waits in turn with those of all dispatchers
-LOOKS = 2  # that fail before discovery counts as out
-AGAIN = 350_000  # from the begin of a look that failed at once to the next
-FEW = 4  # dispatchers that may ask at one moment
-# For each dispatcher there is, what looks are spread over that all would begin at one moment: after their watches
-# broke, when discovery counts as out, and at the start.
-TURN, MOST_TURN = 40_000, 1_700_000
-FIRST, MOST_FIRST = 100_000, 4_000_000
-GOLDEN = 0.618034
-# From the begin of one look to that of the next while discovery is out: of few, and of many, who take turns.
-# 214 dispatchers met a discovery that served some 60 to 90 looks a second.
-FEWS_PERIOD, PERIOD = 1_600_000, 2_800_000
-# Of the time within which sends must stop: the agent's wait, how long it may be silent, and the pause after a failure.
-AGENT_WAIT, AGENT_SILENCE, AGENT_PAUSE = 0.4, 0.2, 0.1
-LEAST_AGENT = 100_000  # where the settings leave it no time at all
-
-
-class Draws(Protocol):
-    """A source of random numbers of the caller's own."""
+NOTIFICATION_DEADLINE_US = 6_000_000
+MIN_WATCH_WAIT_US, MAX_WATCH_WAIT_US = 300_000, 2_300_000
+# How long after its wait a watch is still awaited. A watch without changes is answered when its wait ends, but up to
+# 1 s later when discovery is overloaded.
+WATCH_ANSWER_GRACE_US = 700_000
+POLL_TIMEOUT_US = 1_500_000  # covers the time for which discovery queues a poll behind those of other dispatchers
+FAILED_POLLS_BEFORE_UNAVAILABLE = 2
+POLL_RETRY_INTERVAL_US = 350_000  # from the start of a poll that failed at once to the start of the next one
+MAX_UNSTAGGERED_DISPATCHERS = 4  # up to this number, all dispatchers may call discovery at the same moment
+# Polls that would start at the same moment in all dispatchers (after their watches broke, or when discovery becomes
+# unavailable) are spread over this time for each dispatcher, up to the maximum.
+STAGGER_PER_DISPATCHER_US, MAX_STAGGER_US = 40_000, 1_700_000
+# The same for the first call of a process, as many dispatchers may start together.
+FIRST_CALL_STAGGER_PER_DISPATCHER_US, MAX_FIRST_CALL_STAGGER_US = 100_000, 4_000_000
+GOLDEN_RATIO_CONJUGATE = 0.618034
+# From the start of one poll to the start of the next while discovery is unavailable: for a fleet small enough to need no
+# staggering, and for a larger one. 214 dispatchers met a discovery that served some 60 to 90 polls a second.
+SMALL_FLEET_UNAVAILABLE_POLL_PERIOD_US, UNAVAILABLE_POLL_PERIOD_US = 1_600_000, 2_800_000
+# Fractions of the time within which sends must stop: the wait of a watch at the agent, how long after that wait an
+# answer is awaited, and the delay after a failed call.
+AGENT_WAIT_FRACTION, AGENT_ANSWER_GRACE_FRACTION, AGENT_RETRY_DELAY_FRACTION = 0.4, 0.2, 0.1
+MIN_STOP_SENDING_TIME_US = 100_000  # used where the settings give the agent no time
+
+
+class RandomSource(Protocol):
+    """A random number generator that the caller owns."""
 
     def randint(self, a: int, b: int) -> int:
-        """A number from `a` to `b`, both included."""
+        """Return a number from `a` to `b`, both included."""
 
 
 class Call(NamedTuple):
     """One call to discovery: a watch, which waits for changes, or a poll."""
 
-    wait: int  # microseconds that discovery may wait for news; 0: it answers at once
-    patience: int  # how long the answer is waited for
+    wait_us: int  # how long discovery may wait for a change before it answers; 0 for a poll
+    timeout_us: int  # how long the answer is awaited
 
     @property
-    def watches(self) -> bool:
-        """Whether it is a watch."""
-        return self.wait > 0
+    def is_watch(self) -> bool:
+        """Whether this call is a watch."""
+        return self.wait_us > 0
 
 
 class WatchSchedule:
-    """The calls of one dispatcher, one after another. All times are in microseconds."""
-
-    def __init__(self, dispatchers: int, number: int, draws: Draws) -> None:
-        """This is dispatcher `number` of `dispatchers`, which spread their calls by that."""
-        self._draws, self._many = draws, dispatchers if dispatchers > FEW else 0
-        self._turn = number * GOLDEN % 1  # from 0 to 1; evenly spread over any of the dispatchers
-        self.within = 0  # an agent's list: the time within which sends must stop; 0: discovery is asked
-        self._looking, self._failures = True, 0
-        self._begun = False
-
-    def agent(self, within: int) -> None:
-        """From now on an agent holds the list."""
-        self.within = max(within, LEAST_AGENT)
-
-    def asked(self) -> None:
-        """From now on discovery is asked."""
-        self.within = 0
-
-    def before(self, holds_list: bool) -> int:
-        """The pause before the first call. Without a list nothing could be served meanwhile."""
-        if self._begun or self.within or not holds_list:
+    """Schedules the calls of one dispatcher to discovery, or to the agent that holds the list."""
+
+    def __init__(self, dispatchers: int, number: int, random_source: RandomSource) -> None:
+        """Schedule for dispatcher `number` of `dispatchers`; both determine how its calls are staggered."""
+        self._random_source = random_source
+        self._staggered_dispatchers = dispatchers if dispatchers > MAX_UNSTAGGERED_DISPATCHERS else 0
+        # From 0 to 1. Multiples of the golden ratio, modulo 1, spread any run of dispatcher numbers evenly.
+        self._stagger_position = number * GOLDEN_RATIO_CONJUGATE % 1
+        self.stop_sending_within_us = 0  # 0 while discovery itself is called rather than an agent
+        self._next_is_poll, self._failed_polls = True, 0
+        self._started = False
+
+    def use_agent(self, stop_sending_within_us: int) -> None:
+        """Schedule calls to an agent on this machine, which holds the list."""
+        self.stop_sending_within_us = max(stop_sending_within_us, MIN_STOP_SENDING_TIME_US)
+
+    def use_discovery(self) -> None:
+        """Schedule calls to discovery itself."""
+        self.stop_sending_within_us = 0
+
+    def first_call_delay(self, has_list: bool) -> int:
+        """Return the delay before the first call. It is 0 without a list, since no request could be served until then."""
+        if self._started or self.stop_sending_within_us or not has_list:
             return 0
-        return int(self._turn * min(FIRST * self._many, MOST_FIRST))
-
-    def call(self) -> Call:
-        """The next call."""
-        self._begun = True
-        if self._looking:
-            patience = int(self.within * AGENT_SILENCE) if self.within else CALL_TIME
-            return Call(0, self._period if self.out and not self.within else patience)
-        if self.within:
-            wait = int(self.within * AGENT_WAIT)
-            return Call(wait, wait + int(self.within * AGENT_SILENCE))
-        wait = self._draws.randint(LEAST_WAIT, WAIT)
-        return Call(wait, wait + SILENCE)
+        return int(
+            self._stagger_position
+            * min(FIRST_CALL_STAGGER_PER_DISPATCHER_US * self._staggered_dispatchers, MAX_FIRST_CALL_STAGGER_US)
+        )
+
+    def next_call(self) -> Call:
+        """Return the next call to make."""
+        self._started = True
+        if self._next_is_poll:
+            timeout_us = (
+                int(self.stop_sending_within_us * AGENT_ANSWER_GRACE_FRACTION)
+                if self.stop_sending_within_us
+                else POLL_TIMEOUT_US
+            )
+            return Call(
+                0,
+                self._unavailable_poll_period_us
+                if self.discovery_unavailable and not self.stop_sending_within_us
+                else timeout_us,
+            )
+        if self.stop_sending_within_us:
+            wait_us = int(self.stop_sending_within_us * AGENT_WAIT_FRACTION)
+            return Call(wait_us, wait_us + int(self.stop_sending_within_us * AGENT_ANSWER_GRACE_FRACTION))
+        wait_us = self._random_source.randint(MIN_WATCH_WAIT_US, MAX_WATCH_WAIT_US)
+        return Call(wait_us, wait_us + WATCH_ANSWER_GRACE_US)
 
     @property
-    def out(self) -> bool:
+    def discovery_unavailable(self) -> bool:
         """Whether discovery counts as unavailable."""
-        return self._failures >= LOOKS
-
-    def answered(self) -> None:
-        """The call was answered: the next one is a watch."""
-        self._looking, self._failures = False, 0
-
-    def look(self) -> None:
-        """The next call does not wait: the list may be another one."""
-        self._looking, self._failures = True, 0
-
-    def failed(self, call: Call, took: int) -> int:
-        """The pause before the next call, which is a look. `took`: since this one began."""
-        self._looking = True
-        if call.watches and took >= call.patience:
-            return 0  # silent: the ends of all such watches are spread
-        self._failures += not call.watches
-        if self.within:
-            return int(self.within * AGENT_PAUSE)
-        turn = min(TURN * self._many, MOST_TURN) if call.watches else 0
-        if self._failures == LOOKS and self._many:
-            turn, took = MOST_TURN, PERIOD
-        return max((self._period if self.out else AGAIN) - took, int(self._turn * turn))
+        return self._failed_polls >= FAILED_POLLS_BEFORE_UNAVAILABLE
+
+    def call_answered(self) -> None:
+        """Record that the call was answered. The next call is a watch."""
+        self._next_is_poll, self._failed_polls = False, 0
+
+    def poll_next(self) -> None:
+        """Make the next call a poll, because the list may have been replaced."""
+        self._next_is_poll, self._failed_polls = True, 0
+
+    def call_failed(self, call: Call, elapsed_us: int) -> int:
+        """Record that a call failed `elapsed_us` after its start. Returns the delay before the next call, a poll."""
+        self._next_is_poll = True
+        if call.is_watch and elapsed_us >= call.timeout_us:
+            return 0  # needs no staggering: watches that time out do so at random moments
+        self._failed_polls += not call.is_watch
+        if self.stop_sending_within_us:
+            return int(self.stop_sending_within_us * AGENT_RETRY_DELAY_FRACTION)
+        stagger_us = (
+            min(STAGGER_PER_DISPATCHER_US * self._staggered_dispatchers, MAX_STAGGER_US) if call.is_watch else 0
+        )
+        if self._failed_polls == FAILED_POLLS_BEFORE_UNAVAILABLE and self._staggered_dispatchers:
+            stagger_us, elapsed_us = MAX_STAGGER_US, UNAVAILABLE_POLL_PERIOD_US
+        return max(
+            (self._unavailable_poll_period_us if self.discovery_unavailable else POLL_RETRY_INTERVAL_US) - elapsed_us,
+            int(self._stagger_position * stagger_us),
+        )
 
     @property
-    def _period(self) -> int:
-        return PERIOD if self._many else FEWS_PERIOD
+    def _unavailable_poll_period_us(self) -> int:
+        return UNAVAILABLE_POLL_PERIOD_US if self._staggered_dispatchers else SMALL_FLEET_UNAVAILABLE_POLL_PERIOD_US
--- a/badgerroad/dispatcher/__init__.py
+++ b/badgerroad/dispatcher/__init__.py
@@ -1,4 +1,4 @@
-"""The dispatcher: hosts the decisions of `load_balancing` and performs their actions on real sockets."""
+"""The dispatcher: runs the dispatch policy of `load_balancing` and performs its actions on real sockets."""
 
 from badgerroad.dispatcher.core import Dispatcher
 
--- a/badgerroad/dispatcher/active_settings.py
+++ b/badgerroad/dispatcher/active_settings.py
@@ -1,4 +1,4 @@
-"""The settings in force: the request classes and tenants by name, and how a change of settings is merged into them."""
+"""Holds the settings in force, with request classes and tenants by name, and applies changes of the settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ActiveSettings:
-    """`current` is replaced as a whole at a reload; whoever needs a setting reads it here at the time of use."""
+    """The settings in force. A reload replaces `current` as a whole, so a setting must be read here at each use."""
 
     def __init__(self, settings: interface.Settings) -> None:
         """Start with the settings of the configuration."""
@@ -16,7 +16,7 @@
         self.tenants = _indices_by_name(settings)
 
     def replace(self, settings: interface.Settings, open_classes: set[interface.RequestClass]) -> None:
-        """Put new settings in force. A class in `open_classes` keeps its index, since open requests refer to it."""
+        """Put new settings in force. A class in `open_classes` keeps its index, because open requests refer to it."""
         indices_in_use = {
             index for index, request_class in enumerate(self.classes.request_classes) if request_class in open_classes
         }
@@ -25,7 +25,7 @@
         self.tenants = _indices_by_name(settings)
 
     def knows_class(self, path: bytes) -> bool:
-        """Whether the first segment of a request's path names a request class."""
+        """Return whether the first segment of a request's path names a request class."""
         segments = path.split(b"/")
         return len(segments) > 1 and segments[1] in self.classes.index_by_name
 
--- a/badgerroad/dispatcher/attempts.py
+++ b/badgerroad/dispatcher/attempts.py
@@ -1,4 +1,4 @@
-"""Performs the decisions' actions on requests and attempts, and reports how attempts ended."""
+"""Performs the dispatch policy's actions on requests and attempts, and reports to it how attempts ended."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from badgerroad.admin.counters import Counters
 
 MICROSECONDS_PER_SECOND = 1e6
-DEADLINE_TOLERANCE_TICKS = 10  # a failure so close to the deadline is answered as a timeout
+DEADLINE_TOLERANCE_TICKS = 10  # a failure within so many ticks of the deadline is answered as a timeout
 
 
 class Attempts:
-    """Owns the backend. An attempt belongs to an open request; its end is reported to the decisions exactly once."""
+    """Owns the backend. Each attempt belongs to an open request; its end is reported to the policy exactly once."""
 
     def __init__(
         self,
@@ -41,7 +41,8 @@
         release_descriptors: Callable[[], None],
         counts: Counters | None,
     ) -> None:
-        """`zone_of` names a worker's zone for the log; `release_descriptors` closes idle client connections."""
+        """Set up the backend. `zone_of` returns the name of a worker's zone, for the log; `release_descriptors` closes
+        idle client connections."""
         self._clock = wheel.clock
         self._settings = settings
         self._host = host
@@ -60,7 +61,7 @@
         )
 
     def send(self, action: interface.Send) -> None:
-        """Start an attempt, or report it as not needed where it may not be sent any more."""
+        """Start an attempt, or report it as not needed if it may no longer be sent."""
         request = self._requests.by_number[action.request]
         attempt = Attempt(
             action.request, len(request.attempts), request.forwarded, str(action.worker), self._clock.now()
@@ -73,18 +74,18 @@
             return
         for extension in self._extensions.active:
             extension.attempt_sent(request, attempt)
-        # Without retries nothing is gained by giving up early on a worker that does not accept.
+        # A request that may not be retried gains nothing from giving up early on a worker that does not accept it.
         idempotent = request.request_class.semantics != interface.RetrySemantics.NON_IDEMPOTENT
         self.backend.start_attempt(attempt, action.timeout, ACCEPT_TIMEOUT_US if idempotent else 0)
 
     def reject(self, action: interface.Reject) -> None:
-        """Answer 503, with Retry-After where the settings allow it."""
+        """Answer a request with 503, and with Retry-After if the settings allow that."""
         request = self._requests.by_number.get(action.request)
         if request:
             self._requests.answer(request, 503, b"refused\n", self._retry_after_headers(action.retry_after))
 
     def fail(self, action: interface.Fail) -> None:
-        """Answer 504 at the request's deadline, 502 before it."""
+        """Answer a request with 504 at its deadline or shortly before it, and with 502 earlier than that."""
         request = self._requests.by_number.get(action.request)
         if request:
             tolerance_us = DEADLINE_TOLERANCE_TICKS * self._settings.current.tick
@@ -113,8 +114,8 @@
         )
 
     def _may_begin(self, attempt: Attempt) -> bool:
-        """The last check before an attempt's first byte is written: the client may have left unnoticed, or the
-        decisions may have changed since the action."""
+        """Return whether an attempt may still be sent; called just before its first byte is written. The client may have
+        disconnected unnoticed, or the policy may no longer allow the attempt."""
         exchange = self._requests.by_number[attempt.request].exchange
         if not exchange.answered and exchange.client_has_closed():
             exchange.close()
@@ -130,7 +131,7 @@
         if result == interface.AttemptResult.OK:
             self._requests.answer(request, 200, body)
         elif result == interface.AttemptResult.INVALID_REQUEST and not request.open_attempts:
-            # Any other worker would reject it too. While a hedged request is in flight, that one decides.
+            # Any other worker would reject the request too. While another attempt is in flight, its result is awaited.
             self._requests.answer(request, attempt.status, b"the host that was asked cannot use it\n")
         now_us = self._clock.now()
         request_log.log_attempt_ended(request, attempt, self._zone_of(attempt.worker), result, now_us)
--- a/badgerroad/dispatcher/core.py
+++ b/badgerroad/dispatcher/core.py
@@ -1,4 +1,4 @@
-"""The dispatcher: puts its collaborators together and is the interface to start-up, extensions and other processes."""
+"""The dispatcher: assembles its components and is the interface for start-up, extensions and other processes."""
 
 from __future__ import annotations
 
@@ -33,12 +33,13 @@
 
 
 class Dispatcher:
-    """One dispatcher process's part that serves clients; `start` opens its listener."""
+    """The part of a dispatcher process that serves clients. `start` opens its listener."""
 
     def __init__(
         self, config: Config, wheel: TimerWheel, counts: Counters | None = None, reserved_descriptors: int = 0
     ) -> None:
-        """`counts` is None where no second listener shows them; `reserved_descriptors` are left for other uses."""
+        """Assemble the dispatcher. `counts` is None if no admin listener serves them; `reserved_descriptors` file
+        descriptors are left for other uses."""
         self.config = config
         self.wheel = wheel
         self.clock = wheel.clock
@@ -121,29 +122,29 @@
         return self._extensions.active
 
     def set_extension(self, name: str, extension: DispatcherExtension | None) -> None:
-        """Replace the extension of that name and pass it the settings; None removes it."""
+        """Set or replace the extension of that name and pass it the settings; None removes it."""
         self._extensions.set(name, extension)
         if extension is not None:
             extension.settings_changed(self.settings)
 
     def extension(self, name: str) -> DispatcherExtension | None:
-        """The extension of that name, or None."""
+        """Return the extension of that name, or None."""
         return self._extensions.get(name)
 
     def start(self, shared: bool = False) -> Address:
-        """Listen and start discovery. `shared`: other processes may listen at the same address. Raises OSError."""
+        """Listen and start discovery. With `shared`, other processes may listen at the same address. Raises OSError."""
         address = self.frontend.listen(self.config.listen, shared=shared or self.config.admin is not None)
         self.start_discovery(self.config.cached_endpoints)
         return address
 
     def start_discovery(self, cached_endpoints: Any) -> None:
-        """Use a cached endpoint list, in discovery's form, and ask discovery for what has changed since."""
+        """Use a cached endpoint list, in discovery's wire form, and request the changes since then from discovery."""
         self.endpoint_watch.load_cached(cached_endpoints)
         self._configure_watch()
 
     def reload(self, config: Config) -> None:
-        """Put a checked configuration in force. Open requests go on, the endpoint watch moves to the new discovery
-        address; what the sockets are built on takes effect at the next start."""
+        """Put a checked configuration in force. Open requests continue and the endpoint watch moves to the new discovery
+        address. Name, listener addresses and the socket limit take effect only at the next start."""
         self._warn_of_fields_for_next_start(config)
         log.info(
             "configuration_reloaded",
@@ -163,7 +164,7 @@
         self.endpoint_watch.change_address(config.discovery)
 
     def adopt_name_indices(self, zones: list[str], machine_types: list[str]) -> None:
-        """Use the indices that another process of this dispatcher gave to zones and machine types."""
+        """Use the indices of zones and machine types that another process of this dispatcher has assigned."""
         reader = self.endpoint_watch.reader
         if (reader.zones, reader.machine_types) != (zones, machine_types):
             reader.zones = list(zones)
@@ -172,49 +173,50 @@
 
     @property
     def ready(self) -> bool:
-        """Whether discovery has answered, or is known to be unavailable."""
+        """Whether discovery has answered or counts as unavailable."""
         return self.endpoint_watch.has_answered
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether this process accepts new clients."""
+        """Whether this process accepts new client connections."""
         return self.ready and self.frontend.serving and not self.frontend.draining
 
     @property
     def has_pending_responses(self) -> bool:
-        """Whether a client still waits for an answer, or for the rest of one."""
+        """Whether a client is still waiting for a response or for the rest of one."""
         return self.frontend.has_pending_responses or self._requests.has_unanswered
 
     def metrics(self) -> dict[str, Any]:
-        """What the second listener shows. Raises RuntimeError where this dispatcher does not count."""
+        """Return the metrics that the admin listener serves. Raises RuntimeError if this dispatcher keeps no counts."""
         if self.counts is None:
-            raise RuntimeError("this dispatcher was made without counts")
+            raise RuntimeError("no metrics: this dispatcher was created without counters")
         return self.counts.metrics(
             len(self.endpoint_watch.states), unavailable_workers(self.decisions.workers.values(), self.clock.now())
         )
 
     def next_request_number(self) -> int:
-        """A number that no other request of this process has."""
+        """Return a number that no other request of this process has."""
         return self._requests.next_number()
 
     def register_request(self, request: OpenRequest) -> None:
-        """Accept a request that another process has read: it will be answered here."""
+        """Register a request that another process has read and this one will answer."""
         self._requests.register(request, self.settings.tick)
 
     def release_if_finished(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
+        """Remove a request that has been answered and has no attempt in flight."""
         self._requests.release_if_finished(request)
 
     def drain(self) -> None:
-        """Begin a graceful shutdown: what still arrives is answered while there is time."""
+        """Begin a graceful shutdown. Requests that still arrive are answered while there is time."""
         self._shutdown.begin(self.settings.classes)
         if not self.settings.clients_mark_retries:
-            # During the shutdown, how long a client has waited no longer tells a retry from a first request.
+            # Unmarked retries are recognised by the time that the client has left. The shutdown shortens that time, so first
+            # requests would look like retries.
             self.handle_event(interface.SettingsChanged(self.settings._replace(clients_mark_retries=True)))
         self.frontend.drain()
 
     def end_client_connections(self) -> bool:
-        """Once no response is pending: close client connections; True when all are closed."""
+        """Close client connections, once no response is pending. Returns whether all are closed."""
         return self.frontend.end_connections()
 
     def close(self) -> None:
@@ -248,7 +250,7 @@
             extension.settings_changed(self.settings)
 
     def _set_timer(self, action: interface.SetTimer) -> None:
-        # Patient: timers of missing heartbeats must not fire for time in which this process did not run.
+        # `awaits_peer`: heartbeat timers must not expire because this process itself did not run for a while.
         self.wheel.after(action.delay, lambda: self.handle_event(interface.Timer(action.token)), awaits_peer=True)
 
     def _endpoints_updated(self, update: interface.EndpointList, addresses: dict[str, Address]) -> None:
--- a/badgerroad/dispatcher/decision_host.py
+++ b/badgerroad/dispatcher/decision_host.py
@@ -1,4 +1,4 @@
-"""Runs the decisions: feeds them one event at a time and performs the actions they return, by a table."""
+"""Runs the dispatch policy: passes it one event at a time and performs the actions that it returns."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 
 
 class DecisionHost:
-    """Owns the decisions. An event raised while another is handled is queued, so the decisions are never re-entered."""
+    """Owns the dispatch policy. Events raised while another is handled are queued, so the policy is never re-entered."""
 
     def __init__(
         self, decisions: DispatchPolicy, clock: Clock, extensions: Extensions, fail_request: Callable[[int], None]
     ) -> None:
-        """`fail_request` ends the request of that number after an unexpected exception; unknown numbers are ignored."""
+        """Host `decisions`. After an unexpected exception, `fail_request` is called with the number of the request; it must
+        ignore numbers that are not open."""
         self.decisions = decisions
         self._clock = clock
         self._extensions = extensions
@@ -34,11 +35,11 @@
         self._handling = False
 
     def set_action_handlers(self, handlers: ActionHandlers) -> None:
-        """Called once, before the first event: what performs each type of action."""
+        """Set the handler for each type of action. Called once, before the first event."""
         self._action_handlers = handlers
 
     def handle_event(self, event: interface.Event) -> None:
-        """Let the decisions handle an event, after those that are queued, and perform their actions."""
+        """Pass an event to the policy, after those already queued, and perform the resulting actions."""
         self._event_queue.append(event)
         if self._handling:
             return
@@ -50,7 +51,7 @@
             self._handling = False
 
     def perform_actions(self, actions: list[interface.Action]) -> None:
-        """Perform actions in order. One that fails ends its own request only."""
+        """Perform actions in order. An action that raises an exception fails only its own request."""
         for action in actions:
             handler = self._action_handlers.get(type(action))
             if handler is None:
--- a/badgerroad/dispatcher/extensions.py
+++ b/badgerroad/dispatcher/extensions.py
@@ -1,4 +1,4 @@
-"""The extensions of a dispatcher, by name and in the order in which they were set."""
+"""Holds the extensions of a dispatcher, by name and in the order in which they were set."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Extensions:
-    """`active` is what the dispatcher notifies, in order."""
+    """The extensions of a dispatcher. It notifies those in `active`, in that order."""
 
     def __init__(self) -> None:
         """Start without extensions."""
@@ -14,12 +14,12 @@
         self.active: tuple[DispatcherExtension, ...] = ()
 
     def set(self, name: str, extension: DispatcherExtension | None) -> None:
-        """Replace the extension of that name; None removes it."""
+        """Set or replace the extension of that name; None removes it."""
         self._by_name.pop(name, None)
         if extension is not None:
             self._by_name[name] = extension
         self.active = tuple(self._by_name.values())
 
     def get(self, name: str) -> DispatcherExtension | None:
-        """The extension of that name, or None."""
+        """Return the extension of that name, or None."""
         return self._by_name.get(name)
--- a/badgerroad/dispatcher/intake.py
+++ b/badgerroad/dispatcher/intake.py
@@ -1,4 +1,4 @@
-"""What the frontend reports: new requests, clients that leave, call-backs of workers."""
+"""Handles what the frontend reports: new requests, disconnected clients and job events of workers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class RequestIntake:
-    """The frontend's request handler, `frontend.client.Taker`."""
+    """The request handler of the frontend's client connections."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         shutdown: ShutdownDeadline,
         counts: Counters | None,
     ) -> None:
-        """All collaborators belong to one dispatcher."""
+        """Handle requests for the dispatcher to which all these components belong."""
         self._clock = clock
         self._settings = settings
         self._host = host
@@ -53,15 +53,15 @@
 
     @property
     def ready(self) -> bool:
-        """Whether discovery has answered, or is known to be unavailable."""
+        """Whether discovery has answered or counts as unavailable."""
         return self._endpoint_watch.has_answered
 
     def serves_path(self, path: bytes) -> bool:
-        """Whether the path names a request class."""
+        """Return whether the path names a request class."""
         return self._settings.knows_class(path)
 
     def shed_idle_connections(self) -> None:
-        """Close idle connections to workers, for their descriptors."""
+        """Close idle connections to workers, to free their file descriptors."""
         self._backend.shed_idle_connections()
 
     def record_rejection(self, path: bytes) -> None:
@@ -70,13 +70,13 @@
             self._counts.request_rejected(path.split(b"/")[1].decode())
 
     def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """A worker reports on an attempt; one that is not known here is offered to the extensions."""
+        """Handle a worker's event about an attempt. If the attempt is unknown here, the event is passed to the extensions."""
         if not self._backend.handle_job_event(request_id, host, state, item):
             for extension in self._extensions.active:
                 extension.unknown_job_event(request_id, host, state, item)
 
     def handle_request(self, message: http1.Message, exchange: Exchange) -> None:
-        """Register a client's request and pass it to the decisions; answer 400 if it is not valid."""
+        """Register a client's request and pass it to the dispatch policy, or answer 400 if it is invalid."""
         try:
             request_id = parse_request_id(message)
             event = self._parse(message, request_id)
@@ -94,7 +94,7 @@
         admit_request(request, event, active, self._host.handle_event)
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        """The client has left before its answer."""
+        """Handle the disconnection of a client before its response."""
         request = self._requests.by_number.get(exchange.number)
         if request:
             log.info("client_disconnected", request=request.forwarded.id.decode("latin-1"))
--- a/badgerroad/dispatcher/open_requests.py
+++ b/badgerroad/dispatcher/open_requests.py
@@ -1,4 +1,4 @@
-"""The open requests: each gets exactly one answer and is forgotten once no attempt of it is in flight."""
+"""Holds the open requests. Each is answered exactly once, and removed when none of its attempts is in flight any more."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class OpenRequests:
-    """Owns the requests from their registration to their release, and counts them."""
+    """Owns requests from their registration to their release, and counts them."""
 
     def __init__(self, wheel: TimerWheel, extensions: Extensions, counts: Counters | None) -> None:
-        """`counts` is None where no second listener shows them."""
+        """Start without requests. `counts` is None if no admin listener serves them."""
         self.by_number: dict[int, OpenRequest] = {}
         self.by_id: dict[bytes, OpenRequest] = {}
         self._wheel = wheel
@@ -27,29 +27,29 @@
         self._last_number = 0
 
     def next_number(self) -> int:
-        """A number that no other request of this process has."""
+        """Return a number that no other request of this process has."""
         self._last_number += 1
         return self._last_number
 
     @property
     def upcoming_number(self) -> int:
-        """The number that `next_number` will give; nothing is taken yet."""
+        """The number that `next_number` will return; reading it does not reserve it."""
         return self._last_number + 1
 
     @property
     def has_unanswered(self) -> bool:
-        """Whether a registered request still waits for its answer."""
+        """Whether a registered request has not been answered yet."""
         return any(not request.exchange.answered for request in self.by_number.values())
 
     def has_id(self, request_id: bytes) -> bool:
-        """Whether a request of that id is open, here or as far as the extensions know."""
+        """Return whether a request of that id is open here or, as far as an extension knows, in another process."""
         return request_id in self.by_id or any(
             extension.has_open_request(request_id) for extension in self._extensions.active
         )
 
     def register(self, request: OpenRequest, tick_us: int) -> None:
-        """Accept a request: it will be answered. A timer answers 504 one tick before its deadline if nothing else has
-        by then."""
+        """Register a request, which guarantees it an answer: a timer answers 504 one tick before its deadline if it has
+        not been answered by then."""
         self.by_number[request.number] = request
         self.by_id[request.forwarded.id] = request
         if self._counts:
@@ -60,7 +60,7 @@
         )
 
     def answer(self, request: OpenRequest, status: int, body: bytes, headers: http1.Headers | None = None) -> None:
-        """Answer a request unless it has its answer. No other place answers a registered request."""
+        """Answer a request unless it has been answered. All answers to registered requests go through this method."""
         if not request.exchange.answered:
             request_log.log_answer(request, status, self._wheel.clock.now())
             if self._counts:
@@ -69,18 +69,18 @@
         self.release_if_finished(request)
 
     def fail_internally(self, number: int) -> None:
-        """Answer 500 after an unexpected exception; ignores a number that is not open."""
+        """Answer a request with 500 after an unexpected exception. Ignores a number that is not open."""
         request = self.by_number.get(number)
         if request:
             self.answer(request, 500, b"internal error\n")
 
     def client_disconnected(self, request: OpenRequest) -> None:
-        """Count a request whose client has left before its answer."""
+        """Count a request whose client disconnected before the response."""
         if self._counts:
             self._counts.request_ended(request.request_class.name, 0)
 
     def release_if_finished(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
+        """Remove a request that has been answered and has no attempt in flight."""
         if not request.exchange.answered:
             return
         if request.deadline_timer:
--- a/badgerroad/errors.py
+++ b/badgerroad/errors.py
@@ -1,6 +1,6 @@
-"""The base of all errors that an operator can meet: a short code that stays, what happened, and what to do about it.
+"""The base of all errors that an operator may see. Each has a stable code, a text and a remedy.
 
-The text of an error says what happened. Log lines and exit messages carry all three; docs/operate/errors.md lists the
+The text of an error states what happened. Log lines and exit messages contain all three; docs/operate/errors.md lists the
 codes.
 """
 
@@ -10,19 +10,20 @@
 
 
 class BadgerroadError(Exception):
-    """`code` never changes its meaning; `remedy` is what an operator can do, as an imperative."""
+    """The base of all errors. The meaning of a `code` never changes; `remedy` tells the operator what to do, as an
+    imperative."""
 
     code: ClassVar[str] = "error"
-    remedy: ClassVar[str] = "report it with the lines before it"
+    remedy: ClassVar[str] = "report it with the log lines before it"
 
     @property
     def line(self) -> str:
-        """For an exit: one line."""
+        """The error as one line of text, for an exit message."""
         return f"{self.code}: {' '.join(str(self).split())}; {self.remedy}"
 
     @property
     def fields(self) -> dict[str, str]:
-        """For a log line."""
+        """The error as fields of a log line."""
         return {"code": self.code, "error": " ".join(str(self).split()), "remedy": self.remedy}
 
 
@@ -34,11 +35,11 @@
 
 
 class ListenError(BadgerroadError):
-    """A listener's address is taken or is not one of this machine."""
+    """A listener's address is in use or does not belong to this machine."""
 
     code = "listen"
-    remedy = "see who has the address, or whether this machine has it at all"
+    remedy = "find the process that uses the address, or check that the address belongs to this machine"
 
     def __init__(self, field: str, address: tuple[str, int], cause: OSError) -> None:
-        """`field` names the address in the configuration; `cause` is what the system said."""
+        """`field` is the configuration field that gives the address; `cause` is the error of the operating system."""
         super().__init__(f"{field}: {address[0]}:{address[1]}: {cause.strerror}")
--- a/badgerroad/extension.py
+++ b/badgerroad/extension.py
@@ -1,6 +1,7 @@
-"""What extends a dispatcher: another process of an upgrade, the other server processes, limits, a fleet.
+"""The interface of dispatcher extensions: hot restart, several server processes, retry budget, the fleet's quotas.
 
-The dispatcher tells its extensions what happens to jobs and asks three things of them; it knows nothing else of them.
+The dispatcher notifies its extensions of what happens to requests and attempts, and asks them three questions: whether
+a request id is in use elsewhere, when a request may proceed, and whether an attempt may be sent.
 """
 
 from __future__ import annotations
@@ -14,58 +15,62 @@
 
 
 class DispatcherExtension:
-    """All of it does nothing here; an extension overrides what it is about. None of it may wait."""
+    """The base class of extensions. Its methods change nothing; an extension overrides those that it needs. They run in
+    the event loop and must not block."""
 
     def has_open_request(self, request_id: bytes) -> bool:
-        """Is a request of that id open beyond this process? Then it is not taken here."""
+        """Return whether a request of that id is open outside this process. If so, it is not accepted here."""
         return False
 
     def request_received(self, request: OpenRequest, event: interface.Request) -> None:
-        """It is taken; the module hears of it next."""
+        """Handle the registration of a request, before it is admitted and passed to the dispatch policy."""
 
     def admit(
         self, request: OpenRequest, event: interface.Request, proceed: Callable[[interface.Request], None]
     ) -> None:
-        """The module hears of it once `proceed` has been called, with the event as it is then: at once, or after a wait
-        that the extension bounds. A request that is answered or whose client has left meanwhile is `forgotten`; a
-        `proceed` after that does nothing."""
+        """Call `proceed`, at once or after a limited time, to pass the request on to the dispatch policy. The event given
+        to it may be changed. If the request is answered or its client disconnects before that, `request_forgotten`
+        is called, and a later `proceed` has no effect."""
         proceed(event)
 
     def may_send(self, request: OpenRequest, attempt: Attempt) -> bool:
-        """May it go out? If not it never does, and the module hears that it was moot. Asked once an attempt."""
+        """Return whether the attempt may be sent. Asked once for each attempt; one that may not is never sent, and is
+        reported to the dispatch policy as not needed."""
         return True
 
     def attempt_sent(self, request: OpenRequest, attempt: Attempt) -> None:
-        """An attempt is about to go."""
+        """Handle an attempt that is about to be sent."""
 
     def attempt_started(self, request: int, number: int) -> None:
-        """A host has begun with an attempt; the module hears of it next."""
+        """Handle the start of an attempt at its worker, before the dispatch policy does."""
 
     def attempt_ended(self, request: OpenRequest, attempt: Attempt, result: str) -> None:
-        """An attempt has ended; `result` in the module's words."""
+        """Handle the end of an attempt; `result` is an `interface.AttemptResult`."""
 
     def request_forgotten(self, request_id: bytes) -> None:
-        """It is answered and has no attempt out any more."""
+        """Handle the removal of a request that has been answered and has no attempt in flight."""
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """A host speaks of an attempt that is not known here."""
+        """Handle a worker's event about an attempt that is unknown in this process."""
 
     def superseded(self) -> None:
-        """Another process of this dispatcher takes the new requests from now on, unless it fails."""
+        """Handle the takeover by another process of this dispatcher, which accepts all new requests unless it fails."""
 
     def settings_changed(self, settings: interface.Settings) -> None:
-        """These hold from now on, also at the start."""
+        """Apply the settings now in force; also called when the extension is set."""
 
 
 def admit_request(
     request: OpenRequest,
     event: interface.Request,
     extensions: tuple[DispatcherExtension, ...],
-    hear: Callable[[interface.Request], None],
+    handle_event: Callable[[interface.Request], None],
 ) -> None:
-    """Each extension in turn lets the request go on, at once or later; then the module hears of it, by `hear`."""
+    """Let each extension in turn admit the request, at once or later; then pass its event to `handle_event`."""
     if extensions:
-        extensions[0].admit(request, event, lambda changed: admit_request(request, changed, extensions[1:], hear))
+        extensions[0].admit(
+            request, event, lambda changed: admit_request(request, changed, extensions[1:], handle_event)
+        )
     elif not request.exchange.answered and not request.admitted:
         request.admitted = True
-        hear(event)
+        handle_event(event)
--- a/badgerroad/operator/__init__.py
+++ b/badgerroad/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's own file: schema and checked load."""
+"""The operator's TOML file: its schema, and loading with checks."""
--- a/badgerroad/operator/schema.py
+++ b/badgerroad/operator/schema.py
@@ -1,7 +1,7 @@
-"""The operator's TOML file: every setting with default, unit and effect; docs/operate/settings.md lists them.
+"""The schema of the operator's TOML file. docs/operate/settings.md lists each setting with default, unit and effect.
 
-What new subsystems need is added here as a table of its own. A file that is wrong is one line that names file and
-field; at a start the end (exit code 2), at a reload a line in the log while the old one stays in force.
+A new subsystem adds its settings as a table of its own. An invalid file gives an error of one line that names the file and
+the field. At a start the program then exits with code 2; at a reload the error is logged and the settings stay in force.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 
 
 class Log(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[log]`. Takes effect at the start and on SIGHUP."""
+    """The table `[log]`. Takes effect at the start and on SIGHUP."""
 
     format: Literal["console", "json"] = "console"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[limits]`. Takes effect at the start and on SIGHUP; counts start anew where a value has changed."""
+    """The table `[limits]`. Takes effect at the start and on SIGHUP. If a value has changed, counts restart at zero."""
 
     retries: Literal["free", "budget"] = "free"
-    retry_share: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.2  # resends for each first send
-    retry_least: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 10  # always allowed in a window
+    retry_share: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.2  # retries and hedged requests per first attempt
+    retry_least: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 10  # always allowed in each window
     retry_window_s: Annotated[float, msgspec.Meta(ge=1, le=600)] = 10.0
 
 
 class FleetController(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One of `[[fleet.controllers]]`, or of `[[controllers]]` in the members file."""
+    """One entry of `[[fleet.controllers]]`, or of `[[controllers]]` in the members file."""
 
     name: str
     zone: str
@@ -43,13 +43,13 @@
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`[fleet]`. Takes effect at the start; the quotas file also on SIGHUP. What is None has the default of
-    badgerroad.fleet.settings, where the bounds are too."""
+    """The table `[fleet]`. Takes effect at the start; changes of the quotas file also on SIGHUP. A field that is None has
+    the default of badgerroad.fleet.settings, which also defines the bounds."""
 
-    name: str = ""  # of the controller that is started with this file; dispatchers need none
-    zone: str = ""  # of the dispatcher; without it, the name of its zone in PROXY_CONFIG
-    members: str = ""  # a TOML file with the controllers, in place of the list; relative to the operator's file
-    quotas: str = ""  # a TOML file: team = requests per second; relative to the operator's file
+    name: str = ""  # of the controller that is started with this file; not needed for dispatchers
+    zone: str = ""  # of the dispatcher; if empty, the name of its zone in PROXY_CONFIG is used
+    members: str = ""  # a TOML file that lists the controllers, instead of `controllers`; relative to the operator's file
+    quotas: str = ""  # a TOML file with lines `team = requests per second`; relative to the operator's file
     controllers: tuple[FleetController, ...] = ()
     shards: int | None = None
     ownership_lease_ms: int | None = None
@@ -66,7 +66,7 @@
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file; each field is a table, and a missing table has its defaults."""
+    """The whole file. Each field is a table; a table that is missing has its defaults."""
 
     log: Log = Log()
     limits: Limits = Limits()
@@ -74,14 +74,14 @@
 
 
 def load(path: str) -> Operator:
-    """The file, checked. Raises ConfigError, whose one line names file, field and reason."""
+    """Load and check the file. Raises ConfigError, with file, field and reason in one line."""
     operator = toml_files.decode(Path(path), Operator, ConfigError)
     if operator.fleet is None:
         return operator
-    return msgspec.structs.replace(operator, fleet=_with_whole_paths(operator.fleet, Path(path).parent))
+    return msgspec.structs.replace(operator, fleet=_with_resolved_paths(operator.fleet, Path(path).parent))
 
 
-def _with_whole_paths(fleet: Fleet, folder: Path) -> Fleet:
-    """Files named in the operator's file are looked for beside it."""
+def _with_resolved_paths(fleet: Fleet, folder: Path) -> Fleet:
+    """Resolve the names of files relative to the folder of the operator's file."""
     files = {"members": fleet.members, "quotas": fleet.quotas}
     return msgspec.structs.replace(fleet, **{field: str(folder / name) for field, name in files.items() if name})
--- a/badgerroad/operator_limits.py
+++ b/badgerroad/operator_limits.py
@@ -1,4 +1,4 @@
-"""What the operator's file limits, applied to a dispatcher. Nothing of it is imported where nothing is limited."""
+"""Applies the limits of the operator's file to a dispatcher. The code of a limit is imported only if the limit is set."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 if TYPE_CHECKING:
     from badgerroad.operator.schema import Operator
 
-RETRIES = "retry budget"
+RETRY_BUDGET = "retry budget"
 
 
-def limit(dispatcher: Dispatcher, operator: Operator | None) -> None:
-    """The limits of the operator's file hold from now on; None: there is no such file. What is unchanged keeps what it
-    has counted."""
+def apply_limits(dispatcher: Dispatcher, operator: Operator | None) -> None:
+    """Put the limits of the operator's file in force; `operator` is None without such a file. A limit that has not changed
+    keeps its counts."""
     limits = operator.limits if operator is not None else None
     if limits is None or limits.retries != "budget":
-        if dispatcher.extension(RETRIES) is not None:
-            dispatcher.set_extension(RETRIES, None)
+        if dispatcher.extension(RETRY_BUDGET) is not None:
+            dispatcher.set_extension(RETRY_BUDGET, None)
         return
     from badgerroad.retry_budget.extension import RetryBudgetExtension
 
-    held = dispatcher.extension(RETRIES)
-    if not isinstance(held, RetryBudgetExtension) or held.limits != limits:
-        dispatcher.set_extension(RETRIES, RetryBudgetExtension(dispatcher.clock, limits))
+    present = dispatcher.extension(RETRY_BUDGET)
+    if not isinstance(present, RetryBudgetExtension) or present.limits != limits:
+        dispatcher.set_extension(RETRY_BUDGET, RetryBudgetExtension(dispatcher.clock, limits))
--- a/badgerroad/process_messages.py
+++ b/badgerroad/process_messages.py
@@ -1,11 +1,12 @@
-"""What messages between processes of one dispatcher have in common: their form in a packet, and job events.
+"""What the messages between processes of one dispatcher have in common: their form in a packet, and the job event.
 
-`hot_restart.messages` and `multiprocess.messages` have the messages themselves. Each class is one message; `kind` is
-its name in the packet. Its `to_head` and `from_head` are the only places where the names of the packet's fields appear.
-`from_head` raises KeyError, TypeError, ValueError or AttributeError on a packet that is no such message; the channel
-closes then. Request ids are bytes here and latin-1 text in a packet.
+`hot_restart.messages` and `multiprocess.messages` define the other messages. Each message is a class; `kind` is its name
+in a packet. The names of a packet's fields appear only in `to_head` and `from_head`. `from_head` raises KeyError,
+TypeError, ValueError or AttributeError for a packet that is not a valid message of the class; the channel is closed then.
+Request ids are bytes here and latin-1 text in a packet.
 
-Dataclasses rather than msgspec structs: nothing else of a dispatcher without an operator's file imports msgspec.
+Messages are dataclasses rather than msgspec structs because a dispatcher without an operator's file does not import
+msgspec otherwise.
 """
 
 from __future__ import annotations
@@ -17,37 +18,38 @@
 
 
 class Message(Protocol):
-    """What can be sent and received."""
+    """A message that can be sent and received."""
 
     kind: ClassVar[str]
 
     def to_head(self) -> Head:
-        """The fields of the packet, in the order in which they are written."""
+        """Return the fields of the packet, in the order in which they are written."""
 
     @classmethod
     def from_head(cls, head: Head) -> Self:
-        """The message of a packet."""
+        """Return the message that a packet holds."""
 
 
 def id_to_text(request_id: bytes) -> str:
-    """A request id as a packet holds it."""
+    """Return a request id as text, the form that it has in a packet."""
     return request_id.decode("latin-1")
 
 
 def id_from_text(text: str) -> bytes:
-    """And back. Raises AttributeError on what is no text, ValueError on what is no id."""
+    """Return the request id for the text in a packet. Raises AttributeError for a value that is not text, ValueError for
+    text that is not an id."""
     return text.encode("latin-1")
 
 
 @dataclass(frozen=True, slots=True)
 class JobEvent:
-    """A worker's event about an attempt that is not known where it arrived."""
+    """A worker's event about an attempt that is unknown to the process which received it."""
 
     kind: ClassVar[str] = "call back"
     request_id: bytes
     worker: str
     state: str
-    item: dict[str, Any]  # the event's object as the worker sent it
+    item: dict[str, Any]  # the event's JSON object as the worker sent it
 
     def to_head(self) -> Head:
         """See `Message`."""
--- a/badgerroad/requests.py
+++ b/badgerroad/requests.py
@@ -1,4 +1,4 @@
-"""A client's request: read from its message and checked, and what is kept of it while it is open."""
+"""Reads and checks clients' requests, and defines what is kept of a request while it is open."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from badgerroad.net import http1
 from badgerroad.net.timer_wheel import Timer
 
-# Of the client's headers, those that speak of its own connection or wait are not passed on.
-OWN_HEADERS = frozenset(
+# The client's headers that concern only its own connection or its timeout. They are not forwarded to workers.
+NOT_FORWARDED_HEADERS = frozenset(
     (
         b"host",
         b"connection",
@@ -30,20 +30,21 @@
         b"client-retry",
     )
 )
-LONGEST_WAIT = 3_600_000  # in ms; more is no wait. What a client claims beyond its class's deadline is not granted
-# It becomes part of a path when an attempt is cancelled. A comma would be two headers of that name.
+MAX_CLIENT_TIMEOUT_MS = 3_600_000  # a longer timeout is rejected; one longer than the class's deadline is cut to that
+# The id becomes part of a path when an attempt is cancelled. A comma is not allowed because it stands for two headers of
+# that name joined into one.
 REQUEST_ID = re.compile(rb"[A-Za-z0-9._~:@!$&'()*+;=-]{1,128}\Z")
 
 
 class InvalidRequestError(BadgerroadError):
-    """A header that the request needs is missing or malformed."""
+    """A required header of a request is missing or malformed."""
 
     code = "request"
-    remedy = "tell the client's owner"
+    remedy = "report it to the owner of the client"
 
 
 class OpenRequest:
-    """A registered request that is not answered yet, or is answered while attempts are in flight."""
+    """A registered request that has not been answered yet or still has attempts in flight."""
 
     __slots__ = (
         "number",
@@ -67,7 +68,7 @@
         request_class: interface.RequestClass,
         received_at: int,
     ) -> None:
-        """`received_at`: microseconds of this process's clock."""
+        """Start without attempts. `received_at` is in microseconds of this process's clock."""
         self.number = number
         self.forwarded = forwarded
         self.exchange = exchange
@@ -78,16 +79,16 @@
         self.work_hint = 0
         self.slots = 1.0
         self.deadline_timer: Timer | None = None
-        self.admitted = False  # passed to the decisions
+        self.admitted = False  # True once it has been passed to the dispatch policy
 
 
 def forwarded_headers(message: http1.Message) -> http1.Headers:
-    """Those that hosts are given."""
-    return [(n.title(), v) for n, v in message.headers if n not in OWN_HEADERS]
+    """Return the headers that are forwarded to workers."""
+    return [(name.title(), value) for name, value in message.headers if name not in NOT_FORWARDED_HEADERS]
 
 
 def parse_request_id(message: http1.Message) -> bytes:
-    """The request's id. Raises InvalidRequestError."""
+    """Return the request's id. Raises InvalidRequestError."""
     request_id = message.header(b"request-id") or b""
     if not REQUEST_ID.match(request_id):
         raise InvalidRequestError("request-id is missing or malformed")
@@ -101,28 +102,30 @@
     classes: Mapping[bytes, int],
     tenants: Mapping[bytes, int],
 ) -> interface.Request:
-    """What the module hears of it as request `number`. `classes` and `tenants`: their places in the settings. Raises
-    InvalidRequestError."""
+    """Return the event that reports request `number` to the dispatch policy. `classes` and `tenants` give the index of
+    each name in the settings. Raises InvalidRequestError."""
     parts = message.path.split(b"/")
     class_name = message.header(b"request-class")
     if class_name is not None and class_name != parts[1]:
         raise InvalidRequestError("request-class is not that of the path")
     index = classes[parts[1]]
-    cls = settings.classes[index]
-    if cls.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY and not message.header(b"idempotency-key"):
-        # Without it no host could drop a repeat, and the module repeats because hosts do.
+    request_class = settings.classes[index]
+    if request_class.semantics == interface.RetrySemantics.IDEMPOTENCY_KEY and not message.header(b"idempotency-key"):
+        # The policy retries requests of this class because workers drop duplicates, which they recognise by this key.
         raise InvalidRequestError("idempotency-key is missing")
-    slots, memory = _size(message)
+    slots, memory = _slots_and_memory(message)
     if tenants and (message.header(b"tenant") or b"") not in tenants:
         raise InvalidRequestError("tenant is missing or unknown")
     key = int.from_bytes(blake2b(parts[-1], digest_size=8).digest(), "big") if len(parts) > 2 else 0
-    wait = min(_number(message, b"request-timeout-ms", 1, LONGEST_WAIT, None) * 1000, cls.deadline)
+    time_left_us = min(
+        _number(message, b"request-timeout-ms", 1, MAX_CLIENT_TIMEOUT_MS, None) * 1000, request_class.deadline
+    )
     return interface.Request(
         number,
         index,
         tenants.get(message.header(b"tenant") or b"", 0),
         key,
-        wait,
+        time_left_us,
         _number(message, b"work-hint", 0, 10**12, 0),
         slots,
         memory,
@@ -131,31 +134,31 @@
 
 
 def parse_request_info(message: http1.Message) -> dict[bytes, float]:
-    """The figures of `Request-Info`. Raises InvalidRequestError."""
-    extras = {}
+    """Return the numbers in the header `Request-Info` by name. Raises InvalidRequestError."""
+    values = {}
     for part in (message.header(b"request-info") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if not part.strip():
             continue
         try:
-            extras[name] = float(value)
+            values[name] = float(value)
         except ValueError:
             raise InvalidRequestError("request-info is malformed") from None
-    return extras
+    return values
 
 
-def _size(message: http1.Message) -> tuple[float, float]:
-    extras = parse_request_info(message)
-    slots, memory = extras.get(b"slots", 1.0), extras.get(b"memory", 0.0)
+def _slots_and_memory(message: http1.Message) -> tuple[float, float]:
+    values = parse_request_info(message)
+    slots, memory = values.get(b"slots", 1.0), values.get(b"memory", 0.0)
     if not 0 < slots < 1e6 or not 0 <= memory < 1e9:
         raise InvalidRequestError("request-info is out of range")
     return slots, memory
 
 
-def _number(message: http1.Message, name: bytes, least: int, most: int, default: int | None) -> int:
+def _number(message: http1.Message, name: bytes, minimum: int, maximum: int, default: int | None) -> int:
     text = message.header(name)
     if text is None and default is not None:
         return default
-    if text is None or not text.isdigit() or len(text) > 15 or not least <= int(text) <= most:
+    if text is None or not text.isdigit() or len(text) > 15 or not minimum <= int(text) <= maximum:
         raise InvalidRequestError(f"{name.decode()} is missing or malformed")
     return int(text)
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -1,4 +1,4 @@
-"""`serve` and `check-config`: the life of a dispatcher process."""
+"""The commands `serve` and `check-config`: start-up, signals and shutdown of a dispatcher process."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad import __version__, startup_signals
-from badgerroad.config import Config, ConfigError, load, parse, read, reload, text_of
+from badgerroad.config import Config, ConfigError, check_config, load, parse, read_config_file, reload
 from badgerroad.dispatcher import Dispatcher
 from badgerroad.errors import ListenError
 from badgerroad.net import logs
 from badgerroad.net.connection import Address
 from badgerroad.net.timer_wheel import Clock, TimerWheel
-from badgerroad.operator_limits import limit
+from badgerroad.operator_limits import apply_limits
 
 if TYPE_CHECKING:
     from badgerroad.admin.listener import Listener
@@ -33,12 +33,12 @@
 
 log = logs.get("badgerroad")
 
-# An older process, to which this one passes call-backs, is killed sooner than so long after its SIGTERM.
+# A predecessor to which this process relays job events is killed earlier than this after its SIGTERM.
 PREDECESSOR_LIFETIME_US = 3_000_000
-NEW_CONNECTIONS_GRACE_US = 800_000  # new connections keep coming for a while after SIGTERM
+NEW_CONNECTIONS_GRACE_US = 800_000  # clients open new connections for a while after SIGTERM
 SHUTDOWN_CHECK_INTERVAL_US = 20_000
-PROCESS_VARIABLE = "BADGERROAD_SERVER_PROCESS"  # set in the environment of the server processes of `--workers`
-UNNAMED_OPERATOR_FILE = "the operator's file"  # in errors, where only another process knows its path
+PROCESS_VARIABLE = "BADGERROAD_SERVER_PROCESS"  # set in the environment of the server processes that `--workers` starts
+UNNAMED_OPERATOR_FILE = "the operator's file"  # used in errors if only another process knows the path
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
@@ -51,8 +51,8 @@
 
 
 def assemble(config: Config, wheel: TimerWheel, counted: bool = False) -> tuple[Dispatcher, Listener | None]:
-    """Make the dispatcher and, where it is configured, the second listener, which is imported only then. `counted`:
-    keep counts though there is no second listener, for the supervisor's."""
+    """Create the dispatcher and, if one is configured, the admin listener, which is imported only then. With `counted`, keep
+    counts even without an admin listener, because the supervisor's admin listener shows their sums."""
     if config.admin is None and not counted:
         return Dispatcher(config, wheel), None
     from badgerroad.admin.counters import Counters
@@ -67,7 +67,7 @@
 
 
 def check_fleet(config: Config, operator: Operator | None, operator_file: str | None) -> None:
-    """Raise ConfigError where the operator's file has a `[fleet]` table that is wrong or not permitted."""
+    """Raise ConfigError if the operator's file has a `[fleet]` table that is invalid or not permitted."""
     if operator is not None and operator.fleet is not None:
         from badgerroad.fleet import joining
 
@@ -75,7 +75,7 @@
 
 
 def join_fleet(dispatcher: Dispatcher, operator: Operator | None, operator_file: str | None) -> QuotaExtension | None:
-    """Join the fleet's quotas; without a `[fleet]` table nothing of it is imported. Raises ConfigError."""
+    """Join the fleet's shared quotas. Without a `[fleet]` table no code for them is imported. Raises ConfigError."""
     if operator is None or operator.fleet is None:
         return None
     from badgerroad.fleet import joining
@@ -84,19 +84,20 @@
 
 
 class DispatcherProcess:
-    """A dispatcher from its start-up to the end of its graceful shutdown, driven by signals."""
+    """A dispatcher process, from its start-up to the end of its graceful shutdown; controlled by signals."""
 
     def __init__(
-        self, config: Config, operator: Operator | None, operator_file: str | None, joined: StartParameters | None
+        self, config: Config, operator: Operator | None, operator_file: str | None, parameters: StartParameters | None
     ) -> None:
-        """`joined` is what the supervisor of several server processes gave to this one. Raises ConfigError."""
+        """Assemble the process. `parameters` come from the supervisor, if this is one of several server processes. Raises
+        ConfigError."""
         self._config = config
         self._operator = operator
         self._operator_file = operator_file
-        self._joined = joined
+        self._parameters = parameters
         self._wheel = TimerWheel(Clock(), IOLoop.current())
-        self._dispatcher, self._admin = assemble(config, self._wheel, counted=joined is not None)
-        limit(self._dispatcher, operator)
+        self._dispatcher, self._admin = assemble(config, self._wheel, counted=parameters is not None)
+        apply_limits(self._dispatcher, operator)
         self._quotas = join_fleet(self._dispatcher, operator, operator_file)
         self._hot_restart: HotRestart | None = None
         self._server_process: ServerProcess | None = None
@@ -104,7 +105,7 @@
         self._done = asyncio.Event()
 
     async def run(self) -> int:
-        """Serve until a signal has ended it; the exit code. Raises ListenError."""
+        """Serve until a signal ends the process; return the exit code. Raises ListenError."""
         self._install_signals()
         self._start_admin()
         if self._server_process is not None and not await self._permitted_to_listen(self._server_process):
@@ -113,13 +114,14 @@
         with contextlib.ExitStack() as resources:
             self._close_with(resources)
             await self._done.wait()
-            # The end of the loop restores the default handlers: a signal that comes then must not kill the exit.
+            # Closing the event loop restores the default signal handlers, with which a signal would kill the process before
+            # it has exited cleanly.
             signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         log.info("stopped")
         return ExitCode.OK
 
     def stop(self) -> None:
-        """Begin the graceful shutdown; a second call does nothing."""
+        """Begin the graceful shutdown. Further calls have no effect."""
         if self._stopped_at_us is not None:
             return
         self._stopped_at_us = self._wheel.clock.now()
@@ -131,7 +133,7 @@
         self._check_shutdown(self._stopped_at_us)
 
     def reload(self) -> None:
-        """Put the files' present configuration in force; one that is not valid changes nothing but the log's form."""
+        """Reload the configuration and the operator's file. If one of them is invalid, only the log settings may change."""
         counts = self._dispatcher.counts
         try:
             config = reload(os.environ, self._dispatcher.config)
@@ -151,18 +153,18 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
-        if self._joined is not None:
-            # The supervisor reads the configuration; SIGHUP is for it alone.
+        if self._parameters is not None:
+            # The supervisor reads the configuration, so only the supervisor handles SIGHUP.
             from badgerroad.multiprocess.server_process import ServerProcess
 
-            self._server_process = ServerProcess(self._joined, self._dispatcher, self._wheel, self.stop)
+            self._server_process = ServerProcess(self._parameters, self._dispatcher, self._wheel, self.stop)
             return
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         for _ in range(startup_signals.reload_count):
             loop.call_soon(self.reload)
 
     def _start_admin(self) -> None:
-        """Open the second listener before anything is taken over from a predecessor."""
+        """Open the admin listener, before this process takes over anything from a predecessor."""
         if self._admin is None or self._config.admin is None:
             return
         try:
@@ -174,7 +176,7 @@
         self._hot_restart = HotRestart(self._dispatcher, self._wheel, os.environ.get("TMPDIR") or "/tmp")
 
     async def _permitted_to_listen(self, server_process: ServerProcess) -> bool:
-        """Wait for the supervisor's permission; False if the shutdown came first."""
+        """Wait for the supervisor's permission to listen. Returns False if the shutdown came first."""
         await asyncio.wait(
             [asyncio.ensure_future(server_process.may_listen.wait()), asyncio.ensure_future(self._done.wait())],
             return_when=asyncio.FIRST_COMPLETED,
@@ -203,28 +205,29 @@
         return self._dispatcher.start(shared=self._server_process is not None)
 
     def _close_with(self, resources: contextlib.ExitStack) -> None:
-        """Close at the end, the last one named here first: leases go back while all else is still there."""
+        """Register the components to be closed at the end, in reverse order: quota leases are returned first, while all
+        other components still work."""
         for resource in (self._dispatcher, self._server_process, self._hot_restart, self._admin, self._quotas):
             if resource is not None:
                 resources.callback(resource.close)
 
     def _check_shutdown(self, stopped_at_us: int) -> None:
-        """Look again and again whether all clients are served."""
+        """End the process once all clients have been served; checked periodically."""
         if self._may_end(self._wheel.clock.now() - stopped_at_us):
             self._done.set()
         else:
             self._wheel.after(SHUTDOWN_CHECK_INTERVAL_US, lambda: self._check_shutdown(stopped_at_us))
 
     def _may_end(self, elapsed_us: int) -> bool:
-        """Whether no client needs this process any more, `elapsed_us` after the shutdown began. Connections that nobody
-        takes over are ended here."""
+        """Return whether no client needs this process any more, `elapsed_us` after the shutdown began. Closes the client
+        connections that no successor takes over."""
         dispatcher, hot_restart = self._dispatcher, self._hot_restart
         if dispatcher.has_pending_responses:
             return False
         if hot_restart is not None and hot_restart.peers.relays_job_events and elapsed_us < PREDECESSOR_LIFETIME_US:
             return False
         if hot_restart is not None and hot_restart.finishing and dispatcher.frontend.successor is not None:
-            # The successor takes the clients over; only connections still to be passed need time.
+            # The successor takes over the clients. Only connections that still have to be passed to it need time.
             return not dispatcher.frontend.has_connections_to_pass or elapsed_us >= NEW_CONNECTIONS_GRACE_US
         return elapsed_us >= NEW_CONNECTIONS_GRACE_US and dispatcher.end_client_connections()
 
@@ -236,16 +239,16 @@
         return operator
 
     def _apply_operator(self, operator: Operator) -> None:
-        limit(self._dispatcher, operator)
+        apply_limits(self._dispatcher, operator)
         if self._operator is not None and operator.fleet != self._operator.fleet:
             log.warning("setting_needs_restart", field="fleet")
 
 
 async def serve(
-    config: Config, operator: Operator | None, operator_file: str | None, joined: StartParameters | None = None
+    config: Config, operator: Operator | None, operator_file: str | None, parameters: StartParameters | None = None
 ) -> int:
-    """Run a dispatcher process to its end; the exit code. Raises ConfigError."""
-    return await _exit_code_of(DispatcherProcess(config, operator, operator_file, joined).run())
+    """Run a dispatcher process to its end and return its exit code. Raises ConfigError."""
+    return await _exit_code_of(DispatcherProcess(config, operator, operator_file, parameters).run())
 
 
 async def _exit_code_of(process: Coroutine[Any, Any, int]) -> int:
@@ -256,17 +259,17 @@
         return ExitCode.CANNOT_LISTEN
 
 
-class _Start(NamedTuple):
-    """What a process starts with: all configuration, read and checked."""
+class _StartConfiguration(NamedTuple):
+    """The configuration that a process starts with, read and checked."""
 
     config: Config
     operator: Operator | None
-    joined: StartParameters | None
-    text: bytes  # of the configuration file, for the supervisor to pass on; empty without one
+    parameters: StartParameters | None  # from the supervisor, if this is one of several server processes
+    text: bytes  # of the configuration file, which a supervisor passes on; empty if this process is not a supervisor
 
 
 def main(check_only: bool, operator_file: str | None, verbose: bool, workers: int = 1) -> int:
-    """Serve, or with `check_only` report what the configuration holds; the exit code."""
+    """Serve, or with `check_only` print a summary of the configuration; return the exit code."""
     try:
         start = _read_configuration(operator_file, workers)
         check_fleet(start.config, start.operator, operator_file)
@@ -277,34 +280,34 @@
         _print_summary(start.config, start.operator, operator_file)
         return ExitCode.OK
     _configure_logs(start, verbose)
-    gc.freeze()  # start-up's objects live as long as the process: the collector need not scan them
-    if workers > 1 and start.joined is None:
+    gc.freeze()  # objects created at start-up live as long as the process, so the garbage collector need not scan them
+    if workers > 1 and start.parameters is None:
         from badgerroad.multiprocess.supervisor import SupervisorOptions, supervise
 
         options = SupervisorOptions(workers, start.config, start.text, start.operator, operator_file, verbose)
         return asyncio.run(_exit_code_of(supervise(options)))
-    return asyncio.run(serve(start.config, start.operator, operator_file, start.joined))
+    return asyncio.run(serve(start.config, start.operator, operator_file, start.parameters))
 
 
-def _read_configuration(operator_file: str | None, workers: int) -> _Start:
+def _read_configuration(operator_file: str | None, workers: int) -> _StartConfiguration:
     operator = _load_operator(operator_file) if operator_file is not None else None
     if PROCESS_VARIABLE in os.environ:
         from badgerroad.multiprocess.startup import StartParameters
 
-        joined = StartParameters.receive(os.environ)
-        return _Start(joined.config, joined.operator, joined, b"")
+        parameters = StartParameters.receive(os.environ)
+        return _StartConfiguration(parameters.config, parameters.operator, parameters, b"")
     if workers <= 1:
-        return _Start(load(os.environ), operator, None, b"")
+        return _StartConfiguration(load(os.environ), operator, None, b"")
     from badgerroad.multiprocess.startup import ProcessIndex
 
-    text = text_of(os.environ)
-    config = read(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
-    ProcessIndex(0, workers).share_of(config)  # raises ConfigError where the descriptors are too few for so many
-    return _Start(config, operator, None, text)
+    text = read_config_file(os.environ)
+    config = check_config(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
+    ProcessIndex(0, workers).share_of(config)  # raises ConfigError if there are too few descriptors for them
+    return _StartConfiguration(config, operator, None, text)
 
 
 def _load_operator(path: str) -> Operator:
-    # Imported only where there is such a file: the import costs memory and time of the start.
+    # Imported only if there is such a file, because the import costs memory and start-up time.
     from badgerroad.operator.schema import load as load_operator
 
     return load_operator(path)
@@ -323,9 +326,9 @@
         print(f"{operator_file}: quotas are shared by the fleet")
 
 
-def _configure_logs(start: _Start, verbose: bool) -> None:
+def _configure_logs(start: _StartConfiguration, verbose: bool) -> None:
     settings = start.operator.log if start.operator is not None else logs.LogSettings()
-    if start.joined is not None:
-        logs.configure(settings, debug=verbose, process=start.joined.process_index.number)
+    if start.parameters is not None:
+        logs.configure(settings, debug=verbose, process=start.parameters.process_index.number)
     else:
         logs.configure(settings, debug=verbose)
--- a/badgerroad/startup_signals.py
+++ b/badgerroad/startup_signals.py
@@ -1,4 +1,4 @@
-"""Counts SIGHUPs that arrive before the event loop runs, so that none ends the program or is lost."""
+"""Counts SIGHUPs that arrive before the event loop runs. Otherwise they would end the process or be lost."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def install() -> None:
-    """Count SIGHUPs from now on in `reload_count`; the event loop's handler replaces this one."""
+    """Install a handler that counts SIGHUPs in `reload_count`, until the event loop installs its own."""
     signal.signal(signal.SIGHUP, _count)
--- a/badgerroad/toml_files.py
+++ b/badgerroad/toml_files.py
@@ -1,4 +1,4 @@
-"""TOML files of this program's own: decoded into a msgspec type, with errors of one line that name file and field."""
+"""Decodes this program's own TOML files into msgspec types. Error texts are one line and name the file and the field."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 def decode(path: Path, kind: type[T], error: Callable[[str], Exception]) -> T:
-    """The file as a `kind`. Raises what `error` makes of the line: file, field where there is one, reason."""
+    """Decode a file into an instance of `kind`. `error` creates the exception to raise from its text: the file, the field
+    if there is one, and the reason."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=kind)
     except OSError as e:
@@ -20,5 +21,5 @@
     except msgspec.ValidationError as e:
         reason, _, where = str(e).partition(" - at `")
         raise error(f"{path}: {where.rstrip('`').lstrip('$.') or 'file'}: {reason}") from e
-    except (msgspec.DecodeError, ValueError) as e:  # bytes that are no text, too
+    except (msgspec.DecodeError, ValueError) as e:  # ValueError: also bytes that are not text
         raise error(f"{path}: not TOML: {' '.join(str(e).split())}") from e
