--- a/badgerroad/emulator/discovery_call.py
+++ b/badgerroad/emulator/discovery_call.py
@@ -48,7 +48,7 @@
     def __init__(self, machine: CallingMachine) -> None:
         """For the life that the machine has now."""
         self._machine = machine
-        self._call = machine.schedule.call()
+        self._call = machine.schedule.next_call()
         self._begun = machine.kernel.now
         self._life = machine.life
         self._done = False
@@ -56,8 +56,8 @@
     def start(self) -> None:
         """Send it; the answer comes a trip later, or never."""
         machine = self._machine
-        machine.world.note("discovery", dispatcher=machine.number, wait=self._call.wait)
-        machine.later(self._call.patience, self._give_up)
+        machine.world.note("discovery", dispatcher=machine.number, wait=self._call.wait_us)
+        machine.later(self._call.timeout_us, self._give_up)
         delay = machine.world.network.delay(machine.zone, machine.zone)
         if delay is not None:
             machine.kernel.after(delay, self._arrive)
@@ -65,7 +65,7 @@
     def _arrive(self) -> None:
         machine = self._machine
         if self._life == machine.life:
-            machine.world.registry.call(machine.number, machine.version, self._call.wait, self._reply)
+            machine.world.registry.call(machine.number, machine.version, self._call.wait_us, self._reply)
 
     def _reply(self, answer: Answer | None) -> None:
         """It is written now, and read one trip later."""
@@ -81,7 +81,7 @@
         if answer is None:
             self._fail()
             return
-        self._machine.schedule.answered()
+        self._machine.schedule.call_answered()
         self._machine.take_list(answer)
         self._machine.call_discovery()
 
@@ -92,7 +92,7 @@
 
     def _fail(self) -> None:
         machine = self._machine
-        pause = machine.schedule.failed(self._call, machine.kernel.now - self._begun)
-        if machine.schedule.out:
+        pause = machine.schedule.call_failed(self._call, machine.kernel.now - self._begun)
+        if machine.schedule.discovery_unavailable:
             machine.discovery_failed()
         machine.later(pause, machine.call_discovery)
--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -138,7 +138,7 @@
     def _subscribe(self, action: interface.Subscribe) -> None:
         if action.on and not self._watching:
             self._watching = True
-            self.later(self.schedule.before(True), self.call_discovery)
+            self.later(self.schedule.first_call_delay(True), self.call_discovery)
 
     def _health_check(self, action: interface.HealthCheck) -> None:
         self._probe(self.world.by_name[str(action.worker)])
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -16,7 +16,7 @@
 from badgerroad.net import framing, logs
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.net.unix_channel import UnixChannel
-from badgerroad.operator_limits import limit
+from badgerroad.operator_limits import apply_limits
 from badgerroad.process_messages import JobEvent, Message
 
 log = logs.get("badgerroad")
@@ -87,7 +87,7 @@
         if operator is not None:
             logs.configure(operator.log, process=self.index.number)
         self._dispatcher.reload(config)
-        limit(self._dispatcher, operator)
+        apply_limits(self._dispatcher, operator)
 
     def _on_peer_lost(self, number: int, channel: UnixChannel) -> None:
         if self.peers.get(number) is channel:
--- a/badgerroad/multiprocess/startup.py
+++ b/badgerroad/multiprocess/startup.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
-from badgerroad.config import Config, ConfigError, parse, read, reread
+from badgerroad.config import Config, ConfigError, check_config, check_reload, parse
 from badgerroad.multiprocess import messages
 from badgerroad.net import framing
 from badgerroad.process_messages import Head
@@ -94,4 +94,4 @@
     data = parse(configuration.text.encode(), variables.get("PROXY_CONFIG", ""))
     if configuration.reloaded:
         variables.pop("PROXY_DISCOVERY", None)
-    return index.share_of(read(data, variables) if present is None else reread(data, variables, present))
+    return index.share_of(check_config(data, variables) if present is None else check_reload(data, variables, present))
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -19,7 +19,7 @@
 from tornado.ioloop import IOLoop
 
 from badgerroad import startup_signals
-from badgerroad.config import Config, ConfigError, parse, reread, text_of
+from badgerroad.config import Config, ConfigError, check_reload, parse, read_config_file
 from badgerroad.errors import ListenError
 from badgerroad.multiprocess import messages, rules
 from badgerroad.multiprocess.metric_sums import MetricSums
@@ -250,8 +250,8 @@
     def reload(self) -> None:
         """SIGHUP: the files are checked here, completely, and sent to all that run; others get them at their start."""
         try:
-            text = text_of(os.environ)
-            config = reread(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ, self.config)
+            text = read_config_file(os.environ)
+            config = check_reload(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ, self.config)
             ProcessIndex(0, len(self.slots)).share_of(config)
             operator = _load_operator(self.options.operator_file)
         except ConfigError as error:
--- a/benchmarks/capacity/subjects.py
+++ b/benchmarks/capacity/subjects.py
@@ -61,9 +61,9 @@
             self._play(WatchSchedule(dispatchers, number, random.Random(number)), seconds * SECOND, holds_list)
 
     def _play(self, schedule: WatchSchedule, until: float, holds_list: bool) -> None:
-        now = schedule.before(holds_list)
+        now = schedule.first_call_delay(holds_list)
         self.first.append(now / SECOND)
         while now < until:
             self.times.append(now / SECOND)
-            now += max(schedule.call().wait, 1)
-            schedule.answered()
+            now += max(schedule.next_call().wait_us, 1)
+            schedule.call_answered()
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -15,7 +15,7 @@
 
 from badgerroad import serving
 from badgerroad.admin import listener as admin_listener
-from badgerroad.config import ConfigError, read
+from badgerroad.config import ConfigError, check_config
 from badgerroad.errors import ListenError
 from tests.support.loopback import CLASS, SETTINGS, World, async_test, id_of, job, read_message, reply, serve, until
 
@@ -179,7 +179,7 @@
             "settings": SETTINGS,
             "ops": f"127.0.0.1:{w.ops_port}",
         }
-        assert await serving.serve(read(data, {}), None, None) == 1
+        assert await serving.serve(check_config(data, {}), None, None) == 1
         said = [ln for ln in capsys.readouterr().err.splitlines() if ln.startswith("badgerroad:")]
         assert said == [
             f"badgerroad: listen: ops: 127.0.0.1:{w.ops_port}: Address already in use; {ListenError.remedy}"
@@ -187,7 +187,7 @@
     good = json.dumps({**data, "settings": {**SETTINGS, "requestClasses": [{**CLASS, "name": "other"}]}})
     monkeypatch.setattr(serving.startup_signals, "reload_count", 2)
     (tmp_path / "c.json").write_text(json.dumps(data))
-    running, figures = asyncio.ensure_future(serving.serve(read(data, {}), None, None)), {}
+    running, figures = asyncio.ensure_future(serving.serve(check_config(data, {}), None, None)), {}
     for text, name, count in (
         (None, "conf_loaded", 2),
         ("", "conf_invalid", 1),
@@ -221,7 +221,7 @@
 def test_a_malformed_second_address_is_named(value):
     data = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}
     with pytest.raises(ConfigError, match="^ops: "):
-        read({**data, "ops": value}, {})
+        check_config({**data, "ops": value}, {})
     with pytest.raises(ConfigError, match="^ops: "):
-        read({**data, "ops": "127.0.0.1:3"}, {"PROXY_OPS": value})
-    assert read(data, {}).admin is None
+        check_config({**data, "ops": "127.0.0.1:3"}, {"PROXY_OPS": value})
+    assert check_config(data, {}).admin is None
--- a/tests/load_balancing/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -92,9 +92,9 @@
         for n in range(many_of):
             p, at = WatchSchedule(many_of, n, random.Random(n)), 0
             for _ in range(4):  # two looks, after which it is out, and two more, all of them without an answer
-                call = p.call()
-                at += call.patience + p.failed(call, call.patience)
-            assert p.out
+                call = p.next_call()
+                at += call.timeout_us + p.call_failed(call, call.timeout_us)
+            assert p.discovery_unavailable
             assert at < 4 * 3_500 * MS
             asked.append(at)
         assert max(sum(a <= x < a + 500 * MS for x in asked) for a in asked) <= 0.35 * many_of  # as before: 14 of 40
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from badgerroad.config import ConfigError, read
+from badgerroad.config import ConfigError, check_config
 from badgerroad.multiprocess import rules
 from badgerroad.multiprocess.metric_sums import MetricSums
 from badgerroad.multiprocess.server_process import ServerProcess
@@ -149,7 +149,7 @@
 
 
 def test_server_processes_share_out_fleet_and_descriptors():
-    config = read({**DATA, "ops": "127.0.0.1:3"}, {})
+    config = check_config({**DATA, "ops": "127.0.0.1:3"}, {})
     parts = [ProcessIndex(n, 4).share_of(config) for n in range(4)]
     assert [(p.settings.dispatcher_count, p.settings.dispatcher_index, p.admin) for p in parts] == [
         (12, 4 + n, None) for n in range(4)
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -9,7 +9,7 @@
 from badgerroad.emulator import scenario as sc
 from badgerroad.emulator import virtual
 from badgerroad.operator.schema import Limits, Operator
-from badgerroad.operator_limits import limit
+from badgerroad.operator_limits import apply_limits
 from badgerroad.retry_budget.rules import HEDGING_SHARE, PARTS, RetryBudget
 from tests.support.loopback import World, async_test, id_of, job, reply, until
 
@@ -59,7 +59,7 @@
 async def test_a_retry_beyond_the_budget_is_not_sent_and_its_client_is_answered_at_once(capsys):
     async with World(fails, fails, fails, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        limit(w.dispatcher, Operator(limits=Limits(retries="budget", retry_share=0.5, retry_least=0)))
+        apply_limits(w.dispatcher, Operator(limits=Limits(retries="budget", retry_share=0.5, retry_least=0)))
         answers = [await asyncio.wait_for(w.ask(job(f"r{n}", "preview", 6000)), 3) for n in range(4)]
         assert [a[0] for a in answers] == [503] * 4
         assert all(b"Retry-After" in a[1] for a in answers)
@@ -67,7 +67,7 @@
         assert len(got) == 4 + 2
         assert (await w.figures())["sends"] == 6
         assert "retry_budget_exhausted cls=preview first=1 retries=0" in capsys.readouterr().err
-        limit(w.dispatcher, Operator())
+        apply_limits(w.dispatcher, Operator())
         await w.ask(job("r9", "preview", 6000))
         assert sum(id_of(head) == "r9" for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")) > 1
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -7,7 +7,7 @@
 
 from tornado.ioloop import IOLoop
 
-from badgerroad.config import read
+from badgerroad.config import check_config
 from badgerroad.net.timer_wheel import Clock, TimerWheel
 from badgerroad.serving import assemble
 
@@ -146,7 +146,7 @@
         }
 
     async def __aenter__(self):
-        config = read(await self.open(), {"PROXY_OPS": "127.0.0.1:1"} if self.ops else {})
+        config = check_config(await self.open(), {"PROXY_OPS": "127.0.0.1:1"} if self.ops else {})
         self.dispatcher, self.second = assemble(
             config._replace(listen=("127.0.0.1", 0)), TimerWheel(Clock(), IOLoop.current())
         )
