--- a/badgerroad/__main__.py
+++ b/badgerroad/__main__.py
@@ -1,6 +1,7 @@
 """Entry point of `python -m badgerroad`.
 
-Start-up must be short: all dispatchers may restart at the same time, and then no requests are served until they are up.
+Start-up must be short: other dispatchers may be restarting at the same time, and until one of them is up no requests
+are served.
 """
 
 import gc
--- a/badgerroad/class_table.py
+++ b/badgerroad/class_table.py
@@ -1,7 +1,7 @@
-"""Assigns indices to request classes: clients refer to a class by name, the dispatch policy by its index in the settings.
+"""Assigns indices to request classes: clients refer to a class by name, the dispatch policy by index.
 
-The index of a class with open requests is never assigned to another class. A class that is removed, or replaced by one of
-the same name with other settings, is retired: it keeps its index until its last request has ended.
+The index of a class with open requests is never assigned to another class. A class that is removed, or replaced by one
+of the same name with other settings, is retired: it keeps its index until its last request has ended.
 """
 
 from __future__ import annotations
--- a/badgerroad/cli.py
+++ b/badgerroad/cli.py
@@ -19,9 +19,9 @@
   serve          Serve until SIGTERM, then answer the open requests and exit.
   control        Run a controller of the fleet's shared quotas until SIGTERM.
   check-config   Check the configuration, print a summary and exit.
-  rehearse       Run a scenario in real time: real dispatcher processes; emulated nodes, discovery and clients on loopback.
+  rehearse       Run a scenario in real time, with real dispatcher processes and emulated nodes, discovery and clients.
   emulate run    Run a scenario in virtual time, as fast as the machine allows.
-  lab run        Run all runs of an experiment; can be interrupted and resumed without losing or repeating a run.
+  lab run        Execute the runs of an experiment; can be interrupted and resumed without losing or repeating a run.
   lab report     Write the tables and charts of an experiment.
   lab compare    Test whether two variants (A and B, each scenario/policy) differ: paired seeds, confidence interval.
   lab replay     Repeat one stored run, with its event log.
@@ -65,8 +65,8 @@
 from badgerroad.errors import ArgumentError, BadgerroadError
 
 BAD_ARGUMENT = 2
-# Each server process passes job events that it does not know to all others. With more processes this becomes most of the
-# work.
+# Each server process passes job events that it does not know to all others. With more processes this becomes most of
+# the work.
 MAX_SERVER_PROCESSES = 16
 
 
@@ -74,8 +74,8 @@
     """Run the command that the arguments name and return its exit code."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments[:1] == ["serve"] and len(arguments) == 1:
-        # The platform starts a dispatcher in this way. Parsing the help text is skipped to shorten the start, because all
-        # dispatchers may restart at the same time.
+        # The platform starts a dispatcher in this way. Parsing the help text takes time and is skipped here, since
+        # other dispatchers may be restarting at the same time.
         from badgerroad.serving import main as serve
 
         return serve(False, None, False)
--- a/badgerroad/config.py
+++ b/badgerroad/config.py
@@ -50,9 +50,9 @@
 
 
 def reload(environment: Mapping[str, str], present: Config) -> Config:
-    """Load the configuration for a reload that replaces `present`. Raises ConfigError, also for settings that a start would
-    accept: a key of the present settings that is missing may mean that the file is incomplete. PROXY_DISCOVERY dates from
-    the start of the process, so the file's `discovery` takes precedence over it."""
+    """Load the configuration for a reload that replaces `present`. Raises ConfigError, also for settings that a start
+    would accept: a key of the present settings that is missing may mean that the file is incomplete. PROXY_DISCOVERY
+    dates from the start of the process, so the file's `discovery` takes precedence over it."""
     return check_reload(_read_data(environment), environment, present)
 
 
@@ -92,7 +92,7 @@
 
 
 def check_config(data: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    """Check the file's JSON object. A PROXY_* variable that is set overrides the field of its name. Raises ConfigError."""
+    """Check the file's JSON object. PROXY_* variables override the fields of their names. Raises ConfigError."""
     seed = _seed(data)
     max_sockets = _max_sockets(data)
     settings = _settings(data)
--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -51,7 +51,7 @@
         number: int = 0,
         seed: int = 0,
     ) -> None:
-        """Watch for dispatcher `number` of `dispatchers`; both determine how its calls are staggered. `seed` is that of the
+        """Watch for dispatcher `number` of `dispatchers`; both determine how its calls are staggered. `seed` seeds the
         random waits."""
         self.wheel = wheel
         self.descriptors = descriptors
@@ -173,7 +173,7 @@
             delay_us = self.schedule.call_failed(call, took_us)
             if isinstance(error, ConnectionBrokenError) and call.is_watch and took_us >= call.timeout_us:
                 await self._retry_later(
-                    SilentWatchError(True, "discovery did not answer a watch within its timeout"), address_changes, delay_us
+                    SilentWatchError(True, "discovery did not answer a watch in time"), address_changes, delay_us
                 )
             else:
                 await self._retry_later(error, address_changes, delay_us)
@@ -195,7 +195,7 @@
         if update.scope != interface.ListScope.INCREMENTAL or self.version is None:
             return
         if update.version < self.version:
-            raise EndpointListError(f"version {update.version} of the list is older than version {self.version}, received before")
+            raise EndpointListError(f"list version {update.version} is older than version {self.version}")
 
     async def _retry_later(
         self, error: ConnectionBrokenError | EndpointListError, address_changes: int, delay_us: int
@@ -252,7 +252,7 @@
             raise NoDescriptorError(False, f"no file descriptor for a connection to discovery: {error}") from error
 
     async def _call(self, connection: CallConnection, target: bytes, timeout_us: int) -> ParsedList:
-        """Make one call; the connection is closed after `timeout_us`. Raises ConnectionBrokenError and EndpointListError."""
+        """Make one call, closed after `timeout_us`. Raises ConnectionBrokenError and EndpointListError."""
         timer = self.wheel.after(timeout_us, connection.close, awaits_peer=True)
         host, port = self.address
         try:
--- a/badgerroad/discovery/reader.py
+++ b/badgerroad/discovery/reader.py
@@ -68,8 +68,8 @@
     def renumbered(
         self, settings: interface.Settings, zones: list[str], machine_types: list[str]
     ) -> interface.Settings:
-        """Return the settings with their zone and machine type indices translated from the given lists to this reader's,
-        which never change."""
+        """Return the settings with their zone and machine type indices translated from the given lists to this
+        reader's, which never change."""
         zone = settings.zone
         if zone < len(zones):
             zone = self._index_of(self.zones, zones[zone])
@@ -82,7 +82,7 @@
         return settings._replace(zone=zone, classes=tuple(classes))
 
     def read(self, data: Any, cached: bool = False) -> ParsedList:
-        """Read a whole list without yielding. `cached` marks a list that may be out of date. Raises EndpointListError."""
+        """Read a list without yielding. `cached` marks a list that may be out of date. Raises EndpointListError."""
         entries: list[interface.Endpoint] = []
         addresses: dict[str, Address] = {}
         for hosts in self._slices(data):
@@ -102,7 +102,7 @@
     def write(
         self, endpoints: Iterable[interface.Endpoint], addresses: dict[str, Address], version: int
     ) -> dict[str, Any]:
-        """Return a complete list in wire form, for another process of this dispatcher. Omits workers without an address."""
+        """Return a complete list in wire form, for another process. Omits workers without an address."""
         hosts = [
             self._wire_host(endpoint, addresses[str(endpoint.worker)])
             for endpoint in endpoints
--- a/badgerroad/discovery/watch_schedule.py
+++ b/badgerroad/discovery/watch_schedule.py
@@ -16,9 +16,9 @@
 stop within the time that the settings give. The agent is therefore called at intervals that are fractions of that time;
 these calls put no load on discovery.
 
-Discovery serves the dispatchers' calls one after another, and calls that the dispatcher has given up still cost it time.
-With 200 dispatchers a poll took it 17 to 27 ms, and continuing a watch took 0 ms. Watches can therefore be short. Their
-waits are random, so that the watches of all dispatchers do not end together, and polls are staggered.
+Discovery serves the dispatchers' calls one after another, and calls that a dispatcher has given up still cost it
+time. With 200 dispatchers a poll took it 17 to 27 ms, and continuing a watch took 0 ms. Watches can therefore be short.
+Their waits are random, so that the watches of all dispatchers do not end together, and polls are staggered.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
 # The same for the first call of a process, as many dispatchers may start together.
 FIRST_CALL_STAGGER_PER_DISPATCHER_US, MAX_FIRST_CALL_STAGGER_US = 100_000, 4_000_000
 GOLDEN_RATIO_CONJUGATE = 0.618034
-# From the start of one poll to the start of the next while discovery is unavailable: for a fleet small enough to need no
-# staggering, and for a larger one. 214 dispatchers met a discovery that served some 60 to 90 polls a second.
+# From the start of one poll to the start of the next while discovery is unavailable: for a fleet small enough to need
+# no staggering, and for a larger one. With 214 dispatchers a discovery served only some 60 to 90 polls a second.
 SMALL_FLEET_UNAVAILABLE_POLL_PERIOD_US, UNAVAILABLE_POLL_PERIOD_US = 1_600_000, 2_800_000
 # Fractions of the time within which sends must stop: the wait of a watch at the agent, how long after that wait an
 # answer is awaited, and the delay after a failed call.
@@ -73,8 +73,10 @@
 
     def __init__(self, dispatchers: int, number: int, random_source: RandomSource) -> None:
         """Schedule for dispatcher `number` of `dispatchers`; both determine how its calls are staggered."""
-        self._random_source = random_source
-        self._staggered_dispatchers = dispatchers if dispatchers > MAX_UNSTAGGERED_DISPATCHERS else 0
+        self._random_source, self._staggered_dispatchers = (
+            random_source,
+            dispatchers if dispatchers > MAX_UNSTAGGERED_DISPATCHERS else 0,
+        )
         # From 0 to 1. Multiples of the golden ratio, modulo 1, spread any run of dispatcher numbers evenly.
         self._stagger_position = number * GOLDEN_RATIO_CONJUGATE % 1
         self.stop_sending_within_us = 0  # 0 while discovery itself is called rather than an agent
@@ -90,7 +92,7 @@
         self.stop_sending_within_us = 0
 
     def first_call_delay(self, has_list: bool) -> int:
-        """Return the delay before the first call. It is 0 without a list, since no request could be served until then."""
+        """Return the delay before the first call: 0 without a list, as no request could be served until then."""
         if self._started or self.stop_sending_within_us or not has_list:
             return 0
         return int(
--- a/badgerroad/dispatcher/attempts.py
+++ b/badgerroad/dispatcher/attempts.py
@@ -23,7 +23,7 @@
     from badgerroad.admin.counters import Counters
 
 MICROSECONDS_PER_SECOND = 1e6
-DEADLINE_TOLERANCE_TICKS = 10  # a failure within so many ticks of the deadline is answered as a timeout
+DEADLINE_TOLERANCE_TICKS = 10  # a failure within this many ticks of the deadline is answered as a timeout
 
 
 class Attempts:
@@ -114,8 +114,8 @@
         )
 
     def _may_begin(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may still be sent; called just before its first byte is written. The client may have
-        disconnected unnoticed, or the policy may no longer allow the attempt."""
+        """Return whether an attempt may still be sent; called just before its first byte is written. The client may
+        have disconnected unnoticed, or the policy may no longer allow the attempt."""
         exchange = self._requests.by_number[attempt.request].exchange
         if not exchange.answered and exchange.client_has_closed():
             exchange.close()
--- a/badgerroad/dispatcher/core.py
+++ b/badgerroad/dispatcher/core.py
@@ -143,8 +143,8 @@
         self._configure_watch()
 
     def reload(self, config: Config) -> None:
-        """Put a checked configuration in force. Open requests continue and the endpoint watch moves to the new discovery
-        address. Name, listener addresses and the socket limit take effect only at the next start."""
+        """Put a checked configuration in force. Open requests continue and the endpoint watch moves to the new
+        discovery address. Name, listener addresses and the socket limit take effect only at the next start."""
         self._warn_of_fields_for_next_start(config)
         log.info(
             "configuration_reloaded",
@@ -210,8 +210,8 @@
         """Begin a graceful shutdown. Requests that still arrive are answered while there is time."""
         self._shutdown.begin(self.settings.classes)
         if not self.settings.clients_mark_retries:
-            # Unmarked retries are recognised by the time that the client has left. The shutdown shortens that time, so first
-            # requests would look like retries.
+            # Unmarked retries are recognised by the time that the client has left. The shutdown shortens that time, so
+            # first requests would look like retries.
             self.handle_event(interface.SettingsChanged(self.settings._replace(clients_mark_retries=True)))
         self.frontend.drain()
 
--- a/badgerroad/dispatcher/decision_host.py
+++ b/badgerroad/dispatcher/decision_host.py
@@ -19,13 +19,14 @@
 
 
 class DecisionHost:
-    """Owns the dispatch policy. Events raised while another is handled are queued, so the policy is never re-entered."""
+    """Owns the dispatch policy. Events raised while another is handled are queued, so the policy is never
+    re-entered."""
 
     def __init__(
         self, decisions: DispatchPolicy, clock: Clock, extensions: Extensions, fail_request: Callable[[int], None]
     ) -> None:
-        """Host `decisions`. After an unexpected exception, `fail_request` is called with the number of the request; it must
-        ignore numbers that are not open."""
+        """Host `decisions`. After an unexpected exception, `fail_request` is called with the number of the request; it
+        must ignore numbers that are not open."""
         self.decisions = decisions
         self._clock = clock
         self._extensions = extensions
--- a/badgerroad/dispatcher/intake.py
+++ b/badgerroad/dispatcher/intake.py
@@ -70,7 +70,8 @@
             self._counts.request_rejected(path.split(b"/")[1].decode())
 
     def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """Handle a worker's event about an attempt. If the attempt is unknown here, the event is passed to the extensions."""
+        """Handle a worker's event about an attempt. If the attempt is unknown here, pass the event to the
+        extensions."""
         if not self._backend.handle_job_event(request_id, host, state, item):
             for extension in self._extensions.active:
                 extension.unknown_job_event(request_id, host, state, item)
--- a/badgerroad/dispatcher/open_requests.py
+++ b/badgerroad/dispatcher/open_requests.py
@@ -1,4 +1,4 @@
-"""Holds the open requests. Each is answered exactly once, and removed when none of its attempts is in flight any more."""
+"""Holds the open requests. Each is answered exactly once and removed when none of its attempts is in flight."""
 
 from __future__ import annotations
 
--- a/badgerroad/errors.py
+++ b/badgerroad/errors.py
@@ -1,7 +1,7 @@
 """The base of all errors that an operator may see. Each has a stable code, a text and a remedy.
 
-The text of an error states what happened. Log lines and exit messages contain all three; docs/operate/errors.md lists the
-codes.
+The text of an error states what happened. Log lines and exit messages contain all three; docs/operate/errors.md lists
+the codes.
 """
 
 from __future__ import annotations
--- a/badgerroad/extension.py
+++ b/badgerroad/extension.py
@@ -28,9 +28,9 @@
     def admit(
         self, request: OpenRequest, event: interface.Request, proceed: Callable[[interface.Request], None]
     ) -> None:
-        """Call `proceed`, at once or after a limited time, to pass the request on to the dispatch policy. The event given
-        to it may be changed. If the request is answered or its client disconnects before that, `request_forgotten`
-        is called, and a later `proceed` has no effect."""
+        """Call `proceed`, at once or after a limited time, to pass the request on to the dispatch policy. Its event may
+        be changed. If the request is answered or its client disconnects before that, `request_forgotten` is called, and
+        a later `proceed` has no effect."""
         proceed(event)
 
     def may_send(self, request: OpenRequest, attempt: Attempt) -> bool:
--- a/badgerroad/operator/schema.py
+++ b/badgerroad/operator/schema.py
@@ -1,7 +1,8 @@
 """The schema of the operator's TOML file. docs/operate/settings.md lists each setting with default, unit and effect.
 
-A new subsystem adds its settings as a table of its own. An invalid file gives an error of one line that names the file and
-the field. At a start the program then exits with code 2; at a reload the error is logged and the settings stay in force.
+A new subsystem adds its settings as a table of its own. An invalid file gives an error of one line that names the file
+and the field. At a start the program then exits with code 2; at a reload the error is logged and the settings stay in
+force.
 """
 
 from __future__ import annotations
@@ -43,13 +44,13 @@
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The table `[fleet]`. Takes effect at the start; changes of the quotas file also on SIGHUP. A field that is None has
-    the default of badgerroad.fleet.settings, which also defines the bounds."""
+    """The table `[fleet]`. Takes effect at the start; changes of the quotas file also on SIGHUP. A field that is None
+    has the default of badgerroad.fleet.settings, which also defines the bounds."""
 
     name: str = ""  # of the controller that is started with this file; not needed for dispatchers
     zone: str = ""  # of the dispatcher; if empty, the name of its zone in PROXY_CONFIG is used
-    members: str = ""  # a TOML file that lists the controllers, instead of `controllers`; relative to the operator's file
-    quotas: str = ""  # a TOML file with lines `team = requests per second`; relative to the operator's file
+    members: str = ""  # a TOML file with the controllers, in place of the list; relative to the operator's file
+    quotas: str = ""  # a TOML file of lines `team = requests per second`; relative to the operator's file
     controllers: tuple[FleetController, ...] = ()
     shards: int | None = None
     ownership_lease_ms: int | None = None
--- a/badgerroad/operator_limits.py
+++ b/badgerroad/operator_limits.py
@@ -1,4 +1,4 @@
-"""Applies the limits of the operator's file to a dispatcher. The code of a limit is imported only if the limit is set."""
+"""Applies the limits of the operator's file to a dispatcher. The code of a limit is imported only if it is set."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 def apply_limits(dispatcher: Dispatcher, operator: Operator | None) -> None:
-    """Put the limits of the operator's file in force; `operator` is None without such a file. A limit that has not changed
-    keeps its counts."""
+    """Put the limits of the operator's file in force; `operator` is None without such a file. A limit that has not
+    changed keeps its counts."""
     limits = operator.limits if operator is not None else None
     if limits is None or limits.retries != "budget":
         if dispatcher.extension(RETRY_BUDGET) is not None:
--- a/badgerroad/process_messages.py
+++ b/badgerroad/process_messages.py
@@ -1,9 +1,9 @@
 """What the messages between processes of one dispatcher have in common: their form in a packet, and the job event.
 
-`hot_restart.messages` and `multiprocess.messages` define the other messages. Each message is a class; `kind` is its name
-in a packet. The names of a packet's fields appear only in `to_head` and `from_head`. `from_head` raises KeyError,
-TypeError, ValueError or AttributeError for a packet that is not a valid message of the class; the channel is closed then.
-Request ids are bytes here and latin-1 text in a packet.
+`hot_restart.messages` and `multiprocess.messages` define the other messages. Each message is a class; `kind` is its
+name in a packet. The names of a packet's fields appear only in `to_head` and `from_head`. `from_head` raises KeyError,
+TypeError, ValueError or AttributeError for a packet that is not a valid message of the class; the channel is closed
+then. Request ids are bytes here and latin-1 text in a packet.
 
 Messages are dataclasses rather than msgspec structs because a dispatcher without an operator's file does not import
 msgspec otherwise.
@@ -36,8 +36,8 @@
 
 
 def id_from_text(text: str) -> bytes:
-    """Return the request id for the text in a packet. Raises AttributeError for a value that is not text, ValueError for
-    text that is not an id."""
+    """Return the request id for its text in a packet. Raises AttributeError for a value that is not text, and
+    ValueError for text that is not an id."""
     return text.encode("latin-1")
 
 
--- a/badgerroad/request_log.py
+++ b/badgerroad/request_log.py
@@ -1,4 +1,4 @@
-"""Writes the two log events from which the statistics of a fleet are computed: one for each answer, one for each attempt.
+"""Writes the log events from which fleet statistics are computed: one for each answer and one for each attempt.
 
 Their times are in milliseconds.
 """
--- a/badgerroad/requests.py
+++ b/badgerroad/requests.py
@@ -30,9 +30,9 @@
         b"client-retry",
     )
 )
-MAX_CLIENT_TIMEOUT_MS = 3_600_000  # a longer timeout is rejected; one longer than the class's deadline is cut to that
-# The id becomes part of a path when an attempt is cancelled. A comma is not allowed because it stands for two headers of
-# that name joined into one.
+MAX_CLIENT_TIMEOUT_MS = 3_600_000  # longer ones are rejected; those beyond the deadline of the class are cut to it
+# The id becomes part of a path when an attempt is cancelled. A comma is not allowed because it stands for two headers
+# of that name joined into one.
 REQUEST_ID = re.compile(rb"[A-Za-z0-9._~:@!$&'()*+;=-]{1,128}\Z")
 
 
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -33,7 +33,8 @@
 
 log = logs.get("badgerroad")
 
-# A predecessor to which this process relays job events is killed earlier than this after its SIGTERM.
+# A predecessor to which this process relays job events is killed within this time after its SIGTERM, so relaying them
+# is not needed for longer.
 PREDECESSOR_LIFETIME_US = 3_000_000
 NEW_CONNECTIONS_GRACE_US = 800_000  # clients open new connections for a while after SIGTERM
 SHUTDOWN_CHECK_INTERVAL_US = 20_000
@@ -51,8 +52,8 @@
 
 
 def assemble(config: Config, wheel: TimerWheel, counted: bool = False) -> tuple[Dispatcher, Listener | None]:
-    """Create the dispatcher and, if one is configured, the admin listener, which is imported only then. With `counted`, keep
-    counts even without an admin listener, because the supervisor's admin listener shows their sums."""
+    """Create the dispatcher and, if one is configured, the admin listener, which is imported only then. With `counted`,
+    keep counts even without an admin listener, because the supervisor's admin listener shows their sums."""
     if config.admin is None and not counted:
         return Dispatcher(config, wheel), None
     from badgerroad.admin.counters import Counters
@@ -89,8 +90,8 @@
     def __init__(
         self, config: Config, operator: Operator | None, operator_file: str | None, parameters: StartParameters | None
     ) -> None:
-        """Assemble the process. `parameters` come from the supervisor, if this is one of several server processes. Raises
-        ConfigError."""
+        """Assemble the process. `parameters` come from the supervisor, if this is one of several server processes.
+        Raises ConfigError."""
         self._config = config
         self._operator = operator
         self._operator_file = operator_file
@@ -114,8 +115,8 @@
         with contextlib.ExitStack() as resources:
             self._close_with(resources)
             await self._done.wait()
-            # Closing the event loop restores the default signal handlers, with which a signal would kill the process before
-            # it has exited cleanly.
+            # Closing the event loop restores the default signal handlers, with which a signal would kill the process
+            # before it has exited cleanly.
             signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         log.info("stopped")
         return ExitCode.OK
@@ -133,7 +134,8 @@
         self._check_shutdown(self._stopped_at_us)
 
     def reload(self) -> None:
-        """Reload the configuration and the operator's file. If one of them is invalid, only the log settings may change."""
+        """Reload the configuration and the operator's file. If one of them is invalid, only the log settings may
+        change."""
         counts = self._dispatcher.counts
         try:
             config = reload(os.environ, self._dispatcher.config)
@@ -219,8 +221,8 @@
             self._wheel.after(SHUTDOWN_CHECK_INTERVAL_US, lambda: self._check_shutdown(stopped_at_us))
 
     def _may_end(self, elapsed_us: int) -> bool:
-        """Return whether no client needs this process any more, `elapsed_us` after the shutdown began. Closes the client
-        connections that no successor takes over."""
+        """Return whether no client needs this process any more, `elapsed_us` after the shutdown began. Closes the
+        client connections that no successor takes over."""
         dispatcher, hot_restart = self._dispatcher, self._hot_restart
         if dispatcher.has_pending_responses:
             return False
--- a/badgerroad/toml_files.py
+++ b/badgerroad/toml_files.py
@@ -1,4 +1,4 @@
-"""Decodes this program's own TOML files into msgspec types. Error texts are one line and name the file and the field."""
+"""Decodes this program's own TOML files into msgspec types. Error texts are one line and name file and field."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 def decode(path: Path, kind: type[T], error: Callable[[str], Exception]) -> T:
-    """Decode a file into an instance of `kind`. `error` creates the exception to raise from its text: the file, the field
-    if there is one, and the reason."""
+    """Decode a file into an instance of `kind`. `error` creates the exception to raise from its text: the file, the
+    field if there is one, and the reason."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=kind)
     except OSError as e:
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Scenarios over loopback: the worker list follows discovery, whatever fails there."""
+"""The endpoint list follows discovery over loopback, through failed, invalid and missing answers."""
 
 import asyncio
 import json
@@ -14,33 +14,34 @@
 
 
 @async_test
-async def test_the_worker_list_follows_discovery_and_garbage_is_a_failure():
+async def test_the_worker_list_follows_discovery_and_an_invalid_answer_is_a_failure():
     async def script(head, body):
         return await w.whole_list(head, body) if len(w.discovery.got) < 4 else reply(200, b"{")
 
     w = World(serve, serve, discovery=script)
     async with w:
         scopes, handle = [], w.dispatcher.decisions.handle
-        w.dispatcher.decisions.handle = lambda now, e: (
-            scopes.append(e.scope) if type(e) is interface.EndpointList else None
-        ) or handle(now, e)
+        w.dispatcher.decisions.handle = lambda now, event: (
+            scopes.append(event.scope) if type(event) is interface.EndpointList else None
+        ) or handle(now, event)
         await until(lambda: scopes == [interface.ListScope.COMPLETE])
         w.lists.put_nowait({"seq": 3, "whole": False, "hosts": [host("h0", w.hosts[0].port, "draining")]})
         await until(lambda: scopes[1:] == [interface.ListScope.INCREMENTAL])
         assert (await w.ask(job("r1")))[0] == 200
         assert not w.hosts[0].got
-        w.lists.put_nowait({"seq": 4, "whole": True, "hosts": [w.entries[0]]})  # h1 is absent: gone
+        w.lists.put_nowait({"seq": 4, "whole": True, "hosts": [w.entries[0]]})  # a complete list without h1
         await until(lambda: len(scopes) >= 4)
         assert scopes[2:4] == [interface.ListScope.COMPLETE, interface.ListScope.FAILED]
-        assert [x.id for x in w.dispatcher.decisions.subsets.ready] == ["h0"]
-        index = [h.split(b" ")[1].split(b"&")[0] for h, _ in w.discovery.got]
+        assert [worker.id for worker in w.dispatcher.decisions.subsets.ready] == ["h0"]
+        index = [head.split(b" ")[1].split(b"&")[0] for head, _ in w.discovery.got]
         assert index[1:4] == [b"/api/targets?index=2", b"/api/targets?index=3", b"/api/targets?index=4"]
 
 
 @async_test
-async def test_a_restart_and_a_failure_ask_only_for_what_has_changed(monkeypatch):
-    """The whole list, asked for by 40 at once, kept discovery busy for the rest of the day."""
-    monkeypatch.setattr(watch_schedule, "AGAIN", 20_000)
+async def test_after_a_restart_or_a_failure_only_the_changes_are_requested(monkeypatch):
+    """Guards against requesting the complete list each time: 40 dispatchers doing so at once kept discovery busy
+    for the rest of the day."""
+    monkeypatch.setattr(watch_schedule, "POLL_RETRY_INTERVAL_US", 20_000)
     answers = [reply(503), reply(200, json.dumps({"seq": 5, "whole": False, "hosts": []}).encode()), reply(503)]
 
     async def script(_head, _body):
@@ -48,41 +49,43 @@
 
     async with World(serve, discovery=script) as w:
         await until(lambda: len(w.discovery.got) > 3)
-        asked = [head.split(b" ")[1] for head, _ in w.discovery.got]
-        assert asked[0] == b"/api/targets?index=1&wait=0"  # the list it was told at the start
-        assert [a.split(b"&")[0][-7:] for a in asked] == [b"index=1", b"index=1", b"index=5", b"index=5"]
-        assert [a.endswith(b"wait=0") for a in asked] == [
+        targets = [head.split(b" ")[1] for head, _ in w.discovery.got]
+        assert targets[0] == b"/api/targets?index=1&wait=0"  # the version of the cached list
+        assert [target.split(b"&")[0][-7:] for target in targets] == [b"index=1", b"index=1", b"index=5", b"index=5"]
+        # Polls, except for the watch that follows the successful poll.
+        assert [target.endswith(b"wait=0") for target in targets] == [
             True,
             True,
             False,
             True,
-        ]  # after a failure it only takes its turn
+        ]
         assert (await w.ask(job()))[0] == 200
 
 
 @async_test
-async def test_many_dispatchers_spread_their_first_call_and_few_do_not(monkeypatch):
-    def spread(dispatchers, number):
-        return EndpointWatch(None, None, None, ("", 1), None, dispatchers, number).schedule.before(True)
-
-    for many in (40, 200):
-        first = sorted(spread(many, number) for number in range(many))
-        assert first[0] >= 0
-        assert first[-1] <= 4_000_000
-        assert spread(4, 1) == 0
-        assert max(sum(a <= x < a + 500_000 for x in first) for a in first) < many / 4  # an eighth on average in 0.5 s
-    monkeypatch.setattr(watch_schedule, "FIRST", 3_600_000_000)
-    monkeypatch.setattr(watch_schedule, "MOST_FIRST", 3_600_000_000)
+async def test_first_calls_are_staggered_for_many_dispatchers_and_not_for_few(monkeypatch):
+    def first_call_delay(dispatchers, number):
+        return EndpointWatch(None, None, None, ("", 1), None, dispatchers, number).schedule.first_call_delay(True)
+
+    for dispatchers in (40, 200):
+        delays = sorted(first_call_delay(dispatchers, number) for number in range(dispatchers))
+        assert delays[0] >= 0
+        assert delays[-1] <= 4_000_000
+        assert first_call_delay(4, 1) == 0
+        # In any 0.5 s less than a quarter of the calls start; an even spread would give an eighth.
+        assert max(sum(start <= delay < start + 500_000 for delay in delays) for start in delays) < dispatchers / 4
+    monkeypatch.setattr(watch_schedule, "FIRST_CALL_STAGGER_PER_DISPATCHER_US", 3_600_000_000)
+    monkeypatch.setattr(watch_schedule, "MAX_FIRST_CALL_STAGGER_US", 3_600_000_000)
     async with World(serve, siblings=40, index=7) as w:
-        assert (await w.ask(job()))[0] == 200  # the known hosts serve meanwhile
+        assert (await w.ask(job()))[0] == 200  # served by the workers of the cached list
         await asyncio.sleep(0.1)
         assert not w.discovery.got
         assert not w.dispatcher.ready
 
 
 @async_test
-async def test_a_silent_discovery_is_a_failure_and_the_known_hosts_serve_on(monkeypatch):
-    monkeypatch.setattr(watch_schedule, "CALL_TIME", 50_000)
+async def test_a_discovery_that_does_not_answer_is_a_failure_and_the_cached_workers_serve(monkeypatch):
+    monkeypatch.setattr(watch_schedule, "POLL_TIMEOUT_US", 50_000)
     async with World(serve, discovery=lambda _head, _body: never(None, None, None)) as w:
         assert not w.dispatcher.ready
         await until(lambda: w.dispatcher.ready)
--- a/tests/dispatcher/test_admission.py
+++ b/tests/dispatcher/test_admission.py
@@ -1,4 +1,5 @@
-"""An extension may hold a taken request before the module hears of it: whatever happens meanwhile, one final answer."""
+"""An extension may delay the admission of a request to the dispatch policy. Whatever happens until then, the request
+gets exactly one final answer."""
 
 import asyncio
 import json
@@ -10,42 +11,42 @@
 from tests.support.loopback import SETTINGS, World, async_test, job, reply, serve, until
 
 
-class Holder(DispatcherExtension):
-    """Holds whatever comes; the test lets it go on."""
+class HoldingExtension(DispatcherExtension):
+    """Delays the admission of each request until the test releases it."""
 
     def __init__(self):
-        self.held, self.gone = [], []
+        self.held, self.forgotten = [], []
 
     def admit(self, request, event, proceed):
         self.held.append((request, event, proceed))
 
     def request_forgotten(self, request_id):
-        self.gone.append(request_id)
+        self.forgotten.append(request_id)
 
-    def release(self, place=0, **changed):
-        _, event, proceed = self.held[place]
+    def release(self, index=0, **changed):
+        _, event, proceed = self.held[index]
         proceed(event._replace(**changed))
 
 
-def sends(w):
+def sent_attempts(w):
     return [head for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")]
 
 
-def heard(w):
-    """The requests that the module hears of from now on."""
-    got, handle = [], w.dispatcher.decisions.handle
+def record_requests(w):
+    """Record the requests that the dispatch policy receives from now on."""
+    received, handle = [], w.dispatcher.decisions.handle
 
-    def handle_and_keep(now, event):
+    def record_and_handle(now, event):
         if isinstance(event, interface.Request):
-            got.append(event)
+            received.append(event)
         return handle(now, event)
 
-    w.dispatcher.decisions.handle = handle_and_keep
-    return got
+    w.dispatcher.decisions.handle = record_and_handle
+    return received
 
 
-async def held_by(w, holder, data=None):
-    """The answer to come to a request that is held now."""
+async def send_held_request(w, holder, data=None):
+    """Send a request and wait until it is held; returns the task of its answer."""
     w.dispatcher.set_extension("holder", holder)
     await until(lambda: w.dispatcher.ready)
     answer = w.begin(w.ask(data or job()))
@@ -54,23 +55,23 @@
 
 
 @async_test
-async def test_the_module_hears_of_a_held_request_once_it_may_go_on_as_it_is_then():
+async def test_the_policy_receives_a_held_request_when_it_is_released_with_its_changes():
     async with World(serve) as w:
-        holder, got = Holder(), heard(w)
-        answer = await held_by(w, holder)
+        holder, received = HoldingExtension(), record_requests(w)
+        answer = await send_held_request(w, holder)
         await asyncio.sleep(0.05)
-        assert not got
-        assert not sends(w)
+        assert not received
+        assert not sent_attempts(w)
         holder.release(time_left=1_234_567)
         assert (await answer)[0] == 200
-        assert [e.time_left for e in got] == [1_234_567]
-        assert len(sends(w)) == 1
+        assert [e.time_left for e in received] == [1_234_567]
+        assert len(sent_attempts(w)) == 1
 
 
 @async_test
-async def test_extensions_admit_in_order_and_each_hears_what_the_one_before_made_of_it():
+async def test_extensions_admit_in_order_and_each_receives_the_event_that_the_one_before_changed():
     async with World(serve) as w:
-        first, second, got = Holder(), Holder(), heard(w)
+        first, second, received = HoldingExtension(), HoldingExtension(), record_requests(w)
         w.dispatcher.set_extension("first", first)
         w.dispatcher.set_extension("second", second)
         await until(lambda: w.dispatcher.ready)
@@ -79,50 +80,50 @@
         assert not second.held
         first.release(work_hint=77)
         assert second.held[0][1].work_hint == 77
-        assert not got
+        assert not received
         second.release()
         assert (await answer)[0] == 200
-        assert got[0].work_hint == 77
+        assert received[0].work_hint == 77
 
 
 @async_test
-async def test_a_client_that_leaves_while_its_request_is_held_is_forgotten_and_nothing_is_sent():
+async def test_a_held_request_whose_client_disconnects_is_forgotten_and_not_sent():
     async with World(serve) as w:
-        holder, got = Holder(), heard(w)
+        holder, received = HoldingExtension(), record_requests(w)
         w.dispatcher.set_extension("holder", holder)
         await until(lambda: w.dispatcher.ready)
         _, writer = await w.connect()
         writer.write(job())
         await until(lambda: holder.held)
         writer.close()
-        await until(lambda: holder.gone == [b"r1"])
+        await until(lambda: holder.forgotten == [b"r1"])
         holder.release()
         await asyncio.sleep(0.05)
-        assert not got
-        assert not sends(w)
+        assert not received
+        assert not sent_attempts(w)
         assert not w.dispatcher.open_requests
         assert not w.dispatcher.has_pending_responses
 
 
 @async_test
-async def test_a_request_that_is_held_beyond_its_time_is_answered_once_and_never_sent():
+async def test_a_request_that_is_held_beyond_its_deadline_is_answered_once_and_never_sent():
     async with World(serve) as w:
-        holder, got = Holder(), heard(w)
-        answer = await held_by(w, holder, job(timeout=200))
+        holder, received = HoldingExtension(), record_requests(w)
+        answer = await send_held_request(w, holder, job(timeout=200))
         assert (await asyncio.wait_for(answer, 20))[0] == 504
-        assert holder.gone == [b"r1"]
+        assert holder.forgotten == [b"r1"]
         holder.release()
         await asyncio.sleep(0.05)
-        assert not got
-        assert not sends(w)
+        assert not received
+        assert not sent_attempts(w)
         assert not w.dispatcher.open_requests
 
 
 @async_test
-async def test_a_request_that_is_held_when_the_end_is_told_is_owed_and_answered():
+async def test_a_request_that_is_held_when_the_drain_begins_is_answered():
     async with World(serve) as w:
-        holder = Holder()
-        answer = await held_by(w, holder)
+        holder = HoldingExtension()
+        answer = await send_held_request(w, holder)
         w.dispatcher.drain()
         assert w.dispatcher.has_pending_responses
         holder.release()
@@ -131,27 +132,27 @@
 
 
 @async_test
-async def test_a_request_keeps_its_class_when_a_reload_takes_that_class_away_while_it_is_held():
+async def test_a_held_request_keeps_its_class_when_a_reload_removes_that_class():
     async with World(serve) as w:
-        holder, got = Holder(), heard(w)
-        answer = await held_by(w, holder)
-        others = [c for c in SETTINGS["requestClasses"] if c["name"] != "preview"]
-        settings = settings_from(json.dumps({**SETTINGS, "requestClasses": others}).encode())
+        holder, received = HoldingExtension(), record_requests(w)
+        answer = await send_held_request(w, holder)
+        other_classes = [c for c in SETTINGS["requestClasses"] if c["name"] != "preview"]
+        settings = settings_from(json.dumps({**SETTINGS, "requestClasses": other_classes}).encode())
         w.dispatcher.reload(w.dispatcher.config._replace(settings=settings))
         holder.release()
         assert (await answer)[0] == 200
-        assert w.dispatcher.settings.classes[got[0].class_index].name == "preview"
+        assert w.dispatcher.settings.classes[received[0].class_index].name == "preview"
 
 
 @async_test
-async def test_a_held_request_is_not_passed_to_another_process_before_the_module_has_heard_of_it():
-    def silent(_world, head, _body):
+async def test_a_held_request_is_not_passed_to_another_process_before_it_is_admitted():
+    def accept_without_events(_world, head, _body):
         return reply(200 if head.startswith(b"DELETE") else 202)
 
-    async with World(silent) as w:
-        holder = Holder()
-        await held_by(w, holder)
+    async with World(accept_without_events) as w:
+        holder = HoldingExtension()
+        await send_held_request(w, holder)
         request = holder.held[0][0]
         assert not request_transfer.can_move(request)
         holder.release()
-        await until(lambda: sends(w) and request_transfer.can_move(request))
+        await until(lambda: sent_attempts(w) and request_transfer.can_move(request))
--- a/tests/dispatcher/test_configuration.py
+++ b/tests/dispatcher/test_configuration.py
@@ -1,4 +1,4 @@
-"""The start of the program, and what `check-config` says of a configuration."""
+"""The start of the program, and what `check-config` prints for a valid and an invalid configuration."""
 
 import json
 import os
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -1,4 +1,5 @@
-"""The last instant: what ends while something is still owed, and what may no longer begin. Each bad order is forced."""
+"""Races at the end of connections, attempts and processes: what is still answered, and what is no longer sent. Each
+test forces the order of events that could go wrong."""
 
 import asyncio
 import json
@@ -7,63 +8,72 @@
 import pytest
 from tornado.ioloop import IOLoop
 
-from badgerroad.discovery.watch_schedule import TOLD
+from badgerroad.discovery.watch_schedule import NOTIFICATION_DEADLINE_US
 from badgerroad.frontend.client import ClientConnection
 from badgerroad.load_balancing import interface
 from tests.support.loopback import SETTINGS, World, async_test, id_of, job, reply, serve, until
 from tests.support.policy_driver import SEC
 
-FULL = reply(503, b"", b"Not-Started: 1")
+BUSY = reply(503, b"", b"Not-Started: 1")
 
 
-def posts(peer):
+def posted_ids(peer):
     return [id_of(head) for head, _ in peer.got if head.startswith(b"POST")]
 
 
-class Waits:
-    """r1 has been called off at h0, which has not answered the cancel yet; h1 was full; so the next attempt waits for h0."""
+class WaitingAttempt:
+    """An attempt that waits to be sent: r1 was cancelled at h0, which has not answered the cancel yet, and rejected by
+    h1 as busy, so the third attempt waits for h0."""
 
     def __init__(self, cls="bundle", **settings):
-        self.gate, self.settings, self.cls = asyncio.Event(), settings, cls
+        self.answer_cancel, self.settings, self.cls = asyncio.Event(), settings, cls
 
-    async def first(self, _world, head, _body):
+    async def delay_cancel(self, _world, head, _body):
         if head.startswith(b"DELETE"):
-            await self.gate.wait()
+            await self.answer_cancel.wait()
             return reply(200)
         return reply(202)
 
     async def __aenter__(self):
-        self.world = w = World(self.first, lambda *_: FULL, **self.settings)
+        self.world = w = World(self.delay_cancel, lambda *_: BUSY, **self.settings)
         await w.__aenter__()
         await until(lambda: w.dispatcher.ready)
-        d = w.dispatcher
-        d.decisions.workers["h1"].ejected_until = d.clock.now() + SEC  # so h0 is the first
+        dispatcher = w.dispatcher
+        # Ejects h1, so that the first attempt goes to h0.
+        dispatcher.decisions.workers["h1"].ejected_until = dispatcher.clock.now() + SEC
         self.sock = socket.create_connection(("127.0.0.1", w.port))
         self.sock.sendall(job("r1", self.cls, 5000))
-        await until(lambda: d.open_requests and d.open_requests[1].attempts and d.open_requests[1].attempts[0].accepted)
-        d.decisions.workers["h1"].ejected_until = 0
-        d.backend.cancel_attempt(d.open_requests[1].attempts[0])
-        await until(lambda: len(d.open_requests[1].attempts) == 3)
-        self.attempt, self.connections = d.open_requests[1].attempts[2], len(w.hosts[0].writers)
-        assert (self.attempt.worker, posts(w.hosts[0]), posts(w.hosts[1])) == ("h0", ["r1"], ["r1"])
+        await until(
+            lambda: (
+                dispatcher.open_requests
+                and dispatcher.open_requests[1].attempts
+                and dispatcher.open_requests[1].attempts[0].accepted
+            )
+        )
+        dispatcher.decisions.workers["h1"].ejected_until = 0
+        dispatcher.backend.cancel_attempt(dispatcher.open_requests[1].attempts[0])
+        await until(lambda: len(dispatcher.open_requests[1].attempts) == 3)
+        self.attempt, self.connections = dispatcher.open_requests[1].attempts[2], len(w.hosts[0].writers)
+        assert (self.attempt.worker, posted_ids(w.hosts[0]), posted_ids(w.hosts[1])) == ("h0", ["r1"], ["r1"])
         return self
 
     async def __aexit__(self, *_):
         self.sock.close()
         await self.world.__aexit__()
 
-    async def open_gate(self):
-        self.gate.set()
+    async def release(self):
+        """Let h0 answer the cancel; returns the ids that h0 was sent."""
+        self.answer_cancel.set()
         await until(lambda: self.attempt.ended)
         await asyncio.sleep(0.05)
-        return posts(self.world.hosts[0])
+        return posted_ids(self.world.hosts[0])
 
 
 @pytest.mark.parametrize("change", ["nothing", "draining", "gone", "another start"])
 @async_test
-async def test_an_attempt_that_waits_is_looked_at_again_before_its_first_byte(change):
-    async with Waits() as s:
-        w = s.world
+async def test_a_waiting_attempt_is_checked_again_before_its_first_byte(change):
+    async with WaitingAttempt() as waiting:
+        w = waiting.world
         h0, h1 = w.entries
         entries = {
             "nothing": [h0, h1],
@@ -75,61 +85,63 @@
         w.lists.put_nowait({"seq": 3, "whole": True, "hosts": entries})
         await until(lambda: w.dispatcher.endpoint_watch.version != seen)
         if change == "nothing":
-            s.gate.set()
-            await until(lambda: posts(w.hosts[0]) == ["r1", "r1"])
+            waiting.answer_cancel.set()
+            await until(lambda: posted_ids(w.hosts[0]) == ["r1", "r1"])
             return
-        # The start of another process at h0 leaves it a host that the module may choose anew, by what it knows then.
-        assert await s.open_gate() == (["r1", "r1"] if change == "another start" else ["r1"])
-        assert s.attempt.not_sent
+        # After a restart of h0 the policy may choose it again, for another attempt.
+        assert await waiting.release() == (["r1", "r1"] if change == "another start" else ["r1"])
+        assert waiting.attempt.not_sent
         assert w.dispatcher.decisions.workers["h1"].consecutive_failures == 1
         assert change == "another start" or w.dispatcher.decisions.requests[1].attempt_count <= 3
         if change == "draining":
-            assert len(w.hosts[0].writers) == s.connections  # the connection is kept for others
+            assert len(w.hosts[0].writers) == waiting.connections  # the connection is kept for other requests
 
 
 @async_test
-async def test_a_repeat_whose_window_has_run_out_while_it_waited_is_not_sent():
+async def test_a_retry_whose_deduplication_window_ends_while_it_waits_is_not_sent():
     bundle = {**SETTINGS["requestClasses"][1], "dedupWindowUs": 300_000}
-    async with Waits(requestClasses=[SETTINGS["requestClasses"][0], bundle]) as s:
+    async with WaitingAttempt(requestClasses=[SETTINGS["requestClasses"][0], bundle]) as waiting:
         await asyncio.sleep(0.35)
-        assert await s.open_gate() == ["r1"]
-        assert b" 502 " in await asyncio.get_running_loop().run_in_executor(None, s.sock.recv, 1000)  # no refusal
+        assert await waiting.release() == ["r1"]
+        # 502 rather than 503 with Retry-After: an attempt may have run.
+        assert b" 502 " in await asyncio.get_running_loop().run_in_executor(None, waiting.sock.recv, 1000)
 
 
 @async_test
-async def test_an_attempt_is_not_begun_for_a_client_whose_end_lies_unread_on_its_socket():
-    async with Waits("preview") as s:
-        (connection,) = (c for c in s.world.dispatcher.frontend.connections if c.exchange)
-        IOLoop.current().remove_handler(connection.stream.fileno())  # the loop does not come to read it
-        s.sock.close()
-        assert await s.open_gate() == ["r1"]
-        assert not s.world.dispatcher.open_requests
+async def test_an_attempt_is_not_sent_for_a_client_whose_disconnection_has_not_been_read():
+    async with WaitingAttempt("preview") as waiting:
+        (connection,) = (c for c in waiting.world.dispatcher.frontend.connections if c.exchange)
+        IOLoop.current().remove_handler(connection.stream.fileno())  # the event loop does not read the socket
+        waiting.sock.close()
+        assert await waiting.release() == ["r1"]
+        assert not waiting.world.dispatcher.open_requests
         assert connection.closed
 
 
 @async_test
-async def test_a_client_that_sends_much_at_once_and_goes_is_seen_to_have_gone():
-    """Behind more than a ring of requests its end was not read, and all of them were sent on."""
+async def test_the_disconnection_of_a_client_that_pipelines_many_requests_is_noticed():
+    """Guards against not reading the end of a connection behind more requests than the ring buffer holds; all of them
+    were sent to workers."""
     async with World(lambda *_: reply(202)) as w:
         await until(lambda: w.dispatcher.ready)
         sock = socket.create_connection(("127.0.0.1", w.port))
         sock.sendall(b"".join(job(f"r{n}", "preview", 5000, b"x" * 30_000) for n in range(20)))
         await until(lambda: w.hosts[0].got)
-        heard, handle = [], w.dispatcher.decisions.handle
-        w.dispatcher.decisions.handle = lambda now, e: heard.append(type(e)) or handle(now, e)
+        event_types, handle = [], w.dispatcher.decisions.handle
+        w.dispatcher.decisions.handle = lambda now, event: event_types.append(type(event)) or handle(now, event)
         sock.close()
         await until(lambda: not w.dispatcher.has_pending_responses)
-        # Seen at once: the attempt has not run out of its time first.
+        # Noticed at once, before the attempt could time out.
         assert (
-            next(e for e in heard if e in (interface.ClientDisconnected, interface.AttemptEnded))
+            next(kind for kind in event_types if kind in (interface.ClientDisconnected, interface.AttemptEnded))
             is interface.ClientDisconnected
         )
-        assert posts(w.hosts[0]) == ["r0"]
+        assert posted_ids(w.hosts[0]) == ["r0"]
         assert not w.dispatcher.frontend.connections
 
 
 @async_test
-async def test_a_flood_behind_an_open_request_ends_it():
+async def test_too_much_pipelined_data_behind_an_open_request_ends_the_request():
     async with World(lambda *_: reply(202)) as w:
         reader, writer = await w.connect()
         writer.write(job("r1"))
@@ -140,28 +152,29 @@
 
 
 @async_test
-async def test_the_answer_reaches_a_client_whose_next_bytes_come_in_the_moment_of_the_close(monkeypatch):
-    """Looked at an instant before, nothing was there; closed over unread bytes, the connection is reset."""
+async def test_the_answer_reaches_a_client_whose_next_bytes_arrive_as_the_connection_is_closed(monkeypatch):
+    """Closing a socket with unread bytes resets the connection, and the client loses its answer. The bytes may arrive
+    after the check for them and before the close."""
     monkeypatch.setattr(ClientConnection, "peer_has_sent", lambda self: False)
     async with World(lambda *_: reply(202)) as w:
         await until(lambda: w.dispatcher.ready)
         sock = socket.create_connection(("127.0.0.1", w.port))
         sock.sendall(job("r1"))
         await until(lambda: w.dispatcher.open_requests)
-        w.dispatcher.frontend.draining = True  # each answer closes
-        sock.sendall(job("r2")[:-1])  # in the same turn of the loop as the answer
+        w.dispatcher.frontend.draining = True  # each answer closes its connection
+        sock.sendall(job("r2")[:-1])  # in the same iteration of the event loop as the answer
         w.dispatcher.open_requests[1].exchange.answer(200, b"made")
-        loop, got = asyncio.get_running_loop(), b""
+        loop, received = asyncio.get_running_loop(), b""
         while data := await loop.run_in_executor(None, sock.recv, 65536):  # a reset would raise
-            got += data
-        assert got.startswith(b"HTTP/1.1 200 ")
-        assert got.endswith(b"made")
+            received += data
+        assert received.startswith(b"HTTP/1.1 200 ")
+        assert received.endswith(b"made")
         sock.close()
 
 
-@pytest.mark.parametrize("ends", ["drain", "shed", "patience"])
+@pytest.mark.parametrize("cause", ["drain", "shed", "timeout"])
 @async_test
-async def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on(ends, monkeypatch):
+async def test_a_request_that_arrives_as_an_idle_connection_is_closed_is_not_sent(cause, monkeypatch):
     monkeypatch.setattr("badgerroad.frontend.client.FRESH_TIME_US", 0)
     async with World(serve) as w:
         sock = socket.create_connection(("127.0.0.1", w.port))
@@ -169,17 +182,17 @@
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(None, sock.recv, 65536)
         (connection,) = w.dispatcher.frontend.connections
-        if ends == "shed":
+        if cause == "shed":
             w.dispatcher.descriptors.used += w.dispatcher.descriptors.limit
         {
             "drain": w.dispatcher.drain,
             "shed": w.dispatcher.frontend.shed_idle_connections,
-            "patience": connection._request_timed_out,
-        }[ends]()
-        sock.sendall(job("r1"))  # before the loop turns again
+            "timeout": connection._request_timed_out,
+        }[cause]()
+        sock.sendall(job("r1"))  # before the next iteration of the event loop
         assert await loop.run_in_executor(None, sock.recv, 65536) == b""
         await asyncio.sleep(0.05)
-        sock.sendall(b"x")  # raises if what crossed was met by a reset
+        sock.sendall(b"x")  # raises if the connection was reset because of the request
         assert not w.hosts[0].got
         assert not w.dispatcher.open_requests
         sock.close()
@@ -187,37 +200,37 @@
 
 
 @async_test
-async def test_at_the_end_who_waits_in_the_listeners_queue_and_what_has_come_are_answered():
+async def test_at_a_shutdown_clients_in_the_listeners_queue_are_answered():
     async with World(serve) as w:
         await until(lambda: w.dispatcher.ready)
-        resting = await w.connect()
-        assert (await w.ask(job("r0"), resting))[0] == 200
+        idle = await w.connect()
+        assert (await w.ask(job("r0"), idle))[0] == 200
         w.dispatcher.drain()
-        late = socket.create_connection(("127.0.0.1", w.port))  # accepted by the system, not by the loop
+        late = socket.create_connection(("127.0.0.1", w.port))  # accepted by the kernel, not yet by the event loop
         late.sendall(job("r1"))
         while w.dispatcher.has_pending_responses or not w.dispatcher.end_client_connections():
             await asyncio.sleep(0.005)
         w.dispatcher.close()
-        got = await asyncio.get_running_loop().run_in_executor(None, late.recv, 65536)
-        assert got.startswith(b"HTTP/1.1 ")
-        assert b"Connection: close" in got
-        assert await resting[0].read() == b""
+        received = await asyncio.get_running_loop().run_in_executor(None, late.recv, 65536)
+        assert received.startswith(b"HTTP/1.1 ")
+        assert b"Connection: close" in received
+        assert await idle[0].read() == b""
         late.close()
 
 
 @async_test
 async def test_a_second_answer_is_not_taken_for_the_answer_to_the_next_attempt():
-    """It said of a job that runs that it never ran."""
-    gate = asyncio.Event()
+    """Otherwise a second Not-Started answer would report a running job as never started, and it would be run twice."""
+    accept = asyncio.Event()
 
-    async def full_once(_world, head, _body):
+    async def reject_r1(_world, head, _body):
         if id_of(head) == "r1":
-            return FULL
-        await gate.wait()
+            return BUSY
+        await accept.wait()
         return reply(202)
 
     unsafe = {**SETTINGS["requestClasses"][0], "semantics": "fragile"}
-    async with World(full_once, requestClasses=[unsafe]) as w:
+    async with World(reject_r1, requestClasses=[unsafe]) as w:
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1", timeout=5000)))
         await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].ended)
@@ -225,47 +238,49 @@
             "h0"
         ].consecutive_failures = 0
         w.begin(w.ask(job("r2")))
-        await until(lambda: posts(w.hosts[0])[-1] == "r2")
+        await until(lambda: posted_ids(w.hosts[0])[-1] == "r2")
         attempt = w.dispatcher.requests_by_id[b"r2"].attempts[0]
-        w.hosts[0].writers[0].write(FULL)  # the second answer to r1
+        w.hosts[0].writers[0].write(BUSY)  # the second answer to r1
         await asyncio.sleep(0.05)
-        gate.set()
+        accept.set()
         await until(lambda: attempt.accepted or attempt.ended)
         assert attempt.accepted
         assert not attempt.ended
 
 
 @async_test
-async def test_a_202_that_lies_unread_when_its_attempt_is_given_up_has_its_host_told():
-    gate = asyncio.Event()
+async def test_an_attempt_cancelled_while_its_202_is_unread_is_cancelled_at_the_worker():
+    accept = asyncio.Event()
 
-    async def takes(_world, head, _body):
+    async def accept_later(_world, head, _body):
         if not head.startswith(b"DELETE"):
-            await gate.wait()
+            await accept.wait()
         return reply(200 if head.startswith(b"DELETE") else 202)
 
-    async with World(takes) as w:
+    async with World(accept_later) as w:
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1")))
         await until(lambda: w.hosts[0].got)
         attempt = w.dispatcher.open_requests[1].attempts[0]
-        w.hosts[0].writers[0].write(reply(202))  # it goes to the socket at once; the loop has not turned since
+        w.hosts[0].writers[0].write(reply(202))  # in the socket at once; the event loop has not read it yet
         w.dispatcher.backend.cancel_attempt(attempt)
         await until(lambda: any(head.startswith(b"DELETE /jobs/r1 ") for head, _ in w.hosts[0].got))
 
 
-@pytest.mark.parametrize("hears", [True, False])
+@pytest.mark.parametrize("cancel_answered", [True, False])
 @async_test
-async def test_where_two_may_never_be_out_an_attempt_has_ended_only_when_its_host_has_heard_so(hears, monkeypatch):
+async def test_without_hedging_an_attempt_ends_only_when_its_worker_has_confirmed_the_cancel(
+    cancel_answered, monkeypatch
+):
     monkeypatch.setattr("badgerroad.backend.cancels.CANCEL_TIMEOUT_US", 100_000)
-    gate = asyncio.Event()
+    answer_cancel = asyncio.Event()
 
-    async def slow(_world, head, _body):
+    async def delay_cancel(_world, head, _body):
         if head.startswith(b"DELETE"):
-            await gate.wait()
+            await answer_cancel.wait()
         return reply(202 if head.startswith(b"POST") else 200)
 
-    async with World(slow, slow, permissions={**SETTINGS["permissions"], "secondCopies": False}) as w:
+    async with World(delay_cancel, delay_cancel, permissions={**SETTINGS["permissions"], "secondCopies": False}) as w:
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1")))
         await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
@@ -274,55 +289,56 @@
         await asyncio.sleep(0.05)
         assert not request.attempts[0].ended
         assert len(request.attempts) == 1
-        if hears:
-            gate.set()
+        if cancel_answered:
+            answer_cancel.set()
             await until(lambda: len(request.attempts) == 2)
             assert request.attempts[0].ended
         else:
-            await asyncio.sleep(0.2)  # the cancel was lost: it still counts as out
+            await asyncio.sleep(0.2)  # the cancel timed out, so the attempt still counts as running
             assert not request.attempts[0].ended
             assert len(request.attempts) == 1
             assert await w.call_back("r1", "done", request.attempts[0].worker, result="made") == 200
             await until(lambda: not w.dispatcher.open_requests)
-        gate.set()
+        answer_cancel.set()
 
 
 @async_test
-async def test_what_one_copy_proves_never_to_have_run_does_not_free_another_that_may_have():
-    """The first copy was full after the second had been reset: the third went to another cell, where nobody drops it."""
-    gate = asyncio.Event()
+async def test_a_rejected_attempt_does_not_allow_a_retry_while_another_one_may_have_run():
+    """The first attempt is rejected after the connection of the second was reset. A third attempt in another cell would
+    not be recognised there as a duplicate of the second, which may have run."""
+    reject = asyncio.Event()
 
-    async def full_in_the_end(_world, _head, _body):
-        await gate.wait()
-        return FULL
+    async def reject_later(_world, _head, _body):
+        await reject.wait()
+        return BUSY
 
-    async with World(full_in_the_end, lambda *_: None, serve) as w:
+    async with World(reject_later, lambda *_: None, serve) as w:
         w.entries[2]["block"] = 2
         await until(lambda: w.dispatcher.ready)
         w.lists.put_nowait({"seq": 3, "whole": True, "hosts": w.entries})
         await until(lambda: w.dispatcher.endpoint_watch.version == 3)
-        d, decisions = w.dispatcher, w.dispatcher.decisions
+        dispatcher, decisions = w.dispatcher, w.dispatcher.decisions
         for name in ("h1", "h2"):
-            decisions.workers[name].ejected_until = d.clock.now() + SEC  # so h0 is the first
+            decisions.workers[name].ejected_until = dispatcher.clock.now() + SEC  # so the first attempt goes to h0
         answer = w.begin(w.ask(job("r1", "bundle", 1500)))
         await until(lambda: w.hosts[0].got)
         decisions.workers["h2"].ejected_until = 0
         decisions.placement.send(decisions.requests[1], decisions.workers["h1"])
-        out = decisions.context.take_actions()
-        d.perform_actions(out)
-        await until(lambda: d.open_requests[1].attempts[1].ended)  # reset: it may have run
-        gate.set()
-        assert (await answer)[0] in (502, 504)  # a failure: it may have run
+        actions = decisions.context.take_actions()
+        dispatcher.perform_actions(actions)
+        await until(lambda: dispatcher.open_requests[1].attempts[1].ended)  # its connection was reset: it may have run
+        reject.set()
+        assert (await answer)[0] in (502, 504)  # a failure rather than a rejection, because an attempt may have run
         assert not w.hosts[2].got
 
 
 @async_test
-async def test_what_an_agent_gets_after_an_outage_is_known_within_the_time_that_sends_have_to_stop():
-    out = asyncio.Event()
+async def test_a_change_that_an_agent_receives_after_an_outage_is_known_before_sends_must_stop():
+    agent_down = asyncio.Event()
 
     async def script(head, _body):
-        while out.is_set():
-            await asyncio.sleep(60)  # silent, and what waits is not answered later
+        while agent_down.is_set():
+            await asyncio.sleep(60)  # calls made during the outage are never answered
         if b"wait=0" in head:
             state = "draining" if w.returned else "ready"
             hosts = [{**e, "health": state} for e in w.entries]
@@ -334,53 +350,53 @@
     w.returned = False
     async with w:
         await until(lambda: w.dispatcher.ready)
-        out.set()
+        agent_down.set()
         await asyncio.sleep(1.2)
-        out.clear()
-        w.returned, back = True, w.dispatcher.clock.now()
+        agent_down.clear()
+        w.returned, returned_at = True, w.dispatcher.clock.now()
         await until(lambda: not w.dispatcher.decisions.subsets.ready)
-        assert w.dispatcher.clock.now() - back <= SETTINGS["obligations"]["stopSendingWithinUs"]
+        assert w.dispatcher.clock.now() - returned_at <= SETTINGS["obligations"]["stopSendingWithinUs"]
 
 
 @async_test
-async def test_a_whole_list_that_cannot_be_asked_for_is_a_failure_that_the_module_hears_of(monkeypatch):
+async def test_a_complete_list_that_cannot_be_requested_is_reported_as_a_failed_update(monkeypatch):
     async with World(serve) as w:
         await until(lambda: w.dispatcher.ready)
-        heard, table = [], w.dispatcher.endpoint_watch
-        table.close()  # its watch would fail too, and be heard of
-        await until(lambda: not table._watching)
-        table.on_update = lambda news, places: heard.append(news.scope)
+        scopes, watch = [], w.dispatcher.endpoint_watch
+        watch.close()  # otherwise its own calls would fail too and be reported
+        await until(lambda: not watch._watching)
+        watch.on_update = lambda update, addresses: scopes.append(update.scope)
 
-        def none_left(*_):
+        def no_descriptor_left(*_):
             raise OSError(24, "Too many open files")
 
-        monkeypatch.setattr("badgerroad.discovery.endpoint_watch.CallConnection", none_left)
-        table.fetch()
-        await until(lambda: heard)
-        assert heard == [interface.ListScope.FAILED]
+        monkeypatch.setattr("badgerroad.discovery.endpoint_watch.CallConnection", no_descriptor_left)
+        watch.fetch()
+        await until(lambda: scopes)
+        assert scopes == [interface.ListScope.FAILED]
 
 
 @async_test
-async def test_clients_that_filled_the_descriptors_while_discovery_was_down_hinder_neither_it_nor_attempts():
-    out, returned = asyncio.Event(), asyncio.Event()
+async def test_clients_that_used_up_the_descriptors_during_an_outage_of_discovery_block_neither_it_nor_attempts():
+    discovery_down, returned = asyncio.Event(), asyncio.Event()
 
     async def script(head, _body):
         await asyncio.sleep(0.05)
-        if out.is_set():
+        if discovery_down.is_set():
             return reply(503)
         return reply(200, json.dumps({"seq": 2 + returned.is_set(), "whole": True, "hosts": w.entries}).encode())
 
     w = World(serve, limits=224, discovery=script)
     async with w:
         await until(lambda: w.dispatcher.ready)
-        out.set()
+        discovery_down.set()
         idle = [await w.connect() for _ in range(230)]
         for _, writer in idle:
             writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
         await until(lambda: w.dispatcher.descriptors.scarce)
-        out.clear()
+        discovery_down.clear()
         returned.set()
-        began = w.dispatcher.clock.now()
+        returned_at = w.dispatcher.clock.now()
         await until(lambda: w.dispatcher.endpoint_watch.version == 3)
-        assert w.dispatcher.clock.now() - began < TOLD
+        assert w.dispatcher.clock.now() - returned_at < NOTIFICATION_DEADLINE_US
         assert (await w.ask(job("r1")))[0] == 200
--- a/tests/operator_file/test_operator_file.py
+++ b/tests/operator_file/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file, structured logs, and what `serve` must not import."""
+"""The operator's file, structured logs, and the modules that `serve` must not import."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
         (None, "No such file"),
     ],
 )
-def test_a_wrong_operators_file_is_one_line_that_names_file_and_field(tmp_path, text, field):
+def test_an_invalid_operators_file_is_an_error_of_one_line_that_names_file_and_field(tmp_path, text, field):
     path = tmp_path / "o.toml"
     if text is not None:
         path.write_text(text)
@@ -50,26 +50,26 @@
     assert field in done.stderr
 
 
-def test_the_shipped_operators_file_holds_the_defaults():
+def test_the_operators_file_in_deploy_has_the_default_values():
     from badgerroad.operator.schema import Operator
 
     assert load(str(ROOT / "deploy/operator.toml")) == Operator()
 
 
-def test_lines_carry_their_fields_in_both_formats(capsys):
-    for form in ("json", "console"):
-        logs.configure(logs.LogSettings(form, "info"))
-        log = logs.get("x")
-        log.debug("unheard")
+def test_log_lines_contain_their_fields_in_both_formats(capsys):
+    for log_format in ("json", "console"):
+        logs.configure(logs.LogSettings(log_format, "info"))
+        log = logs.get("test")
+        log.debug("not_logged")
         log.info("attempt_ended", request="r1", attempt=0, host="h", why="two words")
         try:
             raise RuntimeError("boom")
         except RuntimeError:
-            log.exception("broke")
+            log.exception("exception_raised")
     logs.configure()
     lines = capsys.readouterr().err.splitlines()
     first = json.loads(lines[0])
-    assert {k: first[k] for k in ("event", "level", "request", "attempt", "host")} == {
+    assert {field: first[field] for field in ("event", "level", "request", "attempt", "host")} == {
         "event": "attempt_ended",
         "level": "info",
         "request": "r1",
@@ -77,16 +77,16 @@
         "host": "h",
     }
     assert "boom" in json.loads(lines[1])["exception"]
-    assert "unheard" not in "".join(lines)
+    assert "not_logged" not in "".join(lines)
     assert " info attempt_ended request=r1 attempt=0 host=h why='two words'" in lines[2]
 
 
 @async_test
-async def test_the_log_changes_on_sighup_and_a_wrong_file_changes_nothing(tmp_path):
+async def test_sighup_changes_the_log_format_and_an_invalid_file_changes_nothing(tmp_path):
     operator = tmp_path / "o.toml"
     operator.write_text("[log]\nformat = 'console'\n")
     async with World(serve) as w, program(w, tmp_path / "config.json", operator=operator) as process:
-        for text, mark in (
+        for text, expected in (
             ("[log]\nformat = 'xml'", b"log.format"),
             ("[log]\nformat = 'json'", b'"event":"answered"'),
         ):
@@ -95,7 +95,7 @@
             await asyncio.sleep(0.1)
             assert (await w.ask(job(f"r{len(text)}")))[0] == 200
             line = b""
-            while mark not in line:
+            while expected not in line:
                 line = await process.stderr.readline()
 
 
