--- a/badgerroad/cli.py
+++ b/badgerroad/cli.py
@@ -90,7 +90,9 @@
 
         workers = options["--workers"]
         if not workers.isdigit() or not 1 <= int(workers) <= MAX_SERVER_PROCESSES:
-            return _print_error(ArgumentError(f"--workers: not a whole number from 1 to {MAX_SERVER_PROCESSES}: {workers!r}"))
+            return _print_error(
+                ArgumentError(f"--workers: not a whole number from 1 to {MAX_SERVER_PROCESSES}: {workers!r}")
+            )
         return serve(bool(options["check-config"]), options["--operator"], bool(options["--verbose"]), int(workers))
     if options["control"]:
         from badgerroad.fleet.controller import main as control
@@ -105,7 +107,9 @@
         if options["rehearse"]:
             from badgerroad.emulator import rehearse
 
-            return rehearse.main(options["SCENARIO"], _parse_seed(options["--seed"]), options["--json"], options["--logs"])
+            return rehearse.main(
+                options["SCENARIO"], _parse_seed(options["--seed"]), options["--json"], options["--logs"]
+            )
         if options["load"]:
             from badgerroad.lab import load
 
--- a/tests/discovery/test_stale_watches.py
+++ b/tests/discovery/test_stale_watches.py
@@ -169,7 +169,11 @@
             elif call.is_watch:
                 ok = fate > 0.3
                 took = (
-                    call.wait_us + took if ok else call.timeout_us if fate < 0.2 else self.random.randrange(call.wait_us)
+                    call.wait_us + took
+                    if ok
+                    else call.timeout_us
+                    if fate < 0.2
+                    else self.random.randrange(call.wait_us)
                 )
             else:
                 ok = self.last_poll_failed or fate > 0.3
@@ -194,9 +198,7 @@
             while any(available < begin < available + NOTIFICATION_DEADLINE_US for begin, _ in discovery.outages):
                 # An outage within the deadline restarts it at the end of that outage.
                 available = next(
-                    end
-                    for begin, end in discovery.outages
-                    if available < begin < available + NOTIFICATION_DEADLINE_US
+                    end for begin, end in discovery.outages if available < begin < available + NOTIFICATION_DEADLINE_US
                 )
             known = next((at for as_of, at in answers if as_of >= available), None)
             assert known is None or known - available <= NOTIFICATION_DEADLINE_US, (seed, change, known - available)
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -90,7 +90,9 @@
 
 
 @given(
-    st.lists(st.one_of(CLASS_LISTS, st.integers(0, 3), st.integers(4, 7), st.sampled_from([1, 2, 5]).map(str)), max_size=40)
+    st.lists(
+        st.one_of(CLASS_LISTS, st.integers(0, 3), st.integers(4, 7), st.sampled_from([1, 2, 5]).map(str)), max_size=40
+    )
 )
 def test_requests_keep_their_class_and_attempts_stay_within_the_limit_in_force(history):
     """`history`: new lists of classes, new limits of attempts (text), requests of a class by index (0 to 3), and open
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -252,7 +252,10 @@
         for line in output.splitlines()
         if " attempt_ended " in line
     ]
-    assert [(attempt["result"], attempt["opened"], attempt["host"]) for attempt in attempts] == [("ok", "1", "h0"), ("ok", "0", "h0")]
+    assert [(attempt["result"], attempt["opened"], attempt["host"]) for attempt in attempts] == [
+        ("ok", "1", "h0"),
+        ("ok", "0", "h0"),
+    ]
     assert all(0 <= int(attempt["start"]) <= int(attempt["ms"]) for attempt in attempts)
     assert output.count("hint=300 due=4600") == 2  # the latency objective of 4 s plus twice the hint
     assert "endpoint_list_received scope=cached seq=1 entries=1 hosts=1" in output
@@ -283,7 +286,11 @@
         w.dispatcher.backend.health_checks.raise_event = events.append
         w.dispatcher.backend.check_health("h0")
         await until(lambda: events)
-        assert (events[0].worker, events[0].result, events[0].load_report) == ("h0", interface.AttemptResult.OK, (1.5, 3.0, 2.0))
+        assert (events[0].worker, events[0].result, events[0].load_report) == (
+            "h0",
+            interface.AttemptResult.OK,
+            (1.5, 3.0, 2.0),
+        )
         assert w.dispatcher.backend.reports.from_text(json.dumps({"load": {"rps": 1, "active": 2, "x0": 0}})) == (
             1,
             2,
