--- a/badgerroad/config.py
+++ b/badgerroad/config.py
@@ -58,11 +58,11 @@
 
 def check_reload(data: dict[str, Any], environment: Mapping[str, str], present: Config) -> Config:
     """Check the file's JSON object for a reload, by the rules of `reload`. Raises ConfigError."""
-    fresh = check_config(data, {name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"})
-    missing = present.settings_keys - fresh.settings_keys
+    new = check_config(data, {name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"})
+    missing = present.settings_keys - new.settings_keys
     if missing:
         raise ConfigError(f"settings: {', '.join(sorted(missing))} missing, but present in the settings in force")
-    return fresh
+    return new
 
 
 def _read_data(environment: Mapping[str, str]) -> dict[str, Any]:
--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -23,8 +23,8 @@
 WIRE_LIST_LIMIT_BYTES = 4 * 1024 * 1024  # 10,000 workers take 1.4 MB, 2.5 MB with long names
 FETCH_TIMEOUT_US = 1_500_000
 # For this period after a change of discovery's address, failed calls are retried at the delay below and not reported.
-MOVE_RETRY_PERIOD_US = 3_000_000
-MOVE_RETRY_DELAY_US = 250_000
+ADDRESS_CHANGE_RETRY_PERIOD_US = 3_000_000
+ADDRESS_CHANGE_RETRY_DELAY_US = 250_000
 TARGETS_PATH = b"/api/targets"
 
 UpdateHandler = Callable[[interface.EndpointList, dict[str, Address]], None]
@@ -201,7 +201,7 @@
         self, error: ConnectionBrokenError | EndpointListError, address_changes: int, delay_us: int
     ) -> None:
         """Log a failed call and wait before the next one. The failure is reported to the dispatch policy only once
-        discovery counts as unavailable, and not within MOVE_RETRY_PERIOD_US of a change of address."""
+        discovery counts as unavailable, and not within ADDRESS_CHANGE_RETRY_PERIOD_US of a change of address."""
         log.info("discovery_failed", code=error.code, error=str(error), again=delay_us // 1000)
         if address_changes != self._address_changes:
             self.schedule.poll_next()
@@ -210,14 +210,14 @@
             self.version = None
         if self._address_changed_recently():
             self.schedule.poll_next()
-            delay_us = MOVE_RETRY_DELAY_US
+            delay_us = ADDRESS_CHANGE_RETRY_DELAY_US
         elif self.schedule.discovery_unavailable:
             self._report_failure()
         await self._delay(delay_us)
 
     def _address_changed_recently(self) -> bool:
         changed_at_us = self._address_changed_at_us
-        return changed_at_us is not None and self.wheel.clock.now() - changed_at_us <= MOVE_RETRY_PERIOD_US
+        return changed_at_us is not None and self.wheel.clock.now() - changed_at_us <= ADDRESS_CHANGE_RETRY_PERIOD_US
 
     async def _delay(self, delay_us: int) -> None:
         """Wait for `delay_us`, or until the address changes."""
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -61,7 +61,7 @@
 
 @async_test
 async def test_a_change_of_address_starts_from_a_complete_list_and_retries_without_a_failed_update(monkeypatch):
-    monkeypatch.setattr(endpoint_watch, "MOVE_RETRY_DELAY_US", 20_000)
+    monkeypatch.setattr(endpoint_watch, "ADDRESS_CHANGE_RETRY_DELAY_US", 20_000)
     finish, calls = asyncio.Event(), []
 
     async def slow(world, head, body):
