--- a/badgerroad/multiprocess/startup.py
+++ b/badgerroad/multiprocess/startup.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, NamedTuple
 
-from badgerroad.config import Config, ConfigError, parse, read, reread
+from badgerroad.config import Config, ConfigError, check_config, check_reload, parse
 from badgerroad.multiprocess import messages
 from badgerroad.net import framing
 from badgerroad.process_messages import Head
@@ -105,4 +105,4 @@
     data = parse(configuration.text.encode(), variables.get("PROXY_CONFIG", ""))
     if configuration.reloaded:
         variables.pop("PROXY_DISCOVERY", None)
-    return index.share_of(read(data, variables) if current is None else reread(data, variables, current))
+    return index.share_of(check_config(data, variables) if current is None else check_reload(data, variables, current))
--- a/tests/load_balancing/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -100,9 +100,9 @@
         for index in range(dispatcher_count):
             schedule, elapsed = WatchSchedule(dispatcher_count, index, random.Random(index)), 0
             for _ in range(4):  # all calls fail; discovery counts as unavailable after the second
-                call = schedule.call()
-                elapsed += call.patience + schedule.failed(call, call.patience)
-            assert schedule.out
+                call = schedule.next_call()
+                elapsed += call.timeout_us + schedule.call_failed(call, call.timeout_us)
+            assert schedule.discovery_unavailable
             assert elapsed < 4 * 3_500 * MS
             retry_times.append(elapsed)
         assert (
