--- a/badgerroad/fleet/__init__.py
+++ b/badgerroad/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas shared by all dispatchers of an installation: controllers, one a zone, lease them out. See docs/fleet.md."""
+"""Quotas shared by all dispatchers of an installation. One controller per zone leases them out; see docs/fleet.md."""
--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -1,8 +1,8 @@
 """The connections of one process of the fleet, by the name of the peer.
 
-A dispatcher connects to controllers. Of two controllers the one whose name sorts first connects, so that each pair has
-one connection. A message that cannot be delivered is dropped and counted: the rules tolerate loss, repetition and
-reordering.
+Dispatchers connect to controllers. Of two controllers the one whose name sorts first connects to the other, so that
+each pair has one connection. A message that cannot be delivered is dropped and counted, because the rules tolerate
+loss, repetition and reordering.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 log = logs.get("badgerroad")
 
-MAX_ACCEPTED_CONNECTIONS = 2048  # connections accepted from others
-ROLE_DISPATCHER: Final = "dispatcher"  # of Hello.role
+MAX_ACCEPTED_CONNECTIONS = 2048  # incoming connections open at the same time; further ones are closed
+ROLE_DISPATCHER: Final = "dispatcher"  # values of Hello.role
 ROLE_CONTROLLER: Final = "controller"
 
 
 def new_incarnation() -> int:
-    """A number that grows with each start of a process on a machine: microseconds of the wall clock."""
+    """Return a number that rises with each start of a process on a machine: microseconds of the wall clock."""
     return time.time_ns() // 1000
 
 
@@ -43,10 +43,10 @@
     """Receives the events of connections. Its methods must not block."""
 
     def received(self, sender: Peer, message: Message) -> None:
-        """A message of a peer arrived."""
+        """Handle a message from a peer."""
 
     def lost(self, name: str) -> None:
-        """A peer's connection ended, or could not be made."""
+        """Handle that the connection to a peer ended or could not be made."""
 
 
 class Listener(TCPServer):
@@ -58,7 +58,7 @@
         self._accepted = accepted
 
     def handle_stream(self, stream: IOStream, address: Address) -> None:
-        """Pass the stream on (called by Tornado)."""
+        """Pass on the stream of an accepted connection (called by Tornado)."""
         self._accepted(stream)
 
 
@@ -66,7 +66,7 @@
     """All connections of one process of the fleet, by the name of the peer."""
 
     def __init__(self, hello: Hello, controllers: Mapping[str, Address], receiver: Receiver, random: Random) -> None:
-        """`hello`: describes this process. `controllers`: the addresses of all controllers, its own included."""
+        """`hello`: describes this process. `controllers`: the addresses of all controllers, including its own."""
         self.hello = hello
         self.controllers = controllers
         self._receiver = receiver
@@ -76,14 +76,14 @@
         self._dialers: dict[str, Dialer] = {}
         self._dialing: dict[PeerConnection, Dialer] = {}
         self._listener: Listener | None = None
-        self._closed_traffic = Traffic()  # of closed connections
+        self._closed_traffic = Traffic()  # counters of closed connections
         self._dropped = 0
         self._closing = False
 
     # Peers
 
     def listen(self, address: Address) -> Address:
-        """Accept connections at `address` (port 0: any free port); return the address. Raises ListenError."""
+        """Accept connections at `address` (port 0: any free port) and return the bound address. Raises ListenError."""
         self._listener = Listener(self._accept)
         try:
             self._listener.listen(address[1], address[0])
@@ -94,12 +94,12 @@
         return host, port
 
     def stop_listening(self) -> None:
-        """Accept no more connections. Present ones stay open."""
+        """Accept no more connections. Existing ones stay open."""
         if self._listener is not None:
             self._listener.stop()
 
     def connect_controllers(self) -> None:
-        """Connect to the controllers that do not connect to this one."""
+        """Connect to the controllers whose names sort after this one's; the others connect to this one."""
         for name in self.controllers:
             if self.hello.name < name:
                 self.connect(name)
@@ -123,8 +123,8 @@
     def send(self, name: str, message: Message) -> None:
         """Send a message to a peer.
 
-        A controller without a connection is connected to first if that is this side's part; otherwise the message is
-        dropped.
+        Without a connection, the message is queued while one is made if this side is the one that connects; otherwise
+        it is dropped.
         """
         framed = frame(encode(message))
         connection = self._open.get(name)
@@ -136,7 +136,7 @@
         dialer = self._dialers.get(name)
         if dialer is None or not dialer.send(framed):
             self._dropped += 1
-            if self.hello.role == ROLE_DISPATCHER:  # it may ask another one; controllers wait for the connection
+            if self.hello.role == ROLE_DISPATCHER:  # can switch controllers; a controller waits for the connection
                 asyncio.get_running_loop().call_soon(self._report_lost, name)
 
     def _may_connect(self, name: str) -> bool:
@@ -172,7 +172,7 @@
         previous = self._open.get(hello.name)
         if previous is not None and previous.peer is not None:
             if previous.peer.incarnation > hello.incarnation:
-                raise PeerRejectedError(f"a newer {hello.name} is connected")
+                raise PeerRejectedError(f"a newer incarnation of {hello.name} is connected")
             self._replace(previous, hello)
         self._open[hello.name] = connection
         log.info("fleet_peer_connected", peer=hello.name, role=hello.role)
@@ -182,23 +182,23 @@
     def _check(self, hello: Hello, dialer: Dialer | None) -> None:
         """Check a peer's Hello. Raises PeerRejectedError."""
         if dialer is not None and (hello.name, hello.role) != (dialer.name, ROLE_CONTROLLER):
-            raise PeerRejectedError(f"{hello.role} {hello.name} answers where {dialer.name} should be")
+            raise PeerRejectedError(f"{hello.role} {hello.name} answered at the address of controller {dialer.name}")
         if hello.name == self.hello.name:
-            raise PeerRejectedError(f"it has this process's own name, {hello.name}")
+            raise PeerRejectedError(f"peer has this process's own name, {hello.name}")
         if hello.role == ROLE_CONTROLLER and hello.name not in self.controllers:
-            raise PeerRejectedError(f"{hello.name} is none of this fleet's controllers")
+            raise PeerRejectedError(f"controller {hello.name} is not a member of this fleet")
         if hello.role != ROLE_CONTROLLER and hello.name in self.controllers:
-            raise PeerRejectedError(f"{hello.role} {hello.name} has a controller's name")
+            raise PeerRejectedError(f"{hello.role} {hello.name} has the name of a controller")
 
     def _replace(self, previous: PeerConnection, hello: Hello) -> None:
-        """Close the earlier connection of a peer that connected again; its end may not be noticed yet."""
+        """Close the previous connection of a peer that connected again, whose end may not have been detected yet."""
         del self._open[hello.name]
         if previous.peer is not None and previous.peer.incarnation != hello.incarnation:
             self._report_lost(hello.name)
         previous.close()
 
     def _received(self, connection: PeerConnection, message: Message) -> None:
-        if connection.peer is not None:  # always so: a message follows a Hello
+        if connection.peer is not None:  # always true, since messages are passed on only after a Hello
             self._receiver.received(Peer(connection.peer.name, connection.peer.incarnation), message)
 
     def _closed(self, connection: PeerConnection) -> None:
@@ -217,10 +217,10 @@
         if not self._closing:
             self._receiver.lost(name)
 
-    # Counters, and the end
+    # Counters and shutdown
 
     def traffic(self) -> Traffic:
-        """Counters of all connections, past and present."""
+        """Return the counters of all connections, open and closed."""
         total = Traffic()
         total.add(self._closed_traffic)
         total.dropped += self._dropped + sum(dialer.dropped for dialer in self._dialers.values())
@@ -229,7 +229,7 @@
         return total
 
     def close(self) -> None:
-        """Close all connections. The receiver is not called any more."""
+        """Close all connections. The receiver is not called afterwards."""
         self._closing = True
         self.stop_listening()
         for dialer in self._dialers.values():
--- a/badgerroad/fleet/controller.py
+++ b/badgerroad/fleet/controller.py
@@ -1,4 +1,4 @@
-"""`badgerroad control`: the process of one controller. It runs ControllerRules on sockets and the monotonic clock."""
+"""The process of one controller (`badgerroad control`): runs ControllerRules on sockets and the monotonic clock."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 log = logs.get("badgerroad")
 
-DRAIN_LIMIT_S = 5.0  # from SIGTERM until the process ends even if credit is not returned
-FLUSH_LIMIT_S = 0.5  # further time for the last messages
-DRAIN_POLL_INTERVAL_S = 0.02  # between two checks whether that is done
-FIGURES_INTERVAL_S = 10.0  # between two log lines of statistics
+DRAIN_TIMEOUT_S = 5.0  # time from SIGTERM after which the process ends even if credit is not returned
+FLUSH_TIMEOUT_S = 0.5  # additional time for writing the last messages
+DRAIN_POLL_INTERVAL_S = 0.02  # time between two checks whether draining or flushing is complete
+STATISTICS_INTERVAL_S = 10.0  # time between two log lines of statistics
 
 
 class ExitCode(IntEnum):
@@ -41,28 +41,30 @@
 
 
 def monotonic_us() -> int:
-    """The monotonic clock in microseconds."""
+    """Return the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class ControllerProcess:
-    """One controller. It owns its rules, its connections and its periodic tasks until the end of `run`."""
+    """One controller process. It owns its rules, its connections and its periodic tasks until `run` ends."""
 
-    def __init__(self, settings: FleetSettings, me: Controller, quotas: Mapping[str, float], random: Random) -> None:
-        """Create the rules with the quotas (requests per second by team); nothing is opened yet."""
+    def __init__(
+        self, settings: FleetSettings, identity: Controller, quotas: Mapping[str, float], random: Random
+    ) -> None:
+        """Create the rules with the quotas (requests per second by team). No sockets are opened yet."""
         self.settings = settings
-        self.me = me
+        self.identity = identity
         incarnation = new_incarnation()
-        self.rules = ControllerRules(settings, me.name, incarnation, monotonic_us(), random)
+        self.rules = ControllerRules(settings, identity.name, incarnation, monotonic_us(), random)
         self.rules.set_quotas(monotonic_us(), quotas)
-        hello = Hello(VERSION, me.name, me.zone, ROLE_CONTROLLER, incarnation)
+        hello = Hello(VERSION, identity.name, identity.zone, ROLE_CONTROLLER, incarnation)
         addresses = {controller.name: (controller.host, controller.port) for controller in settings.controllers}
         self.connections = Connections(hello, addresses, self, random)
         self._stopping = asyncio.Event()
 
     def start(self) -> None:
-        """Listen, and connect to other controllers. Raises ListenError."""
-        self.connections.listen((self.me.host, self.me.port))
+        """Listen and connect to other controllers. Raises ListenError."""
+        self.connections.listen((self.identity.host, self.identity.port))
         self.connections.connect_controllers()
 
     def stop(self) -> None:
@@ -70,7 +72,7 @@
         self._stopping.set()
 
     async def run(self) -> None:
-        """Run until `stop` has been called and all credit is returned, or DRAIN_LIMIT_S has passed."""
+        """Run until `stop` was called and either all credit is returned or DRAIN_TIMEOUT_S has passed."""
         ticks = asyncio.ensure_future(self._tick())
         statistics = asyncio.ensure_future(self._log_statistics())
         try:
@@ -84,28 +86,28 @@
     # Events of connections
 
     def received(self, sender: Peer, message: Message) -> None:
-        """Pass a message to the rules. An exception there must not end the connection."""
+        """Pass a message to the rules. Exceptions are logged, so that they do not end the connection."""
         try:
             self._send(self.rules.receive(monotonic_us(), sender, message))
         except Exception:
             log.exception("fleet_message_exception", peer=sender.name)
 
     def lost(self, name: str) -> None:
-        """Pass the loss of a peer to the rules."""
+        """Report the loss of a peer to the rules."""
         self.rules.peer_lost(monotonic_us(), name)
 
     # Actions of the rules
 
     def _send(self, actions: Iterable[SendMessage]) -> None:
         for action in actions:
-            if action.to == self.me.name:
-                # From the event loop, so that the rules are not entered while the actions of a call are performed.
+            if action.to == self.identity.name:
+                # Scheduled on the event loop, so that the rules are not re-entered while actions are performed.
                 asyncio.get_running_loop().call_soon(self._receive_own, action.message)
             else:
                 self.connections.send(action.to, action.message)
 
     def _receive_own(self, message: Message) -> None:
-        self.received(Peer(self.me.name, self.connections.hello.incarnation), message)
+        self.received(Peer(self.identity.name, self.connections.hello.incarnation), message)
 
     async def _tick(self) -> None:
         while True:
@@ -119,15 +121,15 @@
         log.info("controller_stopping")
         self.connections.stop_listening()
         self._send(self.rules.drain(monotonic_us()))
-        all_returned = await _until(lambda: self.rules.drained(monotonic_us()), DRAIN_LIMIT_S)
-        await _until(lambda: self.connections.flushed, FLUSH_LIMIT_S)
+        all_returned = await _wait_until(lambda: self.rules.drained(monotonic_us()), DRAIN_TIMEOUT_S)
+        await _wait_until(lambda: self.connections.flushed, FLUSH_TIMEOUT_S)
         log.info("stopped", all_given_back=all_returned)
 
     # Statistics
 
     async def _log_statistics(self) -> None:
         while True:
-            await asyncio.sleep(FIGURES_INTERVAL_S)
+            await asyncio.sleep(STATISTICS_INTERVAL_S)
             self.log_figures()
 
     def log_figures(self) -> None:
@@ -143,9 +145,9 @@
         )
 
 
-async def _until(condition: Callable[[], bool], limit_s: float) -> bool:
-    """Wait until the condition holds; False if `limit_s` passed first."""
-    end = time.monotonic() + limit_s
+async def _wait_until(condition: Callable[[], bool], timeout_s: float) -> bool:
+    """Wait until the condition holds. Returns False if `timeout_s` passed first."""
+    end = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() >= end:
             return False
@@ -154,19 +156,22 @@
 
 
 class Reloader:
-    """Handles SIGHUP: reads the operator's file and the quotas file again, and applies them together or not at all."""
+    """Handles SIGHUP by reading the operator's file and the quotas file again.
+
+    Both are applied together, or neither if one of them is invalid.
+    """
 
     def __init__(
-        self, operator_file: str, present: Fleet, settings: FleetSettings, controller: ControllerProcess
+        self, operator_file: str, current: Fleet, settings: FleetSettings, controller: ControllerProcess
     ) -> None:
-        """`present`: the fleet table of the start, to find changes that need a restart."""
+        """`current`: the fleet table at the start, to detect changes that need a restart."""
         self._file = operator_file
-        self._present = present
+        self._current = current
         self._settings = settings
         self._controller = controller
 
     def reload(self) -> None:
-        """Read the files and apply the quotas and the log settings; log why if a file is invalid."""
+        """Read the files and apply the quotas and the log settings. Logs the reason if a file is invalid."""
         try:
             operator, fleet = read_operator(self._file)
             settings = table.settings_of(fleet, self._file)
@@ -175,25 +180,26 @@
             log.error("reload_failed", **error.fields)
             return
         self._log_settings_that_need_restart(fleet, settings)
-        logs.configure(operator.log, controller=self._controller.me.name)
+        logs.configure(operator.log, controller=self._controller.identity.name)
         self._controller.rules.set_quotas(monotonic_us(), quotas)
         log.info("configuration_reloaded", teams=len(quotas))
 
     def _log_settings_that_need_restart(self, fleet: Fleet, settings: FleetSettings) -> None:
-        """Log changed members and durations: all processes of the fleet must agree on them."""
+        """Log changed members and durations, which apply only after a restart since all processes must agree on them.
+        """
         names = settings.__struct_fields__
         changed = [name for name in names if getattr(settings, name) != getattr(self._settings, name)]
-        if fleet.name != self._present.name:
+        if fleet.name != self._current.name:
             changed.append("name")
         for name in changed:
             log.warning("setting_needs_restart", field=f"fleet.{name}")
 
 
 def read_operator(operator_file: str) -> tuple[Operator, Fleet]:
-    """Read the operator's file. Raises ConfigError, also where the file has no `[fleet]` table."""
+    """Read the operator's file. Raises ConfigError, also if the file has no `[fleet]` table."""
     operator = load(operator_file)
     if operator.fleet is None:
-        raise ConfigError(f"{operator_file}: fleet: missing; a controller needs this table")
+        raise ConfigError(f"{operator_file}: fleet: table is missing; a controller requires it")
     return operator, operator.fleet
 
 
@@ -211,10 +217,17 @@
         controller.connections.close()
         print(f"badgerroad: {error.line}", file=sys.stderr)
         return ExitCode.CANNOT_LISTEN
-    me = controller.me
-    log.info("listening", name=me.name, zone=me.zone, region=me.region, address=f"{me.host}:{me.port}", voter=me.voter)
+    identity = controller.identity
+    log.info(
+        "listening",
+        name=identity.name,
+        zone=identity.zone,
+        region=identity.region,
+        address=f"{identity.host}:{identity.port}",
+        voter=identity.voter,
+    )
     await controller.run()
-    # The end of the loop restores the default handlers: a signal that arrives then must not change the exit code.
+    # Closing the loop restores the default signal handlers; a signal that arrives then must not change the exit code.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     return ExitCode.OK
 
@@ -225,11 +238,11 @@
         operator, fleet = read_operator(operator_file)
         settings = table.settings_of(fleet, operator_file)
         quotas = table.quotas_of(fleet)
-        me = table.controller_of(fleet, settings, operator_file)
+        identity = table.controller_of(fleet, settings, operator_file)
     except ConfigError as error:
         print(f"badgerroad: {error.line}", file=sys.stderr)
         return ExitCode.BAD_CONFIG
-    logs.configure(operator.log, debug=verbose, controller=me.name)
-    controller = ControllerProcess(settings, me, quotas, Random(os.urandom(16)))
-    gc.freeze()  # objects of the start-up live as long as the process
+    logs.configure(operator.log, debug=verbose, controller=identity.name)
+    controller = ControllerProcess(settings, identity, quotas, Random(os.urandom(16)))
+    gc.freeze()  # objects created during start-up live as long as the process
     return asyncio.run(control(controller, Reloader(operator_file, fleet, settings, controller)))
--- a/badgerroad/fleet/dialer.py
+++ b/badgerroad/fleet/dialer.py
@@ -1,4 +1,4 @@
-"""Keeps a connection to a controller."""
+"""An outgoing connection to a controller that is re-established whenever it ends."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 log = logs.get("badgerroad")
 
 CONNECT_TIMEOUT_S = 3.0
-MAX_PENDING_BYTES = 64 * 1024  # queued while the connection is being made
-INITIAL_BACKOFF_S = 0.1  # before the second attempt to connect; doubled each time
-MAX_BACKOFF_S = 2.0  # limit of the backoff
-STABLE_CONNECTION_S = 2.0  # a connection that lasted so long resets the backoff
+MAX_PENDING_BYTES = 64 * 1024  # frames queued while the connection is being made
+INITIAL_BACKOFF_S = 0.1  # backoff that is doubled at each failure
+MAX_BACKOFF_S = 2.0  # upper bound of the backoff
+STABLE_CONNECTION_S = 2.0  # duration of a connection that resets the backoff
 
 
 class Dialer:
-    """Keeps a connection to one controller, and connects again after a growing backoff."""
+    """Keeps a connection to one controller and reconnects with exponential backoff."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         failed: Callable[[str], None],
         random: Random,
     ) -> None:
-        """Start to connect.
+        """Start connecting.
 
-        `attach` makes the PeerConnection of a connected stream; `failed` is called with the name if a connection could
-        not be made.
+        `attach` creates the PeerConnection for a connected stream. `failed` is called with the name if a connection
+        could not be made.
         """
         self.name = name
         self.address = address
@@ -51,7 +51,7 @@
         self.dropped = 0
 
     def send(self, framed: bytes) -> bool:
-        """Send a frame, or queue it while the connection is being made. Returns False if it is dropped."""
+        """Send a frame, or queue it while the connection is being made. Returns False if the frame is dropped."""
         if self._connection is not None and self._connection.peer is not None:
             self._connection.send(framed)
             return True
@@ -62,7 +62,7 @@
         return True
 
     def opened(self) -> None:
-        """The Hello of the other side was accepted: send what is queued."""
+        """Send the queued frames, because the other side's Hello was accepted."""
         pending = self._pending
         self._clear_pending()
         connection = self._connection
@@ -72,7 +72,7 @@
             connection.send(framed)
 
     def close(self) -> None:
-        """Stop connecting. The connection itself is closed by its owner."""
+        """Stop connecting. The owner of the connection closes the connection itself."""
         self._task.cancel()
 
     async def _run(self) -> None:
@@ -88,7 +88,7 @@
             await asyncio.sleep(self._backoff_s(failures))
 
     async def _one_connection(self) -> None:
-        """Connect, and run the connection to its end."""
+        """Connect and run the connection until it ends."""
         self._connecting = True
         try:
             stream = await TCPClient().connect(*self.address, timeout=CONNECT_TIMEOUT_S)
--- a/badgerroad/fleet/errors.py
+++ b/badgerroad/fleet/errors.py
@@ -7,21 +7,21 @@
 
 
 class FleetNotPermittedError(ConfigError):
-    """The deployment's settings do not permit what `[fleet]` asks for."""
+    """The deployment's settings do not permit the `[fleet]` table."""
 
     code = "fleet"
-    remedy = "take [fleet] out of the operator's file, or have permissions.peers set by who owns the settings"
+    remedy = "remove [fleet] from the operator's file, or have permissions.peers enabled in the deployment's settings"
 
 
 class FrameError(BadgerroadError):
-    """A peer's bytes do not follow the framing; its connection is closed."""
+    """A peer sent bytes that violate the framing. Its connection is closed."""
 
     code = "frame"
-    remedy = "look at who connects to this address, and at the versions on both sides"
+    remedy = "check which program connects to this address, and the versions on both sides"
 
 
 class PeerRejectedError(BadgerroadError):
-    """A connection's first message is not acceptable; the connection is closed."""
+    """The first message on a connection was rejected. The connection is closed."""
 
     code = "peer"
     remedy = "compare the fleet's members in the operator's files of both sides"
--- a/badgerroad/fleet/extension.py
+++ b/badgerroad/fleet/extension.py
@@ -1,7 +1,6 @@
-"""Joins DispatcherLeases to a dispatcher.
+"""Connects DispatcherLeases to a dispatcher.
 
-Requests of teams with a quota wait here until it is decided whether they are within it, for at most the settings'
-ask_timeout_ms.
+Requests of teams with a quota wait here for their quota decision, for at most the settings' ask_timeout_ms.
 """
 
 from __future__ import annotations
@@ -25,13 +24,13 @@
 
 log = logs.get("badgerroad")
 
-FIGURES_INTERVAL_US = 10_000_000  # between two log lines of statistics
-DECISION_LIMIT_FACTOR = 2  # times ask_timeout_ms: then a request proceeds even if the rules did not decide
-MAX_NAME_PREFIX_CHARS = 32  # of the dispatcher's name, in its name as a peer
+STATISTICS_INTERVAL_US = 10_000_000  # time between two log lines of statistics
+DECISION_LIMIT_FACTOR = 2  # multiple of ask_timeout_ms after which a request proceeds even without a decision
+MAX_NAME_PREFIX_CHARS = 32  # characters of the dispatcher's name in its name as a peer
 
 
 class PendingRequest(NamedTuple):
-    """A request that waits for its decision. `queued_at`: microseconds of the dispatcher's clock."""
+    """A request that waits for its quota decision. `queued_at`: microseconds of the dispatcher's clock."""
 
     request: OpenRequest
     event: interface.Request
@@ -39,8 +38,8 @@
     queued_at: int
     proceed: Callable[[interface.Request], None]
 
-    def marked(self, now: int, over_quota: bool | None) -> interface.Request:
-        """The event for the decision module, with the remaining time and the quota decision."""
+    def with_decision(self, now: int, over_quota: bool | None) -> interface.Request:
+        """Return the event for the decision module, with the remaining time and the quota decision."""
         time_left = max(self.event.time_left - (now - self.queued_at), 1)
         return self.event._replace(time_left=time_left, over_quota=over_quota)
 
@@ -49,19 +48,19 @@
     """Owns the leases, the connections to controllers and their timers, from `start` to `close`."""
 
     def __init__(self, wheel: TimerWheel, settings: FleetSettings, name: str, zone: str) -> None:
-        """`name`: of the dispatcher; `zone`: whose controller is asked first."""
+        """`name`: of the dispatcher. `zone`: the zone whose controller is preferred."""
         self.settings = settings
         self._wheel, self._clock = wheel, wheel.clock
         random = Random(os.urandom(16))
         incarnation = new_incarnation()
-        # Two processes of one dispatcher are two peers: neither's leases are the other's.
+        # Two processes of one dispatcher need different peer names, because each has leases of its own.
         peer_name = f"{name[:MAX_NAME_PREFIX_CHARS] or 'dispatcher'}-{os.getpid()}-{incarnation:x}"
         self.leases = DispatcherLeases(settings, peer_name, zone, incarnation, self._clock.now(), random)
         hello = Hello(VERSION, peer_name, zone, ROLE_DISPATCHER, incarnation)
         addresses = {controller.name: (controller.host, controller.port) for controller in settings.controllers}
         self.connections = Connections(hello, addresses, self, random)
         self._zone = zone
-        self._teams: dict[int, str] = {}  # teams with a quota, by their position among the module's tenants
+        self._teams: dict[int, str] = {}  # teams with a quota, by their position in the decision module's tenants
         self._pending: dict[int, PendingRequest] = {}
         self._numbers: dict[bytes, int] = {}  # numbers of pending requests by request id
         self._wakeup: Timer | None = None
@@ -73,7 +72,7 @@
             if controller.zone == self._zone:
                 self.connections.connect(controller.name)
         self._tick()
-        self._wheel.after(FIGURES_INTERVAL_US, self._log_statistics)
+        self._wheel.after(STATISTICS_INTERVAL_US, self._log_statistics)
 
     # Events of the dispatcher
 
@@ -94,7 +93,7 @@
             self._wheel.after(limit, lambda: self._decision_timed_out(request.number))
 
     def request_forgotten(self, request_id: bytes) -> None:
-        """The client of a request disconnected, or its deadline passed."""
+        """Cancel the wait of a request whose client disconnected or whose deadline passed."""
         number = self._numbers.pop(request_id, None)
         if number is not None and self._pending.pop(number, None) is not None:
             self.leases.cancel(self._clock.now(), number)
@@ -112,7 +111,7 @@
         }
         positions = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
         for number, pending in self._pending.items():
-            # A team that is no longer listed gets a position beyond the list, for which the module has no quota.
+            # A team that is no longer listed gets a position past the end, for which the decision module has no quota.
             event = pending.event._replace(tenant=positions.get(pending.team, len(settings.tenants)))
             self._pending[number] = pending._replace(event=event)
         if not settings.peers_allowed and not self._is_closed:
@@ -120,9 +119,9 @@
             self.close()
 
     def superseded(self) -> None:
-        """Another process of this dispatcher takes the new requests and leases of its own.
+        """Return the credit, because another process of this dispatcher now takes new requests with its own leases.
 
-        The credit here is returned, so that no request of a quota is leased twice.
+        Returning it prevents requests of a quota from being leased twice.
         """
         self._perform(lambda: self.leases.release(self._clock.now()))
 
@@ -133,7 +132,7 @@
         self._perform(lambda: self.leases.receive(self._clock.now(), sender, message))
 
     def lost(self, name: str) -> None:
-        """Pass the loss of a controller to the rules."""
+        """Report the loss of a controller to the rules."""
         self._perform(lambda: self.leases.peer_lost(self._clock.now(), name))
 
     # Actions of the rules
@@ -141,7 +140,7 @@
     def _perform(self, call: Callable[[], Sequence[Action]]) -> None:
         """Call the rules and perform the actions that they return.
 
-        An exception of the rules must not end a connection or lose a request.
+        Exceptions of the rules are logged, so that they do not end a connection or lose a request.
         """
         try:
             actions = call()
@@ -159,7 +158,7 @@
         pending = self._pending.pop(number, None)
         if pending is not None:
             self._numbers.pop(pending.request.forwarded.id, None)
-            pending.proceed(pending.marked(self._clock.now(), over_quota))
+            pending.proceed(pending.with_decision(self._clock.now(), over_quota))
 
     def _schedule_wakeup(self) -> None:
         """Set the timer for the next waiting request that must be decided."""
@@ -179,16 +178,19 @@
             self._wheel.after(self.settings.tick_ms * US_PER_MS, self._tick)
             self._perform(lambda: self.leases.tick(self._clock.now()))
 
-    # Statistics, and the end
+    # Statistics and shutdown
 
     def _log_statistics(self) -> None:
         if not self._is_closed:
-            self._wheel.after(FIGURES_INTERVAL_US, self._log_statistics)
+            self._wheel.after(STATISTICS_INTERVAL_US, self._log_statistics)
             figures = self.leases.figures(self._clock.now())
             log.info("fleet_statistics", **fields_of(figures), **fields_of(self.connections.traffic()))
 
     def close(self) -> None:
-        """Return the credit. Pending requests proceed without a decision: the module's own quota counts."""
+        """Return the credit and close the connections.
+
+        Pending requests proceed without a quota decision; the decision module's own quota applies to them.
+        """
         if self._is_closed:
             return
         self.superseded()
@@ -200,4 +202,4 @@
         self._pending = {}
         self._numbers = {}
         for pending in undecided:
-            pending.proceed(pending.marked(self._clock.now(), None))
+            pending.proceed(pending.with_decision(self._clock.now(), None))
--- a/badgerroad/fleet/framing.py
+++ b/badgerroad/fleet/framing.py
@@ -1,4 +1,4 @@
-"""Frames on a byte stream: a length of 4 bytes, big-endian, followed by the payload. No I/O."""
+"""Frames on a byte stream: a 4-byte big-endian length followed by the payload. No I/O."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """The payload with its length before it. Raises FrameError if it is longer than MAX_MESSAGE_BYTES."""
+    """Return the payload preceded by its length. Raises FrameError if it is longer than MAX_MESSAGE_BYTES."""
     if len(payload) > MAX_MESSAGE_BYTES:
         raise FrameError(f"a frame of {len(payload)} bytes; at most {MAX_MESSAGE_BYTES} are allowed")
     return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
 
 class FrameReader:
-    """Cuts the bytes read from a stream into payloads. It buffers one incomplete frame."""
+    """Splits the bytes read from a stream into payloads. It buffers one incomplete frame."""
 
     def __init__(self) -> None:
         """Start with an empty buffer."""
@@ -28,7 +28,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The payloads that are complete now, in order. Raises FrameError at a length above MAX_MESSAGE_BYTES."""
+        """Return the payloads completed by `data`, in order. Raises FrameError at a length above MAX_MESSAGE_BYTES."""
         self._buffer += data
         payloads: list[bytes] = []
         start = 0
--- a/badgerroad/fleet/joining.py
+++ b/badgerroad/fleet/joining.py
@@ -1,4 +1,4 @@
-"""Joins a dispatcher to the fleet that the operator's file names, if the deployment's settings permit it."""
+"""Attaches the quota extension to a dispatcher if the deployment's settings permit peers."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 def check(config: Config, fleet: Fleet, file: str) -> FleetSettings:
     """Check the fleet table of the operator's file and return the fleet's settings.
 
-    Raises FleetNotPermittedError where the deployment's settings do not permit peers, and ConfigError.
+    Raises FleetNotPermittedError if the deployment's settings do not permit peers, and ConfigError if the table is
+    invalid.
     """
     if not config.settings.peers_allowed:
-        raise FleetNotPermittedError(f"{file}: fleet: the settings do not permit it (permissions.peers)")
+        raise FleetNotPermittedError(f"{file}: fleet: not permitted by the deployment's settings (permissions.peers)")
     settings = table.settings_of(fleet, file)
     zone = zone_of(config, fleet)
     if zone not in settings.zones:
-        raise ConfigError(f"{file}: fleet.zone: no controller is in this dispatcher's zone, {zone!r}")
+        raise ConfigError(f"{file}: fleet.zone: no controller is listed for this dispatcher's zone, {zone!r}")
     return settings
 
 
 def zone_of(config: Config, fleet: Fleet) -> str:
-    """The zone in the table, or else the zone of the dispatcher's own settings."""
+    """Return the zone of the table, or else the zone of the dispatcher's own settings."""
     place = config.settings.zone
     return fleet.zone or (config.zones[place] if 0 <= place < len(config.zones) else "")
 
--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -1,8 +1,8 @@
-"""The messages between controllers and dispatchers of a fleet: typed, each field bounded, encoded as MessagePack.
+"""The messages between the controllers and dispatchers of a fleet: typed, bounded, and encoded as MessagePack.
 
 Counters (`granted`, `used`, `returned`, `carried`, `wanted`) are whole requests. `granted`, `used` and `returned` are
-totals since the session began and never fall, so a lost, repeated or late message does no harm. Durations end in
-`_ms`. A message is an array that begins with its kind; fields that a newer version appends are ignored.
+totals since the session began and never decrease, so a lost, repeated or late message does no harm. Durations end in
+`_ms`. A message is an array that begins with its tag; fields appended by newer versions are ignored.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from badgerroad.errors import BadgerroadError
 
 VERSION = 1
-MAX_NAME = 64
-MAX_LIST = 4096
+MAX_NAME = 64  # bytes of a name
+MAX_LIST = 4096  # entries of a list
 MAX_MESSAGE_BYTES = 1 << 20  # bytes of one encoded message
-UNKNOWN_SESSION = 0  # in a QuotaRequest: no number of a session of this term has been received yet
+UNKNOWN_SESSION = 0  # session number in a QuotaRequest before the owner has sent the number of this term's session
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
 OptionalName = Annotated[str, msgspec.Meta(max_length=MAX_NAME)]
@@ -28,16 +28,17 @@
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
-    """A shard under a term of ownership."""
+    """A shard and a term of its ownership."""
 
     shard: Shard
     term: Number
 
 
 class Holding(msgspec.Struct, array_like=True, frozen=True):
-    """What a voter knows of a shard.
+    """A voter's state of one shard.
 
-    `holder` is empty if no grant runs; `term`: the highest term seen.
+    `holder`: the owner, or empty if no grant is valid. `term`: the highest term known. `left_ms`: remaining time of the
+    grant.
     """
 
     shard: Shard
@@ -50,8 +51,8 @@
 class QuotaNeed(msgspec.Struct, array_like=True, frozen=True):
     """A zone's account of one team.
 
-    `wanted`: the stock that it would like. `carried`: unused requests at the end of its session of an earlier term;
-    only in requests that open a session.
+    `wanted`: the stock that the zone requests. `carried`: unused requests at the end of its session of an earlier term;
+    sent only in requests that open a session.
     """
 
     team: Name
@@ -64,7 +65,7 @@
 class QuotaCredit(msgspec.Struct, array_like=True, frozen=True):
     """An owner's account of one team.
 
-    `rate`: the quota in requests per second. Not `known`: the team has no quota.
+    `rate`: the quota in requests per second. `known`: false if the team has no quota.
     """
 
     team: Name
@@ -74,7 +75,7 @@
 
 
 class Usage(msgspec.Struct, array_like=True, frozen=True):
-    """Totals of one team."""
+    """The used and returned totals of one team."""
 
     team: Name
     used: Number
@@ -82,7 +83,7 @@
 
 
 class LeaseNeed(msgspec.Struct, array_like=True, frozen=True):
-    """A dispatcher's account of one team. `wanted`: how many requests it would like to lease."""
+    """A dispatcher's account of one team. `wanted`: the number of requests to lease."""
 
     team: Name
     used: Number
@@ -93,7 +94,8 @@
 class LeaseCredit(msgspec.Struct, array_like=True, frozen=True):
     """A zone controller's account of one team at one dispatcher.
 
-    `valid_ms` counts from the sending of the request that is answered; 0 extends nothing.
+    `valid_ms`: duration of the lease, counted from the sending of the request that is answered; 0 extends no lease.
+    `known`: false if the team has no quota.
     """
 
     team: Name
@@ -113,7 +115,7 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """The first message on each connection, in both directions. `incarnation` grows with each start of the process."""
+    """The first message on each connection, in both directions. `incarnation` rises with each start of the process."""
 
     version: Number
     name: Name
@@ -123,7 +125,7 @@
 
 
 class VoteRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A candidate requests ownership of `claims`; without claims it requests only the table of the voter."""
+    """A candidate requests ownership of `claims`. Without claims it requests only the voter's table."""
 
     sequence: Number
     claims: Claims
@@ -131,7 +133,7 @@
 
 
 class VoteReply(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """`granted`: shards of the request that this voter grants. `table`: all that it knows."""
+    """A voter's reply. `granted`: the granted shards of the request. `table`: the voter's state of all shards."""
 
     sequence: Number
     granted: Shards
@@ -139,16 +141,16 @@
 
 
 class VoteRelease(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Frees the sender's grants of exactly these terms."""
+    """Frees the sender's grants of exactly these shards and terms."""
 
     claims: Claims
 
 
 class OwnerAnnouncement(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """The sender owns these shards and no others.
+    """Lists all shards that the sender owns.
 
-    Sent to all controllers when that changes and every renew_ms, so that they know which controllers are alive.
-    `leaving`: the sender shuts down and claims no more shards.
+    Sent to all controllers at each change and every renew_ms, so that they know which controllers are alive. `leaving`:
+    the sender shuts down and claims no more shards.
     """
 
     claims: Claims
@@ -158,9 +160,9 @@
 class QuotaRequest(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """A zone controller requests credit from an owner.
 
-    `acknowledged`: the highest QuotaGrant.number received in this session. `stamp`: the newest received from this
+    `acknowledged`: the highest QuotaGrant.number received in this session. `stamp`: the newest stamp received from this
     owner, 0 if none. `lending`: the owner may mint the zone's reserve until `stamp` + lending_ms. `needs`: teams that
-    changed since the last request that was answered.
+    changed since the last answered request.
     """
 
     shard: Shard
@@ -174,10 +176,10 @@
 
 
 class QuotaGrant(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """An owner replies, or (with `valid_ms` 0) grants more credit unasked.
+    """An owner's reply to a QuotaRequest, or (with `valid_ms` 0) an unprompted grant of more credit.
 
-    `sequence`: the highest request received. `stamp`: the owner's clock, opaque. `credits`: teams changed since the
-    last acknowledged grant.
+    `sequence`: the highest request received. `number`: rises with each grant of the session. `stamp`: the owner's
+    clock, opaque to the receiver. `credits`: teams that changed since the last acknowledged grant.
     """
 
     shard: Shard
@@ -191,7 +193,7 @@
 
 
 class QuotaReturn(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """The totals of a zone controller that shuts down; what it returns may be granted to others at once."""
+    """The final totals of a zone controller that shuts down. Returned credit may be granted to others at once."""
 
     shard: Shard
     term: Number
@@ -200,7 +202,7 @@
 
 
 class NotOwner(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """The sender does not own the shard in that term."""
+    """The reply of a controller that does not own the shard in that term."""
 
     shard: Shard
     term: Number
@@ -209,8 +211,8 @@
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
     """A dispatcher requests leases from a controller.
 
-    `controller`: the incarnation of it that the totals belong to, 0 if none is known; totals of another one are
-    ignored.
+    `controller`: the incarnation of that controller to which the totals belong, 0 if none is known. Totals of another
+    incarnation are ignored.
     """
 
     sequence: Number
@@ -219,14 +221,14 @@
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """A zone controller replies to a dispatcher: one credit for each team of the request."""
+    """A zone controller's reply to a dispatcher, with one credit for each team of the request."""
 
     sequence: Number
     credits: LeaseCredits
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """The totals of a dispatcher that requests no more. `controller` as in LeaseRequest."""
+    """The totals of a dispatcher that requests no more credit. `controller` as in LeaseRequest."""
 
     usages: Usages
     controller: Number = 0
@@ -250,16 +252,16 @@
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """A message of a kind that this version does not know."""
+    """A message whose tag this version does not know."""
 
     tag: int
 
 
 class MalformedMessageError(BadgerroadError, ValueError):
-    """Bytes that are no message of this protocol."""
+    """The bytes are not a valid message of this protocol."""
 
     code = "fleet-message"
-    remedy = "see which version the sender runs; the message was skipped"
+    remedy = "check which version the sender runs; the message was skipped"
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -267,14 +269,14 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message as bytes, without framing."""
+    """Return the message as bytes, without framing."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message | Unknown:
-    """The message in `data` (without framing). Raises MalformedMessageError."""
+    """Decode the message in `data` (without framing). Raises MalformedMessageError."""
     if len(data) > MAX_MESSAGE_BYTES:
-        raise MalformedMessageError(f"{len(data)} bytes in one message, at most {MAX_MESSAGE_BYTES}")
+        raise MalformedMessageError(f"message of {len(data)} bytes; at most {MAX_MESSAGE_BYTES} are allowed")
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -282,7 +284,7 @@
 
 
 def _unknown(data: bytes, cause: Exception) -> Unknown:
-    """The unknown message in `data`. Raises MalformedMessageError unless only its kind is unknown."""
+    """Return the message of unknown kind in `data`. Raises MalformedMessageError if the tag is known or missing."""
     try:
         fields: Any = msgspec.msgpack.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
--- a/badgerroad/fleet/peer_connection.py
+++ b/badgerroad/fleet/peer_connection.py
@@ -1,4 +1,4 @@
-"""One connection of the fleet: framed messages over TCP, a Hello first in each direction."""
+"""One connection between two processes of the fleet: framed messages over TCP, with a Hello first in each direction."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 log = logs.get("badgerroad")
 
-HELLO_TIMEOUT_S = 3.0  # for the first message, and for the rest of a message that has begun
-READ_BYTES = 16 * 1024  # read at once
-MAX_OUTGOING_BYTES = 2 << 20  # queued for a peer that does not read; beyond this the connection is closed
-# A peer whose machine has vanished is detected after some 5 s, also on an idle connection.
+HELLO_TIMEOUT_S = 3.0  # limit for receiving the first message, and the rest of a message that has begun
+READ_BYTES = 16 * 1024  # maximum size of one read
+MAX_OUTGOING_BYTES = 2 << 20  # limit of the write queue; the connection to a peer that does not read is closed above it
+# An unreachable peer is detected after about 5 s, also on an idle connection.
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
-UNACKNOWLEDGED_MS = 5_000
+UNACKNOWLEDGED_TIMEOUT_MS = 5_000
 
 
 class Traffic(msgspec.Struct):
@@ -33,12 +33,12 @@
     messages_out: int = 0
     bytes_in: int = 0
     bytes_out: int = 0
-    unknown: int = 0  # messages of an unknown kind, or malformed: skipped
-    dropped: int = 0  # messages for a peer that could not be reached
-    silent: int = 0  # connections closed: no Hello, or half a message, in HELLO_TIMEOUT_S
-    broken: int = 0  # connections closed: not the framing of this protocol
-    rejected: int = 0  # connections closed: a Hello that does not fit
-    full: int = 0  # connections closed: the peer did not read
+    unknown: int = 0  # messages skipped because they were malformed or of an unknown kind
+    dropped: int = 0  # messages dropped because the peer could not be reached
+    silent: int = 0  # connections closed because a message was not complete within HELLO_TIMEOUT_S
+    broken: int = 0  # connections closed because of invalid framing or in the middle of a frame
+    rejected: int = 0  # connections closed because the Hello was rejected or there were too many connections
+    full: int = 0  # connections closed because the write queue was full
 
     def add(self, other: Traffic) -> None:
         """Add the counters of `other`."""
@@ -47,7 +47,7 @@
 
 
 class PeerConnection:
-    """One connection. It owns its stream; `closed` is called once, whichever side closed it."""
+    """One connection. It owns its stream. `closed` is called once, whichever side closes the connection."""
 
     def __init__(
         self,
@@ -57,10 +57,10 @@
         received: Callable[[PeerConnection, Message], None],
         closed: Callable[[PeerConnection], None],
     ) -> None:
-        """`hello`: sent to the other side. `opened` may raise PeerRejectedError for the Hello received."""
+        """`hello`: sent to the other side. `opened` may raise PeerRejectedError to reject the received Hello."""
         self.stream = stream
         self._hello = hello
-        self.peer: Hello | None = None  # None until its Hello is accepted
+        self.peer: Hello | None = None  # None until the peer's Hello is accepted
         self.traffic = Traffic()
         self._opened, self._received, self._closed = opened, received, closed
         self._frames = FrameReader()
@@ -69,9 +69,9 @@
         stream.max_write_buffer_size = MAX_OUTGOING_BYTES
 
     async def run(self) -> None:
-        """Run from this side's Hello until the connection ends."""
+        """Send this side's Hello and run until the connection ends."""
         try:
-            _prepare(self.stream)
+            _set_socket_options(self.stream)
             self._expect_frame()
             self.send(frame(encode(self._hello)))
             while not self._is_closed:
@@ -90,18 +90,18 @@
 
     @property
     def name(self) -> str:
-        """The peer's name; empty before its Hello."""
+        """The peer's name; empty before its Hello is accepted."""
         return self.peer.name if self.peer is not None else ""
 
     def send(self, framed: bytes) -> None:
-        """Queue a frame for the socket. A peer that lets MAX_OUTGOING_BYTES queue up is disconnected."""
+        """Queue a frame for the socket. A peer for which more than MAX_OUTGOING_BYTES are queued is disconnected."""
         if self._is_closed:
             return
         try:
             written = self.stream.write(framed)
         except StreamBufferFullError:
             self.traffic.full += 1
-            log.warning("fleet_connection_closed", peer=self.name, error="peer does not read")
+            log.warning("fleet_connection_closed", peer=self.name, error="write queue is full; the peer does not read")
             self.close()
             return
         except StreamClosedError:
@@ -117,7 +117,7 @@
         return self._is_closed or not self.stream.writing()
 
     def close(self) -> None:
-        """Close the connection; further calls do nothing."""
+        """Close the connection. Further calls do nothing."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -143,12 +143,12 @@
 
     def _frame_timed_out(self) -> None:
         self.traffic.silent += 1
-        log.warning("fleet_connection_closed", peer=self.name, error="no complete message in time")
+        log.warning("fleet_connection_closed", peer=self.name, error="no complete message received in time")
         self.close()
 
     def _handle(self, payload: bytes) -> None:
         self.traffic.messages_in += 1
-        message = _decoded(payload)
+        message = _decode_or_none(payload)
         if self.peer is None:
             self._accept_hello(message)
         elif message is None or isinstance(message, Hello):
@@ -159,7 +159,7 @@
     def _accept_hello(self, message: Message | None) -> None:
         """Handle the first message. Raises PeerRejectedError."""
         if not isinstance(message, Hello):
-            raise PeerRejectedError("its first message is no Hello")
+            raise PeerRejectedError("first message is not a Hello")
         self.peer = message
         try:
             self._opened(self, message)
@@ -168,8 +168,8 @@
             raise
 
 
-def _decoded(payload: bytes) -> Message | None:
-    """The message in `payload`; None if its kind is unknown or it is malformed."""
+def _decode_or_none(payload: bytes) -> Message | None:
+    """Decode the message in `payload`; return None if its kind is unknown or it is malformed."""
     try:
         message = decode(payload)
     except MalformedMessageError:
@@ -178,13 +178,13 @@
 
 
 def _ignore_result(written: asyncio.Future[None]) -> None:
-    """Retrieve the exception of a write: the reader handles the end of the connection."""
+    """Retrieve the exception of a write, because the reading side handles the end of the connection."""
     if not written.cancelled():
         written.exception()
 
 
-def _prepare(stream: IOStream) -> None:
-    """Set the socket options. Raises StreamClosedError, since the other side may have closed at once."""
+def _set_socket_options(stream: IOStream) -> None:
+    """Set the socket options. Raises StreamClosedError if the other side has already closed the connection."""
     sock: socket.socket | None = stream.socket
     if sock is None:
         raise StreamClosedError()
@@ -193,4 +193,4 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
--- a/badgerroad/fleet/rules/__init__.py
+++ b/badgerroad/fleet/rules/__init__.py
@@ -1,2 +1,5 @@
-"""The rules of the quota leases. No I/O, no clock, no threads: times (whole microseconds of the caller's monotonic
-clock) and messages go in, messages and decisions come out."""
+"""The rules of the quota leases, without I/O, clocks or threads.
+
+The caller passes in messages and times (whole microseconds of its monotonic clock) and performs the messages and
+decisions that the rules return.
+"""
--- a/badgerroad/fleet/rules/actions.py
+++ b/badgerroad/fleet/rules/actions.py
@@ -1,4 +1,4 @@
-"""The types that enter the rules beside messages, and the actions that they return."""
+"""Input types of the rules other than messages, and the actions that the rules return."""
 
 from __future__ import annotations
 
@@ -8,33 +8,36 @@
 
 
 class Randomness(Protocol):
-    """The part of random.Random that the rules use; the caller seeds it."""
+    """The subset of random.Random that the rules use. The caller supplies and seeds the generator."""
 
     def getrandbits(self, k: int, /) -> int:
-        """An integer of `k` random bits."""
+        """Return an integer of `k` random bits."""
 
     def randint(self, a: int, b: int) -> int:
-        """A random integer from `a` to `b`, both included."""
+        """Return a random integer from `a` to `b`, both included."""
 
 
 class Peer(NamedTuple):
-    """The sender of a message, from the Hello of its connection."""
+    """The sender of a message, identified by the Hello of its connection."""
 
     name: str
     incarnation: int
 
 
 class SendMessage(NamedTuple):
-    """Send a message. `to`: a peer's name. The caller drops it if there is no connection."""
+    """An action: send `message` to the peer named `to`.
+
+    The caller drops the message if it has no connection to that peer.
+    """
 
     to: str
     message: Message
 
 
 class QuotaDecision(NamedTuple):
-    """A request of a dispatcher may proceed.
+    """An action: let a dispatcher's request proceed, with its quota decision.
 
-    `over_quota`: it exceeds its team's quota, or no controller answered in time.
+    `over_quota`: the request exceeds its team's quota, or no controller answered in time.
     """
 
     request: int
--- a/badgerroad/fleet/rules/bucket.py
+++ b/badgerroad/fleet/rules/bucket.py
@@ -1,52 +1,53 @@
-"""An owner's token bucket of one team, which also counts the credit that zones have. Amounts are micro-requests.
+"""The token bucket of one team at a shard's owner, including the credit held by zones. Amounts are micro-requests.
 
-Invariant after each call: level + outstanding + suspended + unknown <= depth, unless the depth was lowered below what
-had been granted. So all credit that zones have, or may bring back after a lost session or a change of owner, has its
-capacity in the bucket, and nothing is minted for that capacity twice.
+Invariant after each call: level + outstanding + suspended + carryable <= depth, unless the depth was lowered below the
+amount already granted. Credit that zones hold, or may present again after a lost session or a change of owner,
+therefore keeps its capacity in the bucket, and tokens for that capacity are not minted twice.
 """
 
 from __future__ import annotations
 
-MICRO = 1_000_000
+MICRO_PER_REQUEST = 1_000_000
 
 
 class Bucket:
-    """A token bucket.
+    """A token bucket whose capacity is divided into four amounts.
 
-    `level`: may be granted. `outstanding`: granted under running leases and not reported used. `suspended`: the same
-    under ended leases that may be revived. `unknown`: what zones may carry over from the term before.
+    `level`: available for grants. `outstanding`: granted under running leases and not yet reported as used.
+    `suspended`: granted under leases that ended but whose sessions may resume. `carryable`: capacity reserved for
+    credit that zones may carry over from the previous term.
     """
 
-    __slots__ = ("depth", "level", "outstanding", "suspended", "unknown")
+    __slots__ = ("depth", "level", "outstanding", "suspended", "carryable")
 
-    def __init__(self, depth: int, unknown: int) -> None:
-        """Start empty. `unknown`: what zones may carry over from the term before."""
+    def __init__(self, depth: int, carryable: int) -> None:
+        """Start with an empty level. `carryable`: the most that zones may carry over from the previous term."""
         self.depth = depth
         self.level = 0
         self.outstanding = 0
         self.suspended = 0
-        self.unknown = min(unknown, depth)
+        self.carryable = min(carryable, depth)
 
     @property
     def total(self) -> int:
-        """All four amounts together."""
-        return self.level + self.outstanding + self.suspended + self.unknown
+        """The sum of all four amounts."""
+        return self.level + self.outstanding + self.suspended + self.carryable
 
     def refill(self, amount: int) -> None:
-        """Fill the free capacity, then replace `unknown`."""
+        """Add `amount` to the level: first into free capacity, then by converting `carryable`."""
         free = max(0, self.depth - self.total)
         filled = min(amount, free)
-        exchanged = min(amount - filled, self.unknown)
-        self.unknown -= exchanged
+        exchanged = min(amount - filled, self.carryable)
+        self.carryable -= exchanged
         self.level += filled + exchanged
 
     def set_depth(self, depth: int) -> None:
-        """Change the depth. An excess is taken from `level`, then from `unknown`."""
+        """Change the depth. An excess is taken from `level` first, then from `carryable`."""
         self.depth = depth
         excess = max(0, self.total - depth)
         from_level = min(excess, self.level)
         self.level -= from_level
-        self.unknown -= min(excess - from_level, self.unknown)
+        self.carryable -= min(excess - from_level, self.carryable)
 
     def grant(self, amount: int) -> None:
         """Move `amount` from the level to the outstanding credit."""
@@ -54,35 +55,36 @@
         self.outstanding += amount
 
     def spend(self, amount: int) -> None:
-        """`amount` of the outstanding credit was used."""
+        """Remove `amount` of outstanding credit that was used."""
         self.outstanding -= amount
 
     def put_back(self, amount: int) -> None:
-        """`amount` of the outstanding credit came back unused."""
+        """Move `amount` of outstanding credit that was returned unused back to the level, as far as the depth allows.
+        """
         self.outstanding -= amount
         self.level += min(amount, max(0, self.depth - self.total))
 
     def suspend(self, amount: int) -> None:
-        """The lease of `amount` of the outstanding credit ended."""
+        """Move `amount` from outstanding to suspended credit, because its lease ended."""
         self.outstanding -= amount
         self.suspended += amount
 
     def revive(self, amount: int) -> None:
-        """The session of `amount` of the suspended credit continues."""
+        """Move `amount` from suspended back to outstanding credit, because its session resumed."""
         self.suspended -= amount
         self.outstanding += amount
 
     def forget(self, amount: int) -> None:
-        """`amount` of the suspended credit can no longer be revived."""
+        """Remove `amount` of suspended credit whose session can no longer resume."""
         self.suspended -= amount
 
     def carry(self, requests: int) -> int:
-        """A zone carries over `requests` from the term before; returns how many are accepted."""
-        accepted = min(requests, self.unknown // MICRO)
-        self.unknown -= accepted * MICRO
-        self.outstanding += accepted * MICRO
+        """Accept up to `requests` that a zone carries over from the previous term; return the number accepted."""
+        accepted = min(requests, self.carryable // MICRO_PER_REQUEST)
+        self.carryable -= accepted * MICRO_PER_REQUEST
+        self.outstanding += accepted * MICRO_PER_REQUEST
         return accepted
 
-    def forget_unknown(self) -> None:
-        """Nothing can be carried over any more."""
-        self.unknown = 0
+    def end_carry_over(self) -> None:
+        """Release the capacity reserved for carried-over credit."""
+        self.carryable = 0
--- a/badgerroad/fleet/rules/controller.py
+++ b/badgerroad/fleet/rules/controller.py
@@ -1,4 +1,4 @@
-"""A controller: voter (if configured as one), candidate, owner of shards, and controller of its zone."""
+"""The rules of one controller process: voter (if configured), candidate, shard owner and zone controller."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from badgerroad.fleet.rules.zone import ZoneController
 from badgerroad.fleet.settings import FleetSettings
 
-DISTRIBUTE_BEFORE_END_US = 400_000  # how long before a graceful end remaining credit goes to the zones
-SESSION_BITS = 48  # of the random number that a term's session numbers count up from
+DISTRIBUTE_BEFORE_END_US = 400_000  # time before a planned end of ownership at which zones get the remaining credit
+SESSION_BITS = 48  # size of the random number from which the session numbers of a term count up
 
 
 class ControllerFigures(msgspec.Struct, frozen=True, rename={"requests_rejected": "requests_refused"}):
-    """Counters for log lines.
+    """Counters for the statistics log line.
 
-    `requests_*`, `reserve_used`, `elections_*` and `ownerships_lost` are totals since the start.
+    `requests_*`, `reserve_used`, `elections_*` and `ownerships_lost` are totals since the process started; the others
+    are current values.
     """
 
     owned_shards: int = 0
@@ -41,9 +42,9 @@
 
 
 class ControllerRules:
-    """All rules of one controller.
+    """Combines all rules of one controller.
 
-    `voter` (None if it is none), `candidate`, `owners` by shard and `zone` are public for tests.
+    `voter` (None if this controller does not vote), `candidate`, `owners` (by shard) and `zone` are public for tests.
     """
 
     def __init__(self, settings: FleetSettings, name: str, incarnation: int, now: int, random: Randomness) -> None:
@@ -67,7 +68,7 @@
         return self._deliver(now, self._handle(now, sender, message))
 
     def tick(self, now: int) -> list[SendMessage]:
-        """Do what is due; to be called every settings.tick_ms. Returns the messages to send."""
+        """Perform the periodic work that is due; call every settings.tick_ms. Returns the messages to send."""
         self._expire(now)
         actions = self.candidate.tick(now)
         self._follow_ownership(now)
@@ -82,7 +83,7 @@
         return self._deliver(now, actions)
 
     def set_quotas(self, now: int, quotas: Mapping[str, float]) -> None:
-        """Replace all quotas (requests per second). Teams that are not listed have none."""
+        """Replace all quotas (requests per second). Teams that are not listed have no quota."""
         self._expire(now)
         self._quotas = [{} for _ in range(self._settings.shards)]
         for name, quota in quotas.items():
@@ -92,21 +93,21 @@
         self.zone.set_quotas(now, quotas)
 
     def peer_lost(self, now: int, name: str) -> None:
-        """A connection to a peer closed. Only expiry is applied, since leases end by time alone."""
+        """Handle the loss of a connection to a peer. Only expiry is applied, because leases end by time alone."""
         self._expire(now)
 
     def drain(self, now: int) -> list[SendMessage]:
-        """Start a graceful shutdown; `tick` must be called until `drained`."""
+        """Start a graceful shutdown and return the messages to send. Call `tick` until `drained` is true."""
         self._expire(now)
         self.candidate.leave(now)
         return self._deliver(now, self.zone.end(now) if self._may_end() else [])
 
     def drained(self, now: int) -> bool:
-        """Whether the process may end: it owns no shard, and its zone's credit has been returned."""
+        """Whether the process may exit: it owns no shard and its zone's credit has been returned."""
         return self.zone.ended and self._may_end()
 
     def figures(self, now: int) -> ControllerFigures:
-        """The present counters, for a log line."""
+        """Return the current counters for a log line."""
         return ControllerFigures(
             owned_shards=len(self.candidate.owned(now)),
             zone_sessions=sum(owner.session_count for owner in self.owners.values()),
@@ -122,14 +123,17 @@
         )
 
     def owned(self, now: int) -> dict[int, Ownership]:
-        """The owned shards with term and end."""
+        """Return the ownership of each shard that this controller owns."""
         return self.candidate.owned(now)
 
     def _may_end(self) -> bool:
         return self.candidate.leaving and not self.candidate.owns_any
 
     def _expire(self, now: int) -> None:
-        """Drop what has run out, before anything else is done; also after a long stop of this process."""
+        """Drop leases and ownerships that have expired.
+
+        Every call does this first, so that expired state is not used after the process was suspended.
+        """
         self.candidate.expire(now)
         self._follow_ownership(now)
         self.zone.expire(now)
@@ -146,7 +150,7 @@
                 self.owners[shard] = ShardOwner(self._settings, shard, ownership.term, quotas, now, first_session)
 
     def _deliver(self, now: int, actions: list[SendMessage]) -> list[SendMessage]:
-        """Handle the messages to this controller itself; return the others."""
+        """Handle the messages addressed to this controller itself and return the others."""
         outgoing: list[SendMessage] = []
         queue = deque(actions)
         while queue:
@@ -211,4 +215,4 @@
         owner = self.owners.get(request.shard)
         if ownership is None or owner is None:
             return [SendMessage(sender.name, messages.NotOwner(request.shard, request.term))]
-        return [owner.request(now, sender, request, ownership.last - now)]
+        return [owner.request(now, sender, request, ownership.valid_until - now)]
--- a/badgerroad/fleet/rules/controller_choice.py
+++ b/badgerroad/fleet/rules/controller_choice.py
@@ -1,36 +1,39 @@
-"""Which controller a dispatcher asks: its zone's, or while that does not answer the next one of the region."""
+"""The choice of the controller that a dispatcher sends lease requests to.
+
+The zone's own controller is preferred. While it does not reply, the next controller of the region is used.
+"""
 
 from __future__ import annotations
 
 from badgerroad.fleet.rules.order import controller_order
 from badgerroad.fleet.settings import FleetSettings
 
-LATE_REPLY_US = 200_000  # a request counts as unanswered after this time
-MAX_LATE_REPLIES = 3  # unanswered requests in a row
-REPLY_TIMEOUT_US = 1_000_000  # longest wait for the reply to an open request
-POLL_OWN_INTERVAL_US = 5_000_000  # interval of polls of the zone's own controller
-STALL_US = 500_000  # after so long without a tick, missing replies mean nothing
+LATE_REPLY_US = 200_000  # age at which a request without a reply counts as late
+MAX_LATE_REPLIES = 3  # late requests in a row at which the next controller is chosen
+REPLY_TIMEOUT_US = 1_000_000  # age at which a single request without a reply suffices for that
+POLL_OWN_INTERVAL_US = 5_000_000  # interval of polls of the zone's own controller while another one is in use
+STALL_US = 500_000  # after a longer gap between ticks this process was stalled, and missing replies prove nothing
 
 
 class ControllerChoice:
-    """Chooses the controller to ask: `current`."""
+    """Selects the controller to send lease requests to; `current` is its name."""
 
     def __init__(self, settings: FleetSettings, zone: str, dispatcher: str, now: int) -> None:
         """Start with the zone's own controller."""
         self._order = controller_order(settings, zone, dispatcher)
         self._index = 0
-        self._open: dict[int, int] = {}  # open requests to the current controller: sequence to sending time
+        self._open: dict[int, int] = {}  # time sent by sequence, of open requests to the current controller
         self._next_poll = now + POLL_OWN_INTERVAL_US
         self._last_tick = now
 
     @property
     def current(self) -> str:
-        """The controller to ask."""
+        """The name of the controller to send lease requests to."""
         return self._order[self._index]
 
     @property
     def own(self) -> str:
-        """The zone's own controller."""
+        """The name of the zone's own controller."""
         return self._order[0]
 
     def request_sent(self, now: int, sequence: int) -> None:
@@ -38,7 +41,7 @@
         self._open[sequence] = now
 
     def reply_received(self, name: str) -> bool:
-        """Record a reply of `name`. Returns whether this changed the choice to the zone's own controller."""
+        """Record a reply from `name`. Returns whether it switched the choice back to the zone's own controller."""
         if name == self.current:
             self._open.clear()
             return False
@@ -48,14 +51,14 @@
         return True
 
     def connection_lost(self, now: int, name: str) -> bool:
-        """Record that the connection to `name` closed. Returns whether this changed the choice."""
+        """Record that the connection to `name` closed. Returns whether the choice changed."""
         if name != self.current:
             return False
         self._select_next(now)
         return self.current != name
 
     def tick(self, now: int) -> bool:
-        """Check for missing replies. Returns whether the choice changed."""
+        """Switch to the next controller if replies are missing. Returns whether the choice changed."""
         stalled = now - self._last_tick > STALL_US
         self._last_tick = now
         if stalled:
@@ -67,7 +70,7 @@
         return True
 
     def should_poll_own(self, now: int) -> bool:
-        """Whether it is time to poll the zone's own controller while another one is in use."""
+        """Whether a poll of the zone's own controller is due because another controller is in use."""
         if self._index == 0 or now < self._next_poll:
             return False
         self._next_poll = now + POLL_OWN_INTERVAL_US
--- a/badgerroad/fleet/rules/credits.py
+++ b/badgerroad/fleet/rules/credits.py
@@ -1,31 +1,37 @@
-"""Credit by cumulative counters, as in the flow control of HTTP/2: `granted` one way, `used` and `returned` the other.
+"""Credit accounts by cumulative counters, similar to HTTP/2 flow control.
 
-All three are totals that never fall, and each side uses the highest received, so a lost, repeated or late message
-changes nothing. Counts are whole requests.
+The grantor sends the total `granted`; the holder sends the totals `used` and `returned`. Totals never decrease and each
+side keeps the highest value received, so a lost, repeated or late message changes nothing. Counts are whole requests.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MAX_JUMP = 1 << 40  # requests by which totals may exceed what is known
-LATE_WINDOW = 1 << 20  # a number further back than this is not that of a late message
+MAX_JUMP = 1 << 40  # requests by which a received total may exceed the known one
+LATE_WINDOW = 1 << 20  # a message number that is lower than the highest by more than this is not a late message's
 
 
 def is_newest(number: int, known: int) -> bool:
-    """Whether a message's number is the highest so far, or so far back that the highest must have been wrong."""
+    """Whether a message number is at least `known`, the highest so far, or too far below it to be a late message.
+
+    In the second case the highest number must have been wrong, so the lower one is accepted.
+    """
     return number >= known or known - number > LATE_WINDOW
 
 
 class Progress(NamedTuple):
-    """How much a report added to the known totals."""
+    """The amounts by which a report raised the known totals."""
 
     used: int
     returned: int
 
 
 class GrantorCredit:
-    """The granting end. Granted credit is outstanding until it is reported used or returned, or written off."""
+    """The account at the granting side.
+
+    Granted credit is outstanding until it is reported as used or returned, or is written off.
+    """
 
     __slots__ = ("granted", "used", "returned", "written_off")
 
@@ -34,11 +40,11 @@
         self.granted = 0
         self.used = 0
         self.returned = 0
-        self.written_off = 0  # this many of `granted` are accounted for, whatever is reported later
+        self.written_off = 0  # requests of `granted` that are accounted for, whatever is reported later
 
     @property
     def outstanding(self) -> int:
-        """Granted requests that are not accounted for."""
+        """Granted requests that are neither reported nor written off."""
         return self.granted - max(self.written_off, self.used + self.returned)
 
     def grant(self, count: int) -> None:
@@ -46,7 +52,7 @@
         self.granted += count
 
     def report(self, used: int, returned: int) -> Progress:
-        """Apply the holder's totals. Totals beyond what was granted are impossible and ignored."""
+        """Apply the holder's totals. Totals above the granted total are invalid and ignored."""
         if max(self.used, used) + max(self.returned, returned) > self.granted:
             return Progress(0, 0)
         counted = max(self.written_off, self.used + self.returned)
@@ -58,10 +64,10 @@
         used_part = min(newly_used, newly_accounted)
         return Progress(used_part, newly_accounted - used_part)
 
-    def begin_anew(self, used: int, returned: int) -> None:
-        """Adopt the totals of an account that this end has forgotten.
+    def adopt_totals(self, used: int, returned: int) -> None:
+        """Adopt the holder's totals of an account that this side has dropped.
 
-        Only while nothing is outstanding, and unless the totals exceed what is known by more than MAX_JUMP.
+        Applies only while nothing is outstanding, and only if the totals exceed the granted total by at most MAX_JUMP.
         """
         total = used + returned
         if self.granted < total <= self.granted + MAX_JUMP and not self.outstanding:
@@ -69,14 +75,14 @@
             self.used, self.returned = used, returned
 
     def write_off(self) -> int:
-        """Account for everything granted; return how much was outstanding."""
+        """Account for all granted requests; return how many were outstanding."""
         outstanding = self.outstanding
         self.written_off = self.granted
         return outstanding
 
 
 class HolderCredit:
-    """The end that receives credit and uses it."""
+    """The account at the side that receives and uses the credit."""
 
     __slots__ = ("granted", "used", "returned")
 
@@ -92,9 +98,10 @@
         return self.granted - self.used - self.returned
 
     def take(self, granted: int) -> int:
-        """Apply the granting end's total; return how much it adds.
+        """Apply the grantor's total; return by how much it rose.
 
-        A total beyond MAX_JUMP is ignored: once believed, it would hide all true totals that follow.
+        A total that is more than MAX_JUMP higher is ignored: once accepted, a wrong value would hide all correct totals
+        that follow.
         """
         added = max(0, granted - self.granted)
         if added > MAX_JUMP:
@@ -103,9 +110,9 @@
         return added
 
     def use(self, count: int) -> None:
-        """Use `count` requests."""
+        """Record `count` requests as used."""
         self.used += count
 
     def give_back(self, count: int) -> None:
-        """Return `count` requests unused."""
+        """Return `count` unused requests."""
         self.returned += count
--- a/badgerroad/fleet/rules/dispatcher.py
+++ b/badgerroad/fleet/rules/dispatcher.py
@@ -1,4 +1,4 @@
-"""A dispatcher's side of the leases: a request waits for a lease for at most settings.ask_timeout_ms.
+"""The dispatcher's side of the quota leases. A request waits for a lease for at most settings.ask_timeout_ms.
 
 Times are microseconds of the caller's monotonic clock.
 """
@@ -19,16 +19,16 @@
 from badgerroad.fleet.rules.waiting_requests import WaitingRequests
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-REJECTED_FOR_US = 50_000  # how long a rejection of a team is remembered
-REVIEWS_PER_LEASE = 8  # reviews of the leases within the duration of one
-REPORTS_PER_LEASE = 4  # reports of used requests within the duration of a lease
+REJECTION_TTL_US = 50_000  # how long a team is rejected at once after a controller granted too little or did not reply
+REVIEWS_PER_LEASE = 8  # reviews of all leases per duration of a lease
+REPORTS_PER_LEASE = 4  # reports of used requests per duration of a lease
 
 
 class DispatcherFigures(msgspec.Struct, frozen=True, rename={"lease_requests": "asks", "unused": "held"}):
-    """Counters for log lines, under the names that the operators' page gives.
+    """Counters for the statistics log line; `rename` keeps the field names of the log.
 
-    They are totals since the start, except `unused` and `waiting`. `over_unanswered`: those of `over` for which no
-    controller answered in time.
+    All numbers except `unused` and `waiting` are totals since the start. `over_unanswered` counts the requests of
+    `over` for which no controller replied in time.
     """
 
     controller: str = ""
@@ -61,7 +61,10 @@
         self._unanswered = 0
 
     def request(self, now: int, request: int, team: str) -> list[Action]:
-        """Decide a request of `team`, or let it wait. `request`: a number unique among those that wait."""
+        """Decide a request of `team`, or queue it until a lease arrives.
+
+        `request`: a number that no other waiting request has.
+        """
         leases = self._teams.find(now, team)
         if leases is None:
             return [self._decide(request, True)]
@@ -89,7 +92,7 @@
         return self._apply_grant(now, sender, opened, message)
 
     def tick(self, now: int) -> list[Action]:
-        """Do what is due. To be called at least every settings.tick_ms, and at `next_wakeup`."""
+        """Perform the work that is due. Call at least every settings.tick_ms, and at `next_wakeup`."""
         actions = self._time_out(now)
         if self._choice.tick(now):
             actions += self._requests.request(now, self._waiting.teams())
@@ -105,26 +108,26 @@
         return actions
 
     def next_wakeup(self) -> int | None:
-        """When the next waiting request must be decided, or None."""
+        """Return the time at which the next waiting request must be decided; None if no request waits."""
         return self._waiting.next_deadline()
 
     def peer_lost(self, now: int, name: str) -> list[Action]:
-        """The connection to the controller `name` closed, or could not be made."""
+        """Handle that the connection to the controller `name` closed or could not be made."""
         self._requests.incarnations.pop(name, None)
         if not self._choice.connection_lost(now, name):
             return []
         return self._requests.request(now, self._waiting.teams())
 
     def cancel(self, now: int, request: int) -> None:
-        """The client of a waiting request disconnected."""
+        """Remove a waiting request whose client disconnected or whose deadline passed."""
         team = self._waiting.remove(request)
         if team is not None:
             self._teams.leases[team].waiting.pop(request, None)
 
     def release(self, now: int) -> list[SendMessage]:
-        """Return all unused credit: the process ends, or another takes over.
+        """Return all unused credit, because the process ends or another process replaces it.
 
-        Later requests are asked for one by one.
+        Afterwards credit is requested only for requests that wait.
         """
         self._requests.prefetching = False
         for _, leases in self._teams.active_leases():
@@ -133,7 +136,7 @@
         return self._requests.report()
 
     def export(self, now: int) -> LeaseExport:
-        """The unused credit, for the process that takes over; none of it may be used here any more."""
+        """Export the unused credit for the process that replaces this one, which may no longer use it."""
         return export_leases(now, self._teams)
 
     @classmethod
@@ -147,17 +150,20 @@
         random: Randomness,
         exported: LeaseExport,
     ) -> DispatcherLeases:
-        """The receiving end of `export`. `now`: of the same clock, since both processes run on one machine."""
+        """Create the leases from the export of another process.
+
+        `now` must be of the same clock as in `export`, which holds because both processes run on one machine.
+        """
         leases = cls(settings, name, zone, incarnation, now, random)
         leases.inherit(now, exported)
         return leases
 
     def inherit(self, now: int, exported: LeaseExport) -> None:
-        """Take over the credit of another process on this machine."""
+        """Add the credit exported by another process on this machine."""
         import_leases(now, self._teams, exported)
 
     def figures(self, now: int) -> DispatcherFigures:
-        """The present counters, for a log line."""
+        """Return the current counters for a log line."""
         return DispatcherFigures(
             controller=self._choice.current,
             within=self._within,
@@ -192,7 +198,7 @@
             within = leases.take(now)
             if not within:
                 self._unanswered += 1
-                leases.rejected_until = now + REJECTED_FOR_US
+                leases.rejected_until = now + REJECTION_TTL_US
                 leases.open_request = None
             actions.append(self._decide_waiting(leases, request, not within))
         return actions
@@ -201,20 +207,23 @@
 
     def _apply_grant(self, now: int, sender: Peer, opened: OpenLeaseRequest, grant: LeaseGrant) -> list[Action]:
         actions: list[Action] = []
-        own_is_back = self._choice.reply_received(sender.name)
+        switched_to_own = self._choice.reply_received(sender.name)
         unserved: list[str] = []
         for credit in grant.credits:
             if self._apply_credit(now, sender, opened, credit, actions):
                 unserved.append(credit.team)
         self._requests.close(opened.wanted, grant.sequence)
-        if own_is_back:
+        if switched_to_own:
             unserved = self._waiting.teams()
         return actions + self._requests.request(now, unserved)
 
     def _apply_credit(
         self, now: int, sender: Peer, opened: OpenLeaseRequest, credit: LeaseCredit, actions: list[Action]
     ) -> bool:
-        """Serve what waits, adding to `actions`. Returns whether the team must be requested again."""
+        """Apply the credit of one team and append the decisions on its waiting requests to `actions`.
+
+        Returns whether credit for the team must be requested again.
+        """
         leases = self._teams.leases.get(credit.team)
         if leases is None or credit.team not in opened.wanted:
             return False
@@ -230,14 +239,14 @@
             actions.append(self._decide_waiting(leases, request, False))
         if credit.granted >= opened.wanted[credit.team].total:
             return bool(leases.waiting)
-        leases.no_prefetch_until = now + REJECTED_FOR_US
+        leases.no_prefetch_until = now + REJECTION_TTL_US
         if leases.waiting:
-            leases.rejected_until = now + REJECTED_FOR_US
+            leases.rejected_until = now + REJECTION_TTL_US
         actions += self._reject_waiting(leases)
         return False
 
     def _extend_lease(self, now: int, account: DispatcherLease, opened: OpenLeaseRequest, credit: LeaseCredit) -> None:
-        """Apply the granted total. Credit beyond what was requested is an error or came late, and is returned."""
+        """Apply the granted total. Credit beyond the requested amount is late or an error, and is returned."""
         account.drop_ended(now)
         account.take(credit.granted)
         account.give_back(max(0, account.unused - opened.wanted[credit.team].requests))
@@ -247,7 +256,7 @@
     # Reviews
 
     def _review(self, now: int) -> list[Action]:
-        """Renew leases past half their duration if there is demand, otherwise return what is left of them."""
+        """Renew leases past half their duration while there is demand; otherwise return their unused credit."""
         renewed: list[str] = []
         for team, leases in self._teams.active_leases():
             leases.drop_ended(now)
--- a/badgerroad/fleet/rules/lease_requests.py
+++ b/badgerroad/fleet/rules/lease_requests.py
@@ -1,4 +1,4 @@
-"""The lease requests that a dispatcher sends to controllers, and its reports of what it used."""
+"""The lease requests that a dispatcher sends to controllers, and its reports of used and returned credit."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from badgerroad.fleet.rules.team_leases import INHERITED, DispatcherLease, TeamLeases
 from badgerroad.fleet.rules.team_table import TeamTable
 
-MAX_REQUESTED = 1_000_000  # requests of one team in one lease request
+MAX_REQUESTED = 1_000_000  # limit of the credit requested for one team in one lease request
 
 
 class RequestedCredit(NamedTuple):
-    """How many requests were asked for, and the granted total that would fulfil that."""
+    """The credit requested for one team: the number of requests, and the granted total that fulfils the request."""
 
     requests: int
     total: int
 
 
 class OpenLeaseRequest(NamedTuple):
-    """A LeaseRequest without a reply. `sent`: microseconds."""
+    """A LeaseRequest that has no reply yet. `sent`: microseconds."""
 
     sent: int
     controller: str
@@ -30,10 +30,10 @@
 
 
 class LeaseRequests:
-    """Sends lease requests to the chosen controller and keeps the open ones.
+    """Sends lease requests to the chosen controller and tracks those without a reply.
 
-    `incarnations`: the newest known incarnation of each controller. `sequence`: of the last request. `prefetching`:
-    whether more is requested than what waits.
+    `incarnations`: the newest known incarnation of each controller. `sequence`: the number of the last request sent.
+    `prefetching`: whether credit is requested beyond the requests that wait.
     """
 
     def __init__(self, teams: TeamTable, choice: ControllerChoice) -> None:
@@ -46,7 +46,7 @@
         self.prefetching = True
 
     def request(self, now: int, teams: Iterable[str]) -> list[Action]:
-        """Request leases for the teams from the current controller."""
+        """Return the messages that request leases for `teams` from the current controller."""
         known = self._teams.leases
         wanted = {team: self._wanted(now, known[team]) for team in teams if team in known}
         if not wanted:
@@ -54,7 +54,7 @@
         return [self.send(now, self._choice.current, wanted)]
 
     def prefetch(self, now: int, team: str, leases: TeamLeases) -> list[Action]:
-        """Request more before the last of the credit is used, if there is demand."""
+        """Request more credit, if there is demand for it, once less than half of the prefetch amount is left."""
         wanted = leases.prefetch(now)
         if not self.prefetching or leases.open_request is not None or now < leases.no_prefetch_until:
             return []
@@ -63,13 +63,13 @@
         return self.request(now, [team])
 
     def prefetch_count(self, now: int, leases: TeamLeases) -> int:
-        """How many requests of the team to lease in advance."""
+        """Return how many requests of the team to lease in advance."""
         return leases.prefetch(now) if self.prefetching else 0
 
     def send(self, now: int, controller: str, wanted: Mapping[str, int]) -> SendMessage:
-        """The message that requests `wanted` credit by team from `controller`; without teams it is a poll.
+        """Return the message that requests `wanted` credit by team from `controller`. Without teams it is a poll.
 
-        At most MAX_LIST teams; the team table has no more.
+        At most MAX_LIST teams are listed; the team table holds no more.
         """
         self.sequence += 1
         opened = self._open[self.sequence] = OpenLeaseRequest(now, controller, {})
@@ -89,26 +89,26 @@
         return SendMessage(controller, LeaseRequest(self.sequence, tuple(needs[:MAX_LIST]), peer.incarnation))
 
     def take_reply(self, sequence: int, controller: str) -> OpenLeaseRequest | None:
-        """Remove and return the open request that a reply of `controller` belongs to, or None."""
+        """Remove and return the open request that a reply of `controller` belongs to; None if there is none."""
         opened = self._open.pop(sequence, None)
         if opened is None or opened.controller != controller:
             return None
         return opened
 
     def close(self, teams: Iterable[str], sequence: int) -> None:
-        """The request `sequence` is no longer the open one of these teams."""
+        """Record for these teams that the request `sequence` is no longer open."""
         for team in teams:
             leases = self._teams.leases.get(team)
             if leases is not None and leases.open_request == sequence:
                 leases.open_request = None
 
     def drop_sent_before(self, limit: int) -> None:
-        """Drop open requests sent at `limit` or earlier: their replies could grant no lease that still runs."""
+        """Drop open requests sent at `limit` or earlier: leases granted by their replies would already have ended."""
         for sequence in [sequence for sequence, opened in self._open.items() if opened.sent <= limit]:
             self.close(self._open.pop(sequence).wanted, sequence)
 
     def report(self) -> list[SendMessage]:
-        """Reports of the totals that controllers do not know yet, one message to each."""
+        """Return a message for each controller that does not know the current totals."""
         usages: dict[Peer, list[Usage]] = {}
         for team, leases in self._teams.active_leases():
             for peer, account in leases.accounts.items():
--- a/badgerroad/fleet/rules/lease_transfer.py
+++ b/badgerroad/fleet/rules/lease_transfer.py
@@ -1,4 +1,4 @@
-"""What passes from one process of a dispatcher to the process that takes over from it."""
+"""The transfer of unused credit from one process of a dispatcher to the process that replaces it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 
 class ExportedLease(msgspec.Struct, frozen=True):
-    """`count` requests of a team. `end`: microseconds of the machine's monotonic clock."""
+    """Unused credit of one team: `count` requests, valid until `end` (microseconds of the machine's monotonic clock).
+    """
 
     team: str
     count: int
@@ -23,7 +24,7 @@
 
 
 def export_leases(now: int, teams: TeamTable) -> LeaseExport:
-    """Transfer all unused credit; none of it may be used here any more."""
+    """Export all unused credit. This process may no longer use it."""
     exported: list[ExportedLease] = []
     for team, leases in teams.active_leases():
         for account in leases.accounts.values():
@@ -34,7 +35,7 @@
 
 
 def import_leases(now: int, teams: TeamTable, exported: LeaseExport) -> None:
-    """Take over the credit of another process on this machine."""
+    """Add the credit exported by another process on this machine."""
     for lease in exported.leases:
         account = teams.leases.setdefault(lease.team, TeamLeases(now)).account(INHERITED)
         account.drop_ended(now)
--- a/badgerroad/fleet/rules/order.py
+++ b/badgerroad/fleet/rules/order.py
@@ -1,4 +1,4 @@
-"""In which order controllers are preferred: the same everywhere, and spread evenly."""
+"""The preference orders of controllers, which every process computes alike and which spread the load evenly."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 def rendezvous(key: str, names: list[str]) -> list[str]:
-    """Order `names` by a hash of key and name (highest random weight): removing one moves no other."""
+    """Order `names` by rendezvous hashing with `key` (highest random weight): removing a name moves no other."""
     return sorted(names, key=lambda name: (crc32(f"{key}/{name}".encode()), name))
 
 
 def shard_order(settings: FleetSettings, shard: int) -> tuple[str, ...]:
-    """The controllers in the order in which they should own the shard.
+    """Return the controllers in the order of preference as owner of the shard.
 
-    The first goes by turns, so that each controller is first for as many shards as the others; the rest goes by
-    rendezvous hashing, so that the shards of a lost controller spread.
+    The first is assigned round-robin, so that all controllers are first for equally many shards. The others follow by
+    rendezvous hashing, so that the shards of a failed controller are spread over the remaining ones.
     """
     names = list(settings.names)
     first = names.pop(shard % len(names))
@@ -24,10 +24,10 @@
 
 
 def controller_order(settings: FleetSettings, zone: str, dispatcher: str) -> tuple[str, ...]:
-    """The controllers that a dispatcher asks, in order.
+    """Return the controllers that a dispatcher sends lease requests to, in order of preference.
 
-    Its zone's controller, then the others of the region by rendezvous hashing of the dispatcher's name, so that the
-    dispatchers of a zone whose controller is lost spread.
+    The zone's own controller comes first. The others of the region follow by rendezvous hashing of the dispatcher's
+    name, so that the dispatchers of a zone whose controller failed are spread over the remaining ones.
     """
     own = next(controller for controller in settings.controllers if controller.zone == zone)
     others = [
--- a/badgerroad/fleet/rules/owner.py
+++ b/badgerroad/fleet/rules/owner.py
@@ -1,7 +1,7 @@
-"""The owner of a shard: one token bucket per team, one session per zone controller.
+"""The owner of a shard: one token bucket per team and one session per zone controller.
 
-All state belongs to one term of ownership and is dropped with it. The caller checks that the term still runs at `now`.
-Times are microseconds of the owner's monotonic clock.
+All state belongs to one term of ownership and is dropped with it. The caller checks that the term is still valid at
+`now`. Times are microseconds of the owner's monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,19 +10,23 @@
 
 from badgerroad.fleet.messages import NotOwner, QuotaCredit, QuotaGrant, QuotaNeed, QuotaRequest, QuotaReturn
 from badgerroad.fleet.rules.actions import Peer, SendMessage
-from badgerroad.fleet.rules.bucket import MICRO, Bucket
+from badgerroad.fleet.rules.bucket import MICRO_PER_REQUEST, Bucket
 from badgerroad.fleet.rules.credits import GrantorCredit, is_newest
 from badgerroad.fleet.rules.reserve import Lending
 from badgerroad.fleet.rules.sharing import FairShares
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-SHARING_INTERVAL_US = 100_000  # shortest time between two distributions of scarce credit
+SHARING_INTERVAL_US = 100_000  # minimum time between two distributions of scarce credit
 
-REFRESH_INTERVAL_US = 10_000_000  # all credit is sent again after this time, whatever was acknowledged
+REFRESH_INTERVAL_US = 10_000_000  # interval at which all credit is sent again, even if it was acknowledged
 
 
 class Account:
-    """One team in one session. `changed`: number of the first grant that carries its present state."""
+    """The credit of one team in one session.
+
+    `wanted`: the stock that the zone requested. `changed`: number of the first grant that carries the current state.
+    `carried`: whether credit of the previous term was already accepted.
+    """
 
     __slots__ = ("credit", "wanted", "changed", "carried")
 
@@ -40,16 +44,17 @@
 
 
 class Session:
-    """One zone controller under this term.
+    """The session of one zone controller in this term.
 
-    `end`: end of its quota lease by the owner's clock. After it the credit is suspended, and forgotten some time
-    later.
+    `end`: end of the quota lease by the owner's clock. Afterwards the session's credit is suspended, and dropped once
+    the zone can no longer carry it over. `grants`: number of the last grant. `acknowledged`: number of the last grant
+    that the zone confirmed.
     """
 
     __slots__ = ("peer", "number", "sequence", "end", "suspended", "grants", "acknowledged", "refresh_at", "accounts")
 
     def __init__(self, peer: Peer, number: int) -> None:
-        """Open a session for `peer` under the session number `number`."""
+        """Open a session for `peer` with the session number `number`."""
         self.peer = peer
         self.number = number
         self.sequence = 0
@@ -62,12 +67,16 @@
 
 
 class Team:
-    """One quota. `waiting`: the sessions whose outstanding credit is below what they want."""
+    """The quota of one team, with its bucket.
+
+    `refilled`: the lending total up to which the bucket is filled. `waiting`: sessions whose outstanding credit is
+    below what they want.
+    """
 
     __slots__ = ("quota", "known", "bucket", "refilled", "waiting", "shares")
 
     def __init__(self, bucket: Bucket, refilled: float) -> None:
-        """Start with `bucket`, filled up to the lending total `refilled`."""
+        """Start with `bucket`, which is filled up to the lending total `refilled`."""
         self.quota = 0.0
         self.known = True
         self.bucket = bucket
@@ -84,8 +93,8 @@
     ) -> None:
         """Start the term at `now` with the quotas of this shard in requests per second.
 
-        `first_session`: session numbers count up from it. It is random, so that session numbers do not recur when
-        voters that lost their memory grant the same term number again.
+        `first_session`: the session number to count up from. It is random, so that session numbers do not recur when
+        voters that restarted without their state grant the same term number again.
         """
         self._settings = settings
         self.shard = shard
@@ -95,7 +104,7 @@
         self.sessions: dict[Peer, Session] = {}
         self._next_session = first_session
         self.teams: dict[str, Team] = {}
-        self._scarce_teams: dict[str, None] = {}  # in order
+        self._scarce_teams: dict[str, None] = {}  # teams with waiting sessions, in order
         self._carry_until = now + settings.longer(settings.carry_ms * US_PER_MS)
         self._carrying = True
         self._next_sharing = now
@@ -105,11 +114,11 @@
 
     @property
     def session_count(self) -> int:
-        """The number of sessions, suspended ones included."""
+        """The number of sessions, including suspended ones."""
         return len(self.sessions)
 
     def total_granted(self) -> int:
-        """Requests granted in all known sessions, for log lines."""
+        """Return the requests granted in all known sessions, for log lines."""
         return sum(
             account.credit.granted for session in self.sessions.values() for account in session.accounts.values()
         )
@@ -152,13 +161,13 @@
                 self._report(session, usage.team, account, usage.used, usage.returned)
 
     def tick(self, now: int) -> list[SendMessage]:
-        """Distribute refilled credit to the sessions that wait for it. Returns the grants to send."""
+        """Distribute refilled credit to waiting sessions. Returns the grants to send."""
         self.lending.advance(now)
         self._end_sessions(now)
         if self._carrying and now >= self._carry_until:
             self._carrying = False
             for team in self.teams.values():
-                team.bucket.forget_unknown()
+                team.bucket.end_carry_over()
         if now < self._next_sharing:
             return []
         self._next_sharing = now + SHARING_INTERVAL_US
@@ -168,10 +177,10 @@
         return [self._grant(now, session, 0) for session in changed.values()]
 
     def distribute_remaining(self, now: int, leaving: Peer | None) -> list[SendMessage]:
-        """Before a graceful end, grant the remaining credit to the zones in equal parts, beyond what they want.
+        """Grant the remaining credit to the zones in equal parts, beyond what they want, before a planned release.
 
-        The zones carry it over to the next owner and return it there. `leaving`: a zone controller that shuts down and
-        gets none.
+        The zones carry the credit over to the next owner and return it there. `leaving`: a zone controller that shuts
+        down and therefore gets none.
         """
         self.lending.advance(now)
         live = [session for session in self.sessions.values() if now < session.end and not session.suspended]
@@ -187,14 +196,17 @@
         team = self._refresh(name)
         if not sessions or not team.known:
             return
-        each, rest = divmod(team.bucket.level // MICRO, len(sessions))
+        each, rest = divmod(team.bucket.level // MICRO_PER_REQUEST, len(sessions))
         for number, session in enumerate(sessions):
             count = each + (number < rest)
             if count:
                 self._grant_credit(session, name, session.accounts[name], count)
 
     def _valid_ms(self, remaining: int) -> int:
-        """Duration of a quota lease. None outlasts the ownership, so the next owner finds none in force."""
+        """Return the duration of a quota lease.
+
+        No quota lease outlasts the ownership, so that none is still valid when the next owner starts.
+        """
         return min(self._settings.quota_lease_ms, self._settings.shorter(remaining // US_PER_MS))
 
     # Sessions
@@ -221,7 +233,7 @@
                 self._forget(session)
 
     def _forgotten(self, now: int, session: Session) -> bool:
-        """Whether the session has ended so long ago that its zone can no longer carry credit to a next owner."""
+        """Whether the session ended so long ago that its zone can no longer carry credit over to the next owner."""
         return now >= session.end + self._settings.longer(self._settings.carry_ms * US_PER_MS)
 
     def _suspend(self, session: Session) -> None:
@@ -229,18 +241,18 @@
             return
         session.suspended = True
         for name, account in session.accounts.items():
-            self._refresh(name).bucket.suspend(account.credit.outstanding * MICRO)
+            self._refresh(name).bucket.suspend(account.credit.outstanding * MICRO_PER_REQUEST)
             self.teams[name].waiting.pop(session.peer, None)
 
     def _revive(self, session: Session) -> None:
         session.suspended = False
         for name, account in session.accounts.items():
-            self._refresh(name).bucket.revive(account.credit.outstanding * MICRO)
+            self._refresh(name).bucket.revive(account.credit.outstanding * MICRO_PER_REQUEST)
 
     def _forget(self, session: Session) -> None:
         self._suspend(session)
         for name, account in session.accounts.items():
-            self._refresh(name).bucket.forget(account.credit.outstanding * MICRO)
+            self._refresh(name).bucket.forget(account.credit.outstanding * MICRO_PER_REQUEST)
         del self.sessions[session.peer]
 
     # Requests
@@ -277,7 +289,7 @@
             self._grant_at_once(now, session, need.team, account)
 
     def _may_carry(self, account: Account) -> bool:
-        """Whether credit of the term before may be accepted: once per session."""
+        """Whether credit of the previous term may be accepted, which is allowed once per session."""
         return not account.carried
 
     def _carry(self, session: Session, name: str, account: Account, count: int) -> None:
@@ -289,8 +301,8 @@
     def _report(self, session: Session, name: str, account: Account, used: int, returned: int) -> None:
         bucket = self._refresh(name).bucket
         progress = account.credit.report(used, returned)
-        bucket.spend(progress.used * MICRO)
-        bucket.put_back(progress.returned * MICRO)
+        bucket.spend(progress.used * MICRO_PER_REQUEST)
+        bucket.put_back(progress.returned * MICRO_PER_REQUEST)
         self._update_waiting(session, name, account)
 
     def _update_waiting(self, session: Session, name: str, account: Account) -> None:
@@ -302,22 +314,24 @@
             team.waiting.pop(session.peer, None)
 
     def _grant_at_once(self, now: int, session: Session, name: str, account: Account) -> None:
-        """Grant the shortfall if the bucket covers all that wait; otherwise the next tick shares it out."""
+        """Grant the shortfall if the bucket covers all waiting sessions; otherwise the next tick shares the credit out.
+        """
         team = self._refresh(name)
         needed = sum(waiting.accounts[name].shortfall for waiting in team.waiting.values())
-        if session.peer in team.waiting and needed * MICRO <= team.bucket.level:
+        if session.peer in team.waiting and needed * MICRO_PER_REQUEST <= team.bucket.level:
             self._grant_credit(session, name, account, account.shortfall)
             self._update_waiting(session, name, account)
 
     def _distribute(self, now: int, name: str) -> dict[Peer, Session]:
-        """Share the available credit of one team among its waiting sessions. Returns those that got some."""
+        """Share the available credit of one team among its waiting sessions. Returns the sessions that received some.
+        """
         team = self._refresh(name)
         needs = {
             peer: session.accounts[name].shortfall
             for peer, session in team.waiting.items()
             if now < session.end and not session.suspended
         }
-        available = team.bucket.level // MICRO
+        available = team.bucket.level // MICRO_PER_REQUEST
         if not needs:
             team.waiting.clear()
             self._scarce_teams.pop(name, None)
@@ -333,7 +347,7 @@
         return served
 
     def _grant_credit(self, session: Session, name: str, account: Account, count: int) -> None:
-        self.teams[name].bucket.grant(count * MICRO)
+        self.teams[name].bucket.grant(count * MICRO_PER_REQUEST)
         account.credit.grant(count)
         account.changed = session.grants + 1
 
@@ -356,7 +370,7 @@
     # Teams
 
     def _depth(self, quota: float) -> int:
-        return int(self._settings.depth(quota) * MICRO)
+        return int(self._settings.depth(quota) * MICRO_PER_REQUEST)
 
     def _add_team(self, name: str, quota: float, carrying: bool, known: bool = True) -> None:
         depth = self._depth(quota)
@@ -379,7 +393,7 @@
                 self._update_waiting(session, name, account)
 
     def _refresh(self, name: str) -> Team:
-        """Return the team with its bucket refilled up to the lending's last `advance`."""
+        """Return the team, with its bucket refilled up to the last `advance` of the lending."""
         team = self.teams[name]
         refilled = self.lending.refilled
         if refilled > team.refilled:
--- a/badgerroad/fleet/rules/ownership.py
+++ b/badgerroad/fleet/rules/ownership.py
@@ -1,6 +1,6 @@
-"""A candidate: obtains, renews and gives up the ownership of shards.
+"""A candidate: acquires, renews and releases the ownership of shards.
 
-Every lease is counted from before it was requested, by the candidate's own clock, and checked at each use. Times are
+Each lease counts from before it was requested, by the candidate's own clock, and is checked at each use. Times are
 microseconds.
 """
 
@@ -14,41 +14,45 @@
 from badgerroad.fleet.rules.view import Owner, View
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-RANK_DELAY_US = 300_000  # added delay per rank in the order of a shard
-BACKOFF_RANGE_US = (100_000, 500_000)  # shortest and longest backoff after a lost election
-ALIVE_BEFORE_HANDOVER_US = 10_000_000  # how long a preferred owner must have been alive
-HANDOVER_PAUSE_US = 2_000_000  # how long the former owner does not claim a shard that it released
-HANDOVER_AGAIN_US = 60_000_000  # shortest time between two handovers of the same shard
-TERM_BITS = 20  # low bits of a term that are random
-MAX_REMEMBERED_ROUNDS = 16
-STALL_US = 1_000_000  # after so long without a tick, missing announcements mean nothing
+RANK_DELAY_US = 300_000  # delay of a claim per live controller that is preferred for the shard
+BACKOFF_RANGE_US = (100_000, 500_000)  # minimum and maximum backoff after a lost election
+ALIVE_BEFORE_HANDOVER_US = 10_000_000  # time for which a preferred owner must have been alive before a handover
+HANDOVER_PAUSE_US = 2_000_000  # time for which a former owner does not claim a shard that it released
+HANDOVER_INTERVAL_US = 60_000_000  # minimum time between two handovers of the same shard
+TERM_BITS = 20  # number of random low bits in a term
+MAX_REMEMBERED_ROUNDS = 16  # vote rounds whose replies are still counted
+STALL_US = 1_000_000  # after a longer gap between ticks this process was stalled: missing announcements prove nothing
 
 
 class Ownership:
-    """An owned shard. `end` and `closing` (when it is given up gracefully) are by this process's clock."""
+    """An owned shard.
+
+    `end`: end of the ownership lease. `closing`: time of the planned release, or None. Both are by this process's
+    clock.
+    """
 
     __slots__ = ("term", "start", "end", "closing")
 
     def __init__(self, term: int, start: int, end: int) -> None:
-        """Start an ownership that is not being given up."""
+        """Start an ownership without a planned release."""
         self.term = term
         self.start = start
         self.end = end
         self.closing: int | None = None
 
     @property
-    def last(self) -> int:
-        """The earlier of the end of the lease and the time at which the shard is given up."""
+    def valid_until(self) -> int:
+        """The end of the lease or the planned release, whichever is earlier."""
         return self.end if self.closing is None else min(self.end, self.closing)
 
 
 class VoteRound:
-    """One VoteRequest to all voters, and which voters granted what."""
+    """A VoteRequest sent to all voters, and the voters that granted each shard."""
 
     __slots__ = ("sent", "terms", "granted", "replied")
 
     def __init__(self, sent: int, terms: dict[int, int]) -> None:
-        """Start a round, sent at `sent`, for the terms by shard."""
+        """Start a round that was sent at `sent`, with the requested term of each shard."""
         self.sent = sent
         self.terms = terms
         self.granted: dict[int, set[str]] = {shard: set() for shard in terms}
@@ -56,7 +60,10 @@
 
 
 class Candidacy(NamedTuple):
-    """A claim that is not decided yet."""
+    """A claim to a shard whose election is still open.
+
+    `sequence`: of its VoteRequest; `since`: the time it was sent.
+    """
 
     term: int
     sequence: int
@@ -66,11 +73,11 @@
 class Candidate:
     """Stands for election as owner of shards.
 
-    `won` and `lost` count elections, `dropped` counts ownerships that ended without being given up.
+    `won` and `lost` count elections; `dropped` counts ownerships that expired without a planned release.
     """
 
     def __init__(self, settings: FleetSettings, self_peer: Peer, view: View, now: int, random: Randomness) -> None:
-        """Start at `now` without ownership. `random` is seeded by the caller."""
+        """Start at `now` without ownerships. `random` is seeded by the caller."""
         self._settings = settings
         self._self_peer = self_peer
         self._view = view
@@ -82,7 +89,7 @@
         self._rounds: dict[int, VoteRound] = {}
         self._sequence = 0
         self._vacant_since: dict[int, int] = {}
-        self._not_before: dict[int, int] = {}
+        self._no_claim_before: dict[int, int] = {}
         self._handed_over: dict[int, int] = {}
         self._claim_after = now + settings.longer(self._lease) + settings.claim_ms * US_PER_MS
         self._next_renewal = now
@@ -93,25 +100,25 @@
         self.dropped = 0
 
     def owns(self, now: int, shard: int) -> bool:
-        """Whether this process owns the shard; the lease's end is checked at each use."""
+        """Whether this process owns the shard. The end of the lease is checked at each use."""
         ownership = self._owned.get(shard)
-        return ownership is not None and now < ownership.last
+        return ownership is not None and now < ownership.valid_until
 
     def ownership(self, now: int, shard: int) -> Ownership | None:
-        """The ownership of the shard, or None."""
+        """Return the ownership of the shard; None if this process does not own it."""
         return self._owned.get(shard) if self.owns(now, shard) else None
 
     def owned(self, now: int) -> dict[int, Ownership]:
-        """All ownerships by shard."""
+        """Return all valid ownerships by shard."""
         return {shard: ownership for shard, ownership in self._owned.items() if self.owns(now, shard)}
 
     @property
     def owns_any(self) -> bool:
-        """Whether it owns a shard, or one whose release has not been sent yet."""
+        """Whether this process owns a shard or has yet to send the release of one."""
         return bool(self._owned)
 
     def expire(self, now: int) -> None:
-        """Drop ownerships that have ended. To be called before anything else is done at `now`."""
+        """Drop ownerships that have ended. Call before anything else is done at `now`."""
         for shard in [shard for shard in self._owned if not self.owns(now, shard)]:
             ownership = self._owned[shard]
             if ownership.closing is None or now >= ownership.end:
@@ -119,13 +126,13 @@
                 self.dropped += 1
 
     def tick(self, now: int) -> list[SendMessage]:
-        """Release, renew, hand over and claim shards as is due. Returns the messages to send."""
+        """Release, renew, hand over and claim shards that are due. Returns the messages to send."""
         self.expire(now)
         if now - self._last_tick > STALL_US:
             self._claim_after = max(self._claim_after, now + 2 * self._settings.renew_ms * US_PER_MS)
         self._last_tick = now
         actions = self._finish_closing(now)
-        actions += self._abandon_late_candidacies(now)
+        actions += self._abandon_timed_out_candidacies(now)
         if now >= self._next_renewal:
             self._next_renewal = now + self._settings.renew_ms * US_PER_MS
             actions += self._renew(now)
@@ -133,7 +140,7 @@
         return actions + self._claim_vacant(now)
 
     def receive_reply(self, now: int, sender: Peer, reply: VoteReply) -> list[SendMessage]:
-        """Count a voter's reply. Replies of other peers and of old rounds grant nothing."""
+        """Count a voter's reply. Replies from other peers or to old rounds grant nothing."""
         self.expire(now)
         if sender.name not in self._settings.voters:
             return []
@@ -148,10 +155,10 @@
         return self._count(now, reply.sequence, vote_round)
 
     def close(self, now: int, shard: int) -> None:
-        """Begin to give the shard up.
+        """Plan the release of the shard.
 
-        It stays owned until all quota leases have ended, and until credit carried over from the term before cannot be
-        carried any further.
+        The shard stays owned until all quota leases have ended and credit from the previous term can no longer be
+        carried over.
         """
         ownership = self._owned.get(shard)
         if ownership is not None and ownership.closing is None:
@@ -160,7 +167,7 @@
             ownership.closing = max(quota_leases, carried)
 
     def leave(self, now: int) -> None:
-        """Give up all shards and claim no more, because the process shuts down."""
+        """Release all shards and claim no more, because the process shuts down."""
         self.leaving = True
         for shard in list(self._owned):
             self.close(now, shard)
@@ -193,14 +200,14 @@
     def _lose(self, now: int, shard: int) -> list[SendMessage]:
         self.lost += 1
         candidacy = self._candidacies.pop(shard)
-        self._not_before[shard] = now + self._random.randint(*BACKOFF_RANGE_US)
+        self._no_claim_before[shard] = now + self._random.randint(*BACKOFF_RANGE_US)
         return self._to_voters(VoteRelease((Claim(shard, candidacy.term),)))
 
-    def _abandon_late_candidacies(self, now: int) -> list[SendMessage]:
-        patience = self._settings.claim_ms * US_PER_MS
+    def _abandon_timed_out_candidacies(self, now: int) -> list[SendMessage]:
+        timeout_us = self._settings.claim_ms * US_PER_MS
         actions: list[SendMessage] = []
         for shard, candidacy in list(self._candidacies.items()):
-            if now - candidacy.since >= patience:
+            if now - candidacy.since >= timeout_us:
                 actions += self._lose(now, shard)
         return actions
 
@@ -215,7 +222,7 @@
         claims = tuple(Claim(shard, self._owned[shard].term) for shard in done)
         for shard in done:
             self._drop(shard)
-            self._not_before[shard] = now + HANDOVER_PAUSE_US
+            self._no_claim_before[shard] = now + HANDOVER_PAUSE_US
         return self._to_voters(VoteRelease(claims)) + self._announce(now)
 
     def _renew(self, now: int) -> list[SendMessage]:
@@ -224,9 +231,9 @@
         return actions if self.leaving else actions + self._announce(now)
 
     def _hand_over(self, now: int) -> None:
-        """Give up shards that have a preferred owner which has been alive for long enough."""
+        """Plan the release of shards for which a preferred owner has been alive for long enough."""
         for shard in self._owned:
-            if now < self._handed_over.get(shard, now - HANDOVER_AGAIN_US) + HANDOVER_AGAIN_US:
+            if now < self._handed_over.get(shard, now - HANDOVER_INTERVAL_US) + HANDOVER_INTERVAL_US:
                 continue
             for name in self._orders[shard]:
                 if name == self._self_peer.name:
@@ -254,20 +261,20 @@
             self._vacant_since.pop(shard, None)
             return False
         since = max(self._vacant_since.setdefault(shard, now), self._claim_after)
-        if self.leaving or now < since or now < self._not_before.get(shard, 0):
+        if self.leaving or now < since or now < self._no_claim_before.get(shard, 0):
             return False
         return self._view.informed(now) and now >= since + self._rank(now, shard) * RANK_DELAY_US
 
     def _next_term(self, shard: int) -> int:
-        """A term above all seen, with random low bits.
+        """Return a term above all known ones, with random low bits.
 
-        The random bits keep terms unique even if all voters and candidates restarted and lost the terms before.
+        The random bits keep terms unique even if all voters and candidates restarted and lost the previous terms.
         """
         count = (self._view.highest_terms.get(shard, 0) >> TERM_BITS) + 1
         return (count << TERM_BITS) | self._random.getrandbits(TERM_BITS)
 
     def _rank(self, now: int, shard: int) -> int:
-        """How many controllers that are alive come before this one in the order of the shard."""
+        """Return how many live controllers precede this one in the preference order of the shard."""
         order = self._orders[shard]
         return sum(self._view.alive(now, name) for name in order[: order.index(self._self_peer.name)])
 
--- a/badgerroad/fleet/rules/sharing.py
+++ b/badgerroad/fleet/rules/sharing.py
@@ -1,4 +1,4 @@
-"""Shares scarce requests in proportion to need, so that nobody starves."""
+"""Shares scarce requests in proportion to need, without starving small needs."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class FairShares(Generic[Key]):
-    """Remembers from one distribution to the next what each key is entitled to and has not received.
+    """Divides scarce requests and carries each key's unserved entitlement over to the next distribution.
 
-    Entitlements are in requests, fractions included; a negative one was served in advance.
+    Entitlements are in requests, including fractions. A negative one was served in advance.
     """
 
     def __init__(self) -> None:
@@ -19,9 +19,9 @@
         self._entitlements: dict[Key, float] = {}
 
     def share(self, available: int, needs: Mapping[Key, int]) -> dict[Key, int]:
-        """Whole requests for each, at most its need, together at most `available`.
+        """Return the whole requests for each key: at most its need, and at most `available` in total.
 
-        Entitlements left over last as long as the need does.
+        Entitlements that remain are kept as long as the key has a need.
         """
         total = sum(needs.values())
         if total <= available:
@@ -34,22 +34,22 @@
             entitlement = self._entitlements.get(key, 0.0) + available * need / total
             shares[key] = min(need, max(0, int(entitlement)))
             self._entitlements[key] = entitlement - shares[key]
-        self._take_back(shares, sum(shares.values()) - available)
-        self._distribute_rest(shares, needs, available - sum(shares.values()))
+        self._reduce(shares, sum(shares.values()) - available)
+        self._distribute_remainder(shares, needs, available - sum(shares.values()))
         return shares
 
-    def _distribute_rest(self, shares: dict[Key, int], needs: Mapping[Key, int], rest: int) -> None:
-        """Give what rounding left, one each, to the largest entitlements."""
-        if rest <= 0:
+    def _distribute_remainder(self, shares: dict[Key, int], needs: Mapping[Key, int], remainder: int) -> None:
+        """Give the requests left over by rounding, one each, to the keys with the largest entitlements."""
+        if remainder <= 0:
             return
         for key in sorted(needs, key=lambda key: -self._entitlements[key]):
-            if rest and shares[key] < needs[key]:
+            if remainder and shares[key] < needs[key]:
                 shares[key] += 1
                 self._entitlements[key] -= 1.0
-                rest -= 1
+                remainder -= 1
 
-    def _take_back(self, shares: dict[Key, int], excess: int) -> None:
-        """Reduce the shares by `excess`: old entitlements may add up to more than is available."""
+    def _reduce(self, shares: dict[Key, int], excess: int) -> None:
+        """Reduce the shares by `excess` in total, since old entitlements may add up to more than is available."""
         for key in sorted(shares, key=lambda key: self._entitlements[key]):
             taken = min(max(0, excess), shares[key])
             shares[key] -= taken
--- a/badgerroad/fleet/rules/team_leases.py
+++ b/badgerroad/fleet/rules/team_leases.py
@@ -1,4 +1,4 @@
-"""A dispatcher's leases of one team, one from each controller that it has asked."""
+"""A dispatcher's leases of one team, one from each controller that it requested credit from."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from badgerroad.fleet.rules.credits import HolderCredit
 from badgerroad.fleet.rules.demand import Demand
 
-PREFETCH_S = 0.5  # so many seconds of recent demand are leased in advance
-INHERITED = Peer("", 0)  # the account of what was taken over from another process
+PREFETCH_S = 0.5  # seconds of recent demand that are leased in advance
+INHERITED = Peer("", 0)  # key of the account for credit inherited from another process
 
 
 class DispatcherLease(HolderCredit):
-    """The lease from one incarnation of one controller.
+    """The lease granted by one incarnation of one controller.
 
-    `end`: by this process's clock, microseconds. `reported_total`: how many used and returned requests were reported
-    to the controller. `transferred`: requests that another process on this machine may use until `end`.
+    `end`: microseconds by this process's clock. `reported_total`: used and returned requests already reported to the
+    controller. `transferred`: requests that another process on this machine may use until `end`.
     """
 
     __slots__ = ("end", "reported_total", "transferred")
@@ -32,20 +32,20 @@
         return super().unused - self.transferred
 
     def transfer(self) -> int:
-        """Transfer all unused requests to another process; return how many.
+        """Transfer all unused requests to another process on this machine; return their number.
 
-        The other process may use them as long as the lease runs.
+        The other process may use them until the lease ends.
         """
         count = self.unused
         self.transferred += count
         return count
 
     def runs(self, now: int) -> bool:
-        """Whether the lease runs; checked at each use."""
+        """Whether the lease is still valid. Checked at each use."""
         return now < self.end
 
     def drop_ended(self, now: int) -> None:
-        """If the lease has ended, return what is unused and count what was transferred as used."""
+        """If the lease has ended, return the unused requests and count the transferred ones as used."""
         if self.runs(now):
             return
         self.use(self.transferred)
@@ -54,16 +54,16 @@
 
     @property
     def unreported(self) -> bool:
-        """Whether the controller does not know the present totals."""
+        """Whether the controller does not know the current totals."""
         return self.used + self.returned > self.reported_total
 
 
 class TeamLeases:
-    """The leases of one team, and its requests that wait for one.
+    """The leases of one team, and its requests that wait for a lease.
 
-    `demand`: of requests within quota. `waiting`: requests with their deadlines, in order. `rejected_until`: a request
-    sent before would be in vain; `no_prefetch_until`: so would one for more than what waits. `open_request`: sequence
-    of the open lease request, or None.
+    `demand`: the rate of requests within quota. `waiting`: deadline by request, in order. `rejected_until`: requests
+    are rejected without asking a controller until then. `no_prefetch_until`: credit is not requested in advance until
+    then. `open_request`: sequence of the open lease request, or None.
     """
 
     __slots__ = ("accounts", "demand", "waiting", "rejected_until", "no_prefetch_until", "open_request")
@@ -77,18 +77,18 @@
         self.open_request: int | None = None
 
     def account(self, peer: Peer) -> DispatcherLease:
-        """The lease from `peer`, created if there is none."""
+        """Return the lease from `peer`; create it if there is none."""
         account = self.accounts.get(peer)
         if account is None:
             account = self.accounts[peer] = DispatcherLease()
         return account
 
     def unused(self, now: int) -> int:
-        """Unused requests of all running leases."""
+        """Return the unused requests of all valid leases."""
         return sum(account.unused for account in self.accounts.values() if account.runs(now))
 
     def take(self, now: int) -> bool:
-        """Use one request, of the lease that ends first. Returns whether there was one."""
+        """Use one request of the lease that ends first. Returns whether one was available."""
         usable = [account for account in self.accounts.values() if account.unused and account.runs(now)]
         if not usable:
             return False
@@ -97,10 +97,10 @@
         return True
 
     def drop_ended(self, now: int) -> None:
-        """Drop what is left of ended leases."""
+        """Drop the remaining credit of ended leases."""
         for account in self.accounts.values():
             account.drop_ended(now)
 
     def prefetch(self, now: int) -> int:
-        """How many requests to lease in advance, by recent demand."""
+        """Return how many requests to lease in advance, based on recent demand."""
         return int(self.demand.rate(now) * PREFETCH_S)
--- a/badgerroad/fleet/rules/team_table.py
+++ b/badgerroad/fleet/rules/team_table.py
@@ -1,16 +1,19 @@
-"""The teams that a dispatcher knows: their leases, which of them are active, and which have no quota."""
+"""The teams known to a dispatcher: their leases, which teams are active, and which have no quota."""
 
 from __future__ import annotations
 
 from badgerroad.fleet.messages import MAX_NAME
 from badgerroad.fleet.rules.team_leases import TeamLeases
 
-UNKNOWN_TEAM_FOR_US = 1_000_000  # how long it is remembered that a team has no quota
-MAX_TEAMS = 4096  # requests of further teams are over quota without asking
+UNKNOWN_TEAM_TTL_US = 1_000_000  # time for which a team is remembered as having no quota
+MAX_TEAMS = 4096  # requests of further teams count as over quota without asking a controller
 
 
 class TeamTable:
-    """`leases` by team. `active`: in order, the teams that may have unused or unreported credit."""
+    """The leases by team.
+
+    `active`: the teams that may have unused or unreported credit, in order.
+    """
 
     def __init__(self) -> None:
         """Start without teams."""
@@ -19,7 +22,7 @@
         self._unknown_until: dict[str, int] = {}
 
     def find(self, now: int, team: str) -> TeamLeases | None:
-        """The leases of the team, created if there are none; None if it has no quota or cannot have one."""
+        """Return the leases of the team, created if there are none; None if it has no quota or cannot have one."""
         leases = self.leases.get(team)
         if leases is not None:
             return leases
@@ -32,21 +35,21 @@
         return leases
 
     def active_leases(self) -> list[tuple[str, TeamLeases]]:
-        """The active teams with their leases; the list is a copy."""
+        """Return a copy of the list of active teams with their leases."""
         return [(team, self.leases[team]) for team in self.active]
 
     def mark_active(self, team: str) -> None:
-        """The team may have unused or unreported credit from now on."""
+        """Record that the team may have unused or unreported credit."""
         self.active[team] = None
 
     def mark_without_quota(self, now: int, team: str) -> None:
-        """The controller knows no quota of the team: reject its requests for UNKNOWN_TEAM_FOR_US."""
+        """Record that the controller has no quota for the team; its requests are rejected for UNKNOWN_TEAM_TTL_US."""
         leases = self.leases[team]
-        leases.rejected_until = now + UNKNOWN_TEAM_FOR_US
+        leases.rejected_until = now + UNKNOWN_TEAM_TTL_US
         if leases.accounts:
             return
         del self.leases[team]
         self.active.pop(team, None)
         if len(self._unknown_until) >= MAX_TEAMS:
             self._unknown_until.clear()
-        self._unknown_until[team] = now + UNKNOWN_TEAM_FOR_US
+        self._unknown_until[team] = now + UNKNOWN_TEAM_TTL_US
--- a/badgerroad/fleet/rules/voter.py
+++ b/badgerroad/fleet/rules/voter.py
@@ -1,4 +1,4 @@
-"""A voter: grants shards to candidates, each to one at a time, from memory alone."""
+"""A voter: grants each shard to one candidate at a time and keeps its state in memory only."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class Grant:
-    """The state of one shard.
+    """A voter's state of one shard.
 
-    `term`: the highest term seen; `holder`: who has it, or had it last unless released; `end`: microseconds.
+    `term`: the highest term known. `holder`: the last candidate that was granted the shard, None after a release.
+    `end`: end of that grant in microseconds.
     """
 
     __slots__ = ("term", "holder", "end")
@@ -26,31 +27,32 @@
 class Voter:
     """Grants ownership of shards, each to one candidate at a time.
 
-    It has no storage: after a start it votes for nobody until all grants of an earlier incarnation have ended.
+    A voter has no storage. After a start it therefore denies all votes until every grant of an earlier incarnation has
+    ended.
     """
 
     def __init__(self, settings: FleetSettings, now: int) -> None:
-        """Start at `now` (microseconds) without memory of earlier grants."""
+        """Start at `now` (microseconds) without any grants."""
         self._settings = settings
         self._no_votes_until = now + settings.longer(settings.ownership_lease_ms * US_PER_MS)
         self._grants: dict[int, Grant] = {}
 
     def vote(self, now: int, candidate: Peer, request: VoteRequest) -> VoteReply:
-        """Decide on each claim of the request. The reply carries the whole table of this voter."""
+        """Decide on each claim of the request. The reply contains this voter's full table."""
         granted = tuple(
             claim.shard for claim in request.claims if self._vote_on(now, candidate, claim, request.duration_ms)
         )
         return VoteReply(request.sequence, granted, self.table(now))
 
     def release(self, candidate: Peer, release: VoteRelease) -> None:
-        """Free the candidate's grants of exactly the named terms."""
+        """Free the candidate's grants whose terms match the release exactly."""
         for claim in release.claims:
             grant = self._grants.get(claim.shard)
             if grant is not None and grant.term == claim.term and grant.holder == candidate:
                 grant.holder = None
 
     def table(self, now: int) -> tuple[Holding, ...]:
-        """What this voter knows of each shard."""
+        """Return the state of each shard known to this voter."""
         return tuple(self._holding(now, shard, grant) for shard, grant in self._grants.items())
 
     def _vote_on(self, now: int, candidate: Peer, claim: Claim, duration_ms: int) -> bool:
@@ -58,7 +60,7 @@
             return False
         grant = self._grants.setdefault(claim.shard, Grant())
         if (
-            self._silent(now)
+            self._abstaining(now)
             or not self._free(now, grant, candidate)
             or not self._term_allowed(grant, candidate, claim)
         ):
@@ -68,15 +70,15 @@
         grant.end = now + self._settings.longer(duration_ms * US_PER_MS)
         return True
 
-    def _silent(self, now: int) -> bool:
-        """Whether an earlier incarnation of this voter may have granted leases that still run."""
+    def _abstaining(self, now: int) -> bool:
+        """Whether grants of an earlier incarnation of this voter may still be valid."""
         return now < self._no_votes_until
 
     def _free(self, now: int, grant: Grant, candidate: Peer) -> bool:
         return grant.holder is None or grant.holder == candidate or grant.end <= now
 
     def _term_allowed(self, grant: Grant, candidate: Peer, claim: Claim) -> bool:
-        """Whether the term is higher than all seen, or the holder renews its own."""
+        """Whether the term is above the highest known one, or the holder renews its own term."""
         if claim.term > MAX_TERM:
             return False
         return claim.term > grant.term or (claim.term == grant.term and grant.holder == candidate)
--- a/badgerroad/fleet/rules/zone.py
+++ b/badgerroad/fleet/rules/zone.py
@@ -1,4 +1,4 @@
-"""The controller of a zone: answers its dispatchers at once, from the credit it has from each shard's owner."""
+"""The zone controller: answers lease requests of its dispatchers at once, from credit granted by the shard owners."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
 from badgerroad.fleet.rules.zone_session import Stock, ZoneShard
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-IDLE_TIMEOUT_US = 60_000_000  # a dispatcher that sent nothing for so long is forgotten; far above any lease
+IDLE_TIMEOUT_US = 60_000_000  # idle time after which a dispatcher is dropped; far longer than any lease
 
-READY_AFTER_US = 10_000_000  # so long after its start a controller answers polls, also without any owner
+READY_AFTER_US = 10_000_000  # time after the start from which polls are answered even without open sessions
 
 
 class Lease(GrantorCredit):
-    """One team at one dispatcher. `end`: by the zone controller's clock, later than by the dispatcher's."""
+    """The lease of one team at one dispatcher.
+
+    `end`: by the zone controller's clock, and later than by the dispatcher's. `scheduled`: whether its expiry is
+    queued.
+    """
 
     __slots__ = ("end", "scheduled")
 
@@ -30,7 +34,10 @@
 
 
 class Dispatcher:
-    """One dispatcher. `sequence`: of its newest request; `last_message_at`: microseconds."""
+    """The state of one dispatcher.
+
+    `sequence`: of its newest request. `last_message_at`: microseconds.
+    """
 
     __slots__ = ("sequence", "last_message_at", "leases")
 
@@ -48,13 +55,13 @@
     """
 
     def __init__(self, settings: FleetSettings, incarnation: int, view: View, now: int) -> None:
-        """Start at `now` without sessions. `incarnation`: of this process."""
+        """Start at `now` without sessions. `incarnation`: that of this process."""
         self._settings = settings
         self._incarnation = incarnation
         self._view = view
         self.shards = [ZoneShard(settings, shard, now) for shard in range(settings.shards)]
         self._dispatchers: dict[Peer, Dispatcher] = {}
-        self._ends: list[tuple[int, int, Peer, str]] = []  # a heap
+        self._ends: list[tuple[int, int, Peer, str]] = []  # heap of lease ends: time, tie-breaker, dispatcher, team
         self._serial = 0
         self._next_review = now + IDLE_TIMEOUT_US
         self._ready_at = now + READY_AFTER_US
@@ -63,7 +70,7 @@
 
     @property
     def dispatcher_count(self) -> int:
-        """The number of dispatchers that sent a message lately."""
+        """The number of dispatchers that sent a message within the idle timeout."""
         return len(self._dispatchers)
 
     def set_quotas(self, now: int, quotas: Mapping[str, float]) -> None:
@@ -75,7 +82,7 @@
             shard.set_quotas(now, part)
 
     def expire(self, now: int) -> None:
-        """End sessions and dispatchers' leases. To be called before anything else is done at `now`."""
+        """End expired sessions and dispatcher leases. Call before anything else is done at `now`."""
         for shard in self.shards:
             shard.expire(now)
         while self._ends and self._ends[0][0] <= now:
@@ -83,7 +90,7 @@
             self._expire_lease(now, peer, team)
 
     def tick(self, now: int) -> list[SendMessage]:
-        """Follow changes of owners and send the requests that are due."""
+        """Open sessions with new owners, and send the quota requests that are due."""
         self._forget_idle(now)
         if self.ended:
             return []
@@ -101,8 +108,8 @@
     def lease(self, now: int, sender: Peer, request: LeaseRequest) -> list[SendMessage]:
         """Answer a lease request at once from the available credit.
 
-        A request without needs polls whether this controller serves. Shortly after its start such a poll stays
-        unanswered, so that dispatchers stay with the controller that serves them.
+        A request without needs polls whether this controller is ready. Such a poll stays unanswered shortly after the
+        start, so that dispatchers stay with the controller that currently serves them.
         """
         if not request.needs and not self._ready(now):
             return []
@@ -115,7 +122,7 @@
         return [SendMessage(sender.name, LeaseGrant(request.sequence, answers)), *self._replenish(now, request)]
 
     def receive_return(self, now: int, sender: Peer, message: LeaseReturn) -> None:
-        """Apply the totals that a dispatcher reports without requesting more."""
+        """Apply the totals that a dispatcher reports without requesting more credit."""
         if message.controller != self._incarnation:
             return
         dispatcher = self._dispatcher(now, sender)
@@ -127,7 +134,7 @@
                 self._report(shard, usage.team, stock, lease, usage.used, usage.returned)
 
     def end(self, now: int) -> list[SendMessage]:
-        """Return all credit and lease out no more, because the process shuts down."""
+        """Return all credit and grant no more leases, because the process shuts down."""
         if self.ended:
             return []
         self.ended = True
@@ -139,7 +146,7 @@
     def _answer(
         self, now: int, sender: Peer, dispatcher: Dispatcher, need: LeaseNeed, newest: bool, same_incarnation: bool
     ) -> LeaseCredit:
-        """Answer one need. `same_incarnation`: the totals belong to this incarnation of this controller."""
+        """Answer one need. `same_incarnation`: the reported totals belong to this incarnation of this controller."""
         shard = self.shards[self._settings.shard_of(need.team)]
         stock = shard.stocks.get(need.team)
         if stock is None or not stock.known:
@@ -151,17 +158,17 @@
         granted = self._share(shortfall, shard.available(now, need.team, stock))
         stock.demand.add(now, shortfall, stock.quota)
         if granted:
-            shard.lend(now, need.team, stock, granted)
+            shard.lease_out(now, need.team, stock, granted)
             lease.grant(granted)
             self.granted += granted
             self.from_reserve += 0 if shard.open else granted
         self.rejected += shortfall - granted
-        shard.note_need(now, stock)
+        shard.schedule_if_low(now, stock)
         valid_ms = self._extend(now, shard, sender, need.team, lease)
         return LeaseCredit(need.team, lease.granted, valid_ms)
 
     def _replenish(self, now: int, request: LeaseRequest) -> list[SendMessage]:
-        """Request more from the owners if the request left little."""
+        """Request more credit from the owners whose stocks the request lowered, where a request is due."""
         if self.ended:
             return []
         actions: list[SendMessage] = []
@@ -170,11 +177,14 @@
         return actions
 
     def _ready(self, now: int) -> bool:
-        """Whether every shard has an open session, or this has run long enough to serve regardless."""
+        """Whether every shard has an open session, or READY_AFTER_US has passed since the start."""
         return not self.ended and (now >= self._ready_at or all(shard.open for shard in self.shards))
 
     def _share(self, shortfall: int, available: int) -> int:
-        """At most half of what is available, but at least one, so that one dispatcher cannot empty the stock."""
+        """Return at most half of the available credit, but at least one request.
+
+        The limit prevents one dispatcher from emptying the stock.
+        """
         return min(shortfall, available, max(1, available // 2))
 
     def _extend(self, now: int, shard: ZoneShard, sender: Peer, team: str, lease: Lease) -> int:
@@ -206,7 +216,7 @@
         shard.settle(team, shard.stocks[team], lease.write_off(), 0)
 
     def _report(self, shard: ZoneShard, team: str, stock: Stock, lease: Lease, used: int, returned: int) -> None:
-        lease.begin_anew(used, returned)
+        lease.adopt_totals(used, returned)
         progress = lease.report(used, returned)
         if progress.used or progress.returned:
             shard.settle(team, stock, progress.used, progress.returned)
--- a/badgerroad/fleet/rules/zone_session.py
+++ b/badgerroad/fleet/rules/zone_session.py
@@ -15,22 +15,22 @@
 from badgerroad.fleet.rules.view import Owner
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-URGENT_INTERVAL_US = 50_000  # shortest time between two requests
-SCARCE_INTERVAL_US = 250_000  # the same while the owner has less credit than wanted: it grants more unasked
-REFRESH_INTERVAL_US = 10_000_000  # all totals are sent again after this time, whatever was answered
-FIRST_SESSION_LIMIT = 1 << 48  # the first session number of a term is below this
-MAX_REMEMBERED_REQUESTS = 128  # requests whose sending times are remembered
-MAX_FORMER_OWNERS = 64  # owners to which no session is opened again
+URGENT_INTERVAL_US = 50_000  # minimum time between two requests to the owner
+SCARCE_INTERVAL_US = 250_000  # the same while the owner is short of credit, since it then grants more unprompted
+REFRESH_INTERVAL_US = 10_000_000  # interval at which all totals are sent again, even if they were answered
+FIRST_SESSION_LIMIT = 1 << 48  # exclusive upper bound of the first session number of a term
+MAX_REMEMBERED_REQUESTS = 128  # requests whose sending times are kept
+MAX_FORMER_OWNERS = 64  # former owners that are remembered, so that no second session is opened with them
 
 
 class Stock:
-    """One team in one zone.
+    """The credit of one team in one zone.
 
-    `quota`: the rate the owner sent; `configured`: the rate in this controller's own file; the lower one counts.
-    `credit`: the account with the owner; `leased_out`: the part of it that dispatchers have leased and not reported.
-    `changed`: sequence of the first request that can carry the present state; `requested_stock`: the stock wanted in
-    the last request; `below_requested`: the owner granted less than that; `carried`: unused credit of the session of
-    an earlier term.
+    `quota`: the rate sent by the owner. `configured`: the rate in this controller's own file. The lower of the two
+    applies. `credit`: the account with the owner. `leased_out`: the part of it that dispatchers have leased and not
+    reported. `changed`: sequence of the first request that can carry the current state. `requested_stock`: the stock
+    wanted in the last request. `below_requested`: the owner granted less than that. `carried`: unused credit from the
+    session of an earlier term.
     """
 
     __slots__ = (
@@ -74,14 +74,14 @@
         return min(self.quota, self.configured)
 
     def target(self, now: int, settings: FleetSettings) -> int:
-        """The stock in requests that the zone should have, by recent demand."""
+        """Return the stock in requests that the zone should have, based on recent demand."""
         return target_stock(self.demand.rate(now), self.rate, settings) if self.served else 0
 
 
 class ZoneShard:
-    """The zone's part of one shard.
+    """A zone's share of one shard.
 
-    `open`: the owner's lease ran when last checked, and the stock may be leased out; `end`: the end of that lease.
+    `open`: the owner's lease was valid when last checked, and the stock may be leased out. `end`: end of that lease.
     """
 
     def __init__(self, settings: FleetSettings, shard: int, now: int) -> None:
@@ -96,7 +96,7 @@
         self.leases: dict[tuple[Peer, str], GrantorCredit] = {}
         self.reserve = Reserve(settings, now)
         self._reserve_stocks: dict[str, ReserveStock] = {}
-        self._left_owners: list[Owner] = []
+        self._former_owners: list[Owner] = []
         self._carry_until = 0
         self._sequence = 0
         self._sent: dict[int, int] = {}
@@ -104,7 +104,7 @@
         self._acknowledged = 0
         self._stamp = 0
         self._last_request: int | None = None
-        self._pending: dict[str, None] = {}  # in order
+        self._pending: dict[str, None] = {}  # teams to include in the next request, in order
         self._urgent = False
         self._scarce = False
         self._next_trim = now
@@ -123,27 +123,27 @@
             stock.quota = stock.configured = quota
             stock.known = True
             self._settle_unserved(name, stock)
-            self.note_change(name, stock)
+            self.mark_changed(name, stock)
 
     def _settle_unserved(self, name: str, stock: Stock) -> None:
-        """Return the unused credit of a team without a quota."""
+        """Return the unused credit of a team that has no quota."""
         if not stock.served and stock.available > 0:
             stock.credit.give_back(stock.available)
-        self.note_change(name, stock)
+        self.mark_changed(name, stock)
 
-    # What may be lent out
+    # Credit that may be leased to dispatchers
 
     def expire(self, now: int) -> None:
-        """End the session if its lease has run out. To be called before anything else is done at `now`."""
+        """End the session if its lease has ended. Call before anything else is done at `now`."""
         if self.open and not self._lease_runs(now):
             self._end_session()
 
     def _lease_runs(self, now: int) -> bool:
-        """Whether the owner's lease runs; checked at each use."""
+        """Whether the owner's lease is still valid. Checked at each use."""
         return now < self.end
 
     def available(self, now: int, name: str, stock: Stock) -> int:
-        """Requests of the team that may be leased to dispatchers now, from the stock or from the reserve."""
+        """Return the requests of the team that may be leased to dispatchers now, from the stock or from the reserve."""
         if not stock.served:
             return 0
         if self.open:
@@ -152,7 +152,7 @@
             return 0
         return self._reserve_stock(name).available(now, self._zone_rate(stock))
 
-    def lend(self, now: int, name: str, stock: Stock, count: int) -> None:
+    def lease_out(self, now: int, name: str, stock: Stock, count: int) -> None:
         """Lease `count` of the available requests to a dispatcher."""
         if self.open:
             stock.leased_out += count
@@ -160,28 +160,28 @@
             self._reserve_stock(name).take(count)
 
     def valid_ms(self, now: int) -> int:
-        """Duration of a dispatcher's lease: never beyond the owner's lease to this zone."""
+        """Return the duration of a dispatcher's lease, which never outlasts the owner's lease to this zone."""
         if not self.open:
             return self._settings.dispatcher_lease_ms
         left_ms = (self.end - now) // US_PER_MS
         return min(self._settings.dispatcher_lease_ms, self._settings.shorter(left_ms))
 
     def settle(self, name: str, stock: Stock, used: int, returned: int) -> None:
-        """Account for a dispatcher's leased requests: `used` were used, `returned` came back unused."""
+        """Account for a dispatcher's leased requests, of which `used` were used and `returned` came back unused."""
         if self.open:
             stock.leased_out -= used + returned
             stock.credit.use(used)
-            self.note_change(name, stock)
+            self.mark_changed(name, stock)
         elif returned:
             self._reserve_stock(name).put_back(returned)
 
-    def note_change(self, name: str, stock: Stock) -> None:
+    def mark_changed(self, name: str, stock: Stock) -> None:
         """Include the team in the next request to the owner."""
         stock.changed = self._sequence + 1
         self._pending[name] = None
 
-    def note_need(self, now: int, stock: Stock) -> None:
-        """Schedule a request to the owner soon if the stock is below its target."""
+    def schedule_if_low(self, now: int, stock: Stock) -> None:
+        """Schedule an early request to the owner if the stock is below its target."""
         if not self.open or stock.available >= stock.target(now, self._settings):
             return
         if stock.below_requested:
@@ -201,29 +201,32 @@
     # The session
 
     def _end_session(self) -> None:
-        """End the session. All dispatchers' leases ended before; what they did not report counts as used."""
+        """End the session.
+
+        All dispatcher leases ended before it; requests that were not reported count as used.
+        """
         self.open = False
         self._carry_until = self.end + self._settings.carry_ms * US_PER_MS
         for (_, name), lease in self.leases.items():
             self.stocks[name].credit.use(lease.write_off())
         for name, stock in self.stocks.items():
             stock.leased_out = 0
-            self.note_change(name, stock)
+            self.mark_changed(name, stock)
 
     def _begin_session(self) -> None:
-        """Begin to lease out the stock. Leases out of the reserve have no part in the session."""
+        """Start to lease out the stock. Leases from the reserve are not part of the session and are written off."""
         self.open = True
         self._reserve_stocks.clear()
         for lease in self.leases.values():
             lease.write_off()
 
     def follow(self, now: int, owner: Owner | None) -> None:
-        """Open a session with a new owner once the session with the old one is over.
+        """Open a session with a new owner once the session with the previous one is over.
 
-        Never twice with the same owner in the same term: its count of this zone's credit would continue from the old
-        one.
+        A session is never opened twice with the same owner in the same term, because the owner would continue its
+        earlier count of this zone's credit.
         """
-        if owner is None or owner == self.owner or self.open or owner in self._left_owners:
+        if owner is None or owner == self.owner or self.open or owner in self._former_owners:
             return
         if self.owner is not None:
             if owner.term < self.owner.term and now < self._carry_until + self._settings.carry_ms * US_PER_MS:
@@ -236,7 +239,7 @@
         self._last_request = None
 
     def _leave(self, now: int, old: Owner, new: Owner) -> None:
-        self._left_owners = [*self._left_owners[1 - MAX_FORMER_OWNERS :], old]
+        self._former_owners = [*self._former_owners[1 - MAX_FORMER_OWNERS :], old]
         for stock in self.stocks.values():
             if self.number != UNKNOWN_SESSION:
                 stock.carried = max(0, stock.available) if old.term != new.term else 0
@@ -250,12 +253,12 @@
 
     def _mark_all_changed(self) -> None:
         for name, stock in self.stocks.items():
-            self.note_change(name, stock)
+            self.mark_changed(name, stock)
 
     # Messages
 
     def tick(self, now: int) -> list[SendMessage]:
-        """Send a request to the owner if one is due."""
+        """Return the request to the owner if one is due."""
         if self.owner is None or not self._request_due(now):
             return []
         return [SendMessage(self.owner.peer.name, self._request(now, self.owner))]
@@ -288,18 +291,18 @@
         )
 
     def _review_stocks(self, now: int) -> None:
-        """Adapt the wanted stocks to demand; once per renewal period, return what exceeds them."""
-        closing = self.end - now < self._settings.renew_ms * US_PER_MS  # credit returned now would be lost
-        trims = self.open and now >= self._next_trim and not closing
-        if trims:
+        """Update the stocks to request from current demand. Once per renewal period, return the credit above them."""
+        session_ending = self.end - now < self._settings.renew_ms * US_PER_MS  # credit returned now would be lost
+        trimming = self.open and now >= self._next_trim and not session_ending
+        if trimming:
             self._next_trim = now + self._settings.renew_ms * US_PER_MS
         for name, stock in self.stocks.items():
             target = stock.target(now, self._settings)
-            if trims and stock.available > target:
+            if trimming and stock.available > target:
                 stock.credit.give_back(stock.available - target)
-                self.note_change(name, stock)
+                self.mark_changed(name, stock)
             if stock.leased_out + target != stock.requested_stock:
-                self.note_change(name, stock)
+                self.mark_changed(name, stock)
 
     def _need(self, now: int, name: str) -> QuotaNeed:
         stock = self.stocks[name]
@@ -308,7 +311,7 @@
         return QuotaNeed(name, stock.credit.used, stock.credit.returned, stock.requested_stock, carried)
 
     def receive(self, now: int, sender: Peer, grant: QuotaGrant) -> None:
-        """Apply a grant. Grants of another owner, term or earlier session are ignored."""
+        """Apply a grant. Grants of another owner, another term or an earlier session are ignored."""
         if self.owner is None or sender != self.owner.peer or grant.term != self.owner.term:
             return
         if grant.session != self.number and not self._adopt(grant.session):
@@ -318,7 +321,7 @@
             self._acknowledged = grant.number
             self._stamp = grant.stamp
         self._take_credits(grant, newest)
-        self._note_answered(grant.sequence)
+        self._record_answered(grant.sequence)
         sent = self._sent.get(grant.sequence)
         if sent is not None and grant.valid_ms:
             self._extend(now, sent + min(grant.valid_ms, self._settings.quota_lease_ms) * US_PER_MS)
@@ -326,16 +329,16 @@
             stock.below_requested = stock.credit.unused < stock.requested_stock
 
     def _adopt(self, number: int) -> bool:
-        """Change to the session `number`. Returns False for the number of an older or impossible session."""
+        """Switch to the session `number`. Returns False if the number belongs to an older session or is invalid."""
         if number < self.number or number >= FIRST_SESSION_LIMIT + LATE_WINDOW:
             return False
         if self.number != UNKNOWN_SESSION and number > self.number + LATE_WINDOW:
             return False
         if self.open:
             self._end_session()
-        forgotten = self.number != UNKNOWN_SESSION
+        replaces_session = self.number != UNKNOWN_SESSION
         self._reset(number)
-        if forgotten:
+        if replaces_session:
             self._mark_all_changed()
             self._urgent = True
         for stock in self.stocks.values():
@@ -351,13 +354,13 @@
                 stock.credit.take(credit.granted)
             if newest:
                 if credit.rate < stock.quota:
-                    self._urgent, self._next_trim = True, 0  # return the excess over the new stock at once
+                    self._urgent, self._next_trim = True, 0  # return the credit above the lower target at once
                 stock.quota = credit.rate
                 stock.known = credit.known
             if not stock.served:
                 self._settle_unserved(credit.team, stock)
 
-    def _note_answered(self, sequence: int) -> None:
+    def _record_answered(self, sequence: int) -> None:
         if self._answered < sequence <= self._sequence:
             self._answered = sequence
             self._pending = {name: None for name in self._pending if self.stocks[name].changed > sequence}
--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -13,29 +13,34 @@
 from badgerroad.errors import BadgerroadError
 from badgerroad.fleet.messages import MAX_LIST, MAX_NAME
 
-US_PER_MS = 1000  # in a millisecond
+US_PER_MS = 1000
 MAX_CONTROLLERS = 256
-CARRY_SHARE = 0.85  # of the ownership lease: so long after its session's end a zone may carry credit to the next owner
-CLAIM_SHARE = 0.1  # of the ownership lease: so long a candidate waits for votes; with CARRY_SHARE well below 1
+# Shares of the ownership lease. Their sum must stay well below 1, so that credit carried over reaches only the next
+# owner and never a later one.
+CARRY_SHARE = 0.85  # time after its session's end for which a zone may carry credit over to the next owner
+CLAIM_SHARE = 0.1  # time for which a candidate waits for votes
 
 Duration = Annotated[int, msgspec.Meta(ge=1, le=600_000)]
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 
 
 class FleetSettingsError(BadgerroadError, ValueError):
-    """A value of the fleet's settings is invalid. `field` names it."""
+    """A value of the fleet's settings is invalid. `field` names the setting."""
 
     code = "fleet-settings"
-    remedy = "put right the named field in the [fleet] table; it must be the same on all controllers and dispatchers"
+    remedy = "correct the named field of the [fleet] table; it must be the same on all controllers and dispatchers"
 
     def __init__(self, field: str, reason: str) -> None:
-        """`field`: its name in the fleet table; `reason`: why the value is invalid."""
+        """`field`: the name of the setting in the `[fleet]` table. `reason`: why its value is invalid."""
         super().__init__(f"fleet.{field}: {reason}")
         self.field = field
 
 
 class Controller(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One controller. `voter`: it votes on who owns a shard; exactly one of each region does."""
+    """The settings of one controller.
+
+    `voter`: whether it votes on the ownership of shards; exactly one controller per region does.
+    """
 
     name: str
     zone: str
@@ -48,8 +53,8 @@
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, dict=True):
     """All settings of the rules.
 
-    `clock_margin`: the granting side counts leases longer by this share. The clock of each machine may be wrong in
-    rate by r, where (1 + r) / (1 - r) - 1 is within the margin: 1% either way from 0.0203 on.
+    `clock_margin`: the share by which the granting side counts leases longer. A machine's clock rate may be wrong by r
+    as long as (1 + r) / (1 - r) - 1 is within the margin; the minimum of 0.0203 allows 1% in either direction.
     """
 
     controllers: tuple[Controller, ...]
@@ -67,7 +72,7 @@
     tick_ms: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 50
 
     def check(self) -> None:
-        """Check the settings. Raises FleetSettingsError, which names the field."""
+        """Check the settings. Raises FleetSettingsError, which names the setting."""
         self._check_controllers()
         self._check_voters()
         self._check_durations()
@@ -94,14 +99,14 @@
 
     @property
     def majority(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def carry_ms(self) -> int:
         """How long after the end of its session (by its own clock) a zone may carry unused credit to the next owner.
 
-        Shorter than any term, so that the credit reaches the next owner or none.
+        The time is shorter than any term, so that the credit reaches the next owner or none at all.
         """
         return int(self.ownership_lease_ms * CARRY_SHARE)
 
@@ -111,21 +116,21 @@
         return max(1, int(self.ownership_lease_ms * CLAIM_SHARE))
 
     def shard_of(self, team: str) -> int:
-        """The shard of a team."""
+        """Return the shard of a team."""
         return crc32(team.encode()) % self.shards
 
     def depth(self, quota: float) -> float:
-        """How many requests beyond quota * time the fleet may let through in any window."""
+        """Return how many requests beyond quota * time the fleet may let through in any window."""
         if quota <= 0:
             return 0.0
         return self.requests_per_zone * len(self.controllers) + self.burst_s * quota
 
     def longer(self, duration: int) -> int:
-        """`duration`, of any unit, as counted by the side that granted it."""
+        """Return `duration` (in any unit) lengthened by the clock margin, as the granting side counts it."""
         return int(duration * (1 + self.clock_margin)) + 1
 
     def shorter(self, duration: int) -> int:
-        """The longest duration that may be granted by a side that has `duration` left itself."""
+        """Return the longest duration that a side may grant that has `duration` left itself."""
         return max(0, int(duration / (1 + self.clock_margin)) - 1)
 
     def _check_controllers(self) -> None:
@@ -144,7 +149,7 @@
         for region in {controller.region for controller in self.controllers}:
             if voters[region] != 1:
                 raise FleetSettingsError(
-                    "controllers.voter", f"one a region, but region {region!r} has {voters[region]}"
+                    "controllers.voter", f"one per region is required, but region {region!r} has {voters[region]}"
                 )
 
     def _check_durations(self) -> None:
@@ -168,4 +173,4 @@
 def _check_unique(field: str, values: Iterable[str]) -> None:
     for value, count in Counter(values).items():
         if count > 1:
-            raise FleetSettingsError(field, f"{value!r} occurs {count} times")
+            raise FleetSettingsError(field, f"must be unique, but {value!r} occurs {count} times")
--- a/badgerroad/fleet/table.py
+++ b/badgerroad/fleet/table.py
@@ -13,22 +13,22 @@
 from badgerroad.operator.schema import Fleet, FleetController
 
 TeamName = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
-Rate = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # requests a second over all dispatchers
+Rate = Annotated[float, msgspec.Meta(ge=0, le=1_000_000)]  # requests per second over all dispatchers
 IDENTITY_FIELDS = frozenset(
     ("name", "zone", "members", "quotas", "controllers")
-)  # fields of the table that are no FleetSettings of the same name
+)  # fields of the table that are not FleetSettings of the same name
 
 
 class Members(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The members file: the same list for every process of the fleet."""
+    """The members file, which is the same for every process of the fleet."""
 
     controllers: tuple[FleetController, ...]
 
 
 def settings_of(table: Fleet, file: str) -> FleetSettings:
-    """The settings of the rules. `file`: the file that contains the table.
+    """Return the settings of the rules. `file`: the file that contains the table.
 
-    Raises ConfigError, whose one line names file and field.
+    Raises ConfigError with a one-line message that names the file and the field.
     """
     given = {name: value for name, value in msgspec.structs.asdict(table).items() if value is not None}
     tunables = {name: value for name, value in given.items() if name not in IDENTITY_FIELDS}
@@ -45,23 +45,23 @@
 
 
 def _controllers(table: Fleet, file: str) -> tuple[FleetController, ...]:
-    """The controllers of the table or of its members file. Raises ConfigError."""
+    """Return the controllers of the table or of its members file. Raises ConfigError."""
     if table.members and table.controllers:
-        raise ConfigError(f"{file}: fleet.members: beside a list of controllers; one of the two is needed")
+        raise ConfigError(f"{file}: fleet.members: set together with fleet.controllers; give only one of the two")
     if table.members:
         return toml_files.decode(Path(table.members), Members, ConfigError).controllers
     return table.controllers
 
 
 def controller_of(table: Fleet, settings: FleetSettings, file: str) -> Controller:
-    """The controller that this process runs as. Raises ConfigError."""
+    """Return the controller that this process runs as. Raises ConfigError."""
     if table.name not in settings.by_name:
-        raise ConfigError(f"{file}: fleet.name: none of the controllers: {table.name!r}")
+        raise ConfigError(f"{file}: fleet.name: {table.name!r} is not one of the fleet's controllers")
     return settings.by_name[table.name]
 
 
 def quotas_of(table: Fleet) -> dict[str, float]:
-    """The quotas file: requests per second by team; empty if there is none. Raises ConfigError."""
+    """Return the quotas file as requests per second by team; empty without a file. Raises ConfigError."""
     if not table.quotas:
         return {}
     listed = toml_files.decode(Path(table.quotas), dict[str, Any], ConfigError)
@@ -69,7 +69,7 @@
 
 
 def _team(file: str, team: str) -> str:
-    """A checked team name. Raises ConfigError."""
+    """Check a team name. Raises ConfigError."""
     try:
         return msgspec.convert(team, TeamName)
     except msgspec.ValidationError as error:
@@ -77,7 +77,7 @@
 
 
 def _rate(file: str, team: str, value: Any) -> float:
-    """A checked rate in requests per second. Raises ConfigError."""
+    """Check a rate in requests per second. Raises ConfigError."""
     try:
         return msgspec.convert(value, Rate)
     except msgspec.ValidationError as error:
@@ -85,6 +85,6 @@
 
 
 def fields_of(figures: msgspec.Struct) -> dict[str, Any]:
-    """The counters as the fields of a log line, under the names that the operators' page gives."""
+    """Return the counters as fields of a log line, under their documented names."""
     fields: dict[str, Any] = msgspec.to_builtins(figures)
     return fields
