--- a/tests/fleet/simulation/inspect.py
+++ b/tests/fleet/simulation/inspect.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from badgerroad.fleet.rules.bucket import MICRO
+from badgerroad.fleet.rules.bucket import MICRO_PER_REQUEST
 from badgerroad.fleet.rules.controller import ControllerRules
 
 
@@ -20,7 +20,7 @@
 
 def owned(rules: ControllerRules, now: int) -> dict[int, tuple[int, int]]:
     """Shard -> (term, end of its ownership by the controller's own clock)."""
-    return {shard: (ownership.term, ownership.last) for shard, ownership in rules.candidate.owned(now).items()}
+    return {shard: (ownership.term, ownership.valid_until) for shard, ownership in rules.candidate.owned(now).items()}
 
 
 def buckets(rules: ControllerRules, shards: Iterable[int]) -> Iterator[BucketState]:
@@ -30,7 +30,7 @@
             for name, team in rules.owners[shard].teams.items():
                 bucket = team.bucket
                 out = bucket.outstanding + bucket.suspended
-                yield BucketState(name, bucket.total / MICRO, out / MICRO, bucket.depth / MICRO)
+                yield BucketState(name, bucket.total / MICRO_PER_REQUEST, out / MICRO_PER_REQUEST, bucket.depth / MICRO_PER_REQUEST)
 
 
 def lending(rules: ControllerRules, owned_until: dict[int, int]) -> Iterator[tuple[int, str, int]]:
