--- a/tests/fleet/dispatcher_setup.py
+++ b/tests/fleet/dispatcher_setup.py
@@ -1,4 +1,4 @@
-"""A dispatcher's leases for tests, whose controllers are played by the test."""
+"""A dispatcher's leases for tests. The test takes the role of the controllers."""
 
 from __future__ import annotations
 
@@ -15,36 +15,39 @@
 SETTINGS = one_region()
 
 
-OWN = Peer("c1", 1)
+OWN_CONTROLLER = Peer("c1", 1)
 
 
-NEXT = controller_order(SETTINGS, "z1", "d")[1]
+NEXT_CONTROLLER = controller_order(SETTINGS, "z1", "d")[1]
 
 
 def dispatcher() -> DispatcherLeases:
     return DispatcherLeases(SETTINGS, "d", "z1", 1, START, Random(1))
 
 
-def asked(actions: list[Any]) -> LeaseRequest:
+def lease_request(actions: list[Any]) -> LeaseRequest:
     (request,) = messages(actions, LeaseRequest)
     return request  # type: ignore[no-any-return]
 
 
-def answer(request: LeaseRequest, granted: int, valid_ms: int = 2000, known: bool = True) -> LeaseGrant:
+def grant_for(request: LeaseRequest, granted: int, valid_ms: int = 2000, known: bool = True) -> LeaseGrant:
     return LeaseGrant(
         request.sequence, tuple(LeaseCredit(need.team, granted, valid_ms, known) for need in request.needs)
     )
 
 
-def holding(count: int, answered: int = START) -> DispatcherLeases:
-    """Holds so many requests of "team" besides one that was used, asked for at START: their clients have left."""
+def dispatcher_with_credit(count: int, granted_at: int = START) -> DispatcherLeases:
+    """Return leases with `count` unused requests of "team", besides one that was used.
+
+    The credit was requested at START for requests that were then cancelled.
+    """
     leases = dispatcher()
-    request = asked(leases.request(START, 1, "team"))
+    request = lease_request(leases.request(START, 1, "team"))
     for number in range(-count, 0):
         leases.request(START, number, "team")
-    actions = leases.receive(START, OWN, answer(request, 1))
+    actions = leases.receive(START, OWN_CONTROLLER, grant_for(request, 1))
     if count:
         for number in range(-count, 0):
             leases.cancel(START, number)
-        leases.receive(answered, OWN, answer(asked(actions), count + 1))
+        leases.receive(granted_at, OWN_CONTROLLER, grant_for(lease_request(actions), count + 1))
     return leases
--- a/tests/fleet/fleet_processes.py
+++ b/tests/fleet/fleet_processes.py
@@ -11,7 +11,7 @@
 import time
 from random import Random, SystemRandom
 
-from badgerroad.fleet import connections as c
+from badgerroad.fleet import connections as fleet_connections
 from badgerroad.fleet import table
 from badgerroad.fleet.controller import monotonic_us
 from badgerroad.fleet.messages import VERSION, Hello, LeaseCredit, LeaseGrant, LeaseRequest
@@ -19,12 +19,12 @@
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.operator.schema import load
 
-PATIENCE_S = 30  # for a condition on a busy machine; no test waits so long on an idle one
+CONDITION_TIMEOUT_S = 30  # limit for a condition on a busy machine; far longer than needed on an idle one
 
 
 def free_ports(count):
-    """Ports that nobody listens on now, below those that the system gives to connections by itself: one of these could
-    be taken between now and its use."""
+    """Return unused ports below the ephemeral range, since the system may assign ephemeral ports before they are used.
+    """
     ports = set()
     while len(ports) < count:
         port = SystemRandom().randrange(10_000, 32_000)
@@ -34,9 +34,9 @@
     return list(ports)
 
 
-async def until(condition, what="", limit_s=PATIENCE_S):
-    """Wait for a condition of any kind; TimeoutError, naming it, when it does not come."""
-    end = time.monotonic() + limit_s
+async def until(condition, what="", timeout_s=CONDITION_TIMEOUT_S):
+    """Wait until the condition is true. Raises TimeoutError, which names the condition."""
+    end = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > end:
             raise TimeoutError(what or condition)
@@ -44,17 +44,17 @@
 
 
 def asynchronous(play):
-    """Run a coroutine as a test; one that hangs fails."""
+    """Run a coroutine function as a test with a time-out."""
 
     @functools.wraps(play)
     def test(**arguments):
-        asyncio.run(asyncio.wait_for(play(**arguments), 4 * PATIENCE_S))
+        asyncio.run(asyncio.wait_for(play(**arguments), 4 * CONDITION_TIMEOUT_S))
 
     return test
 
 
 class Controllers:
-    """The files and processes of some controllers: c0, c1, ... of zones z0, z1, ..., each the voter of a region."""
+    """The files and processes of controllers c0, c1, ... in zones z0, z1, ..., each the voter of its own region."""
 
     def __init__(self, folder, count=3, quotas=None, **times):
         self.folder, self.times = folder, times
@@ -62,7 +62,7 @@
             {"name": f"c{n}", "zone": f"z{n}", "region": f"r{n}", "host": "127.0.0.1", "port": port, "voter": True}
             for n, port in enumerate(free_ports(count))
         ]
-        self.running, self.askers = {}, []
+        self.running, self.lease_clients = {}, []
         (folder / "members.toml").write_text("".join("[[controllers]]\n" + _toml(member) for member in self.members))
         self.write_quotas(quotas or {"team0": 20})
         for member in self.members:
@@ -72,39 +72,39 @@
         (self.folder / "quotas.toml").write_text(_toml(quotas))
 
     def write_operator(self, name, **more):
-        """The operator's file of a controller, or of a dispatcher."""
+        """Write the operator's file of a controller or a dispatcher."""
         is_controller = name in [member["name"] for member in self.members]
-        told = {**({"name": name} if is_controller else {}), "members": "members.toml", **self.times, **more}
+        fields = {**({"name": name} if is_controller else {}), "members": "members.toml", **self.times, **more}
         if is_controller:
-            told.setdefault("quotas", "quotas.toml")
+            fields.setdefault("quotas", "quotas.toml")
         path = self.folder / f"{name}.toml"
-        path.write_text("[fleet]\n" + _toml(told))
+        path.write_text("[fleet]\n" + _toml(fields))
         return path
 
     async def start(self, *names):
-        """Start these controllers, or all; returns once they listen."""
+        """Start the named controllers, or all, and wait until they listen."""
         for name in names or [member["name"] for member in self.members]:
             self.running[name] = await Program.start("control", "--operator", str(self.folder / f"{name}.toml"))
         for name in names or list(self.running):
-            await self.running[name].says("listening")
+            await self.running[name].wait_for_log("listening")
 
-    def asker(self, zone):
-        """Closed at the end."""
-        self.askers.append(Asker(self, zone))
-        return self.askers[-1]
+    def lease_client(self, zone):
+        """Create a lease client, which is closed at the end."""
+        self.lease_clients.append(LeaseClient(self, zone))
+        return self.lease_clients[-1]
 
     async def __aenter__(self):
         return self
 
     async def __aexit__(self, *_):
-        for asker in self.askers:
-            asker.close()
+        for lease_client in self.lease_clients:
+            lease_client.close()
         for program in self.running.values():
             await program.kill()
 
 
 class Program:
-    """A process of this program, and all that its log has said."""
+    """A badgerroad process and the lines of its log."""
 
     def __init__(self, process):
         self.process, self.lines = process, []
@@ -126,70 +126,70 @@
         while line := await self.process.stderr.readline():
             self.lines.append(line.decode())
 
-    async def says(self, pattern, since=0):
-        """The first line, from the `since`-th on, in which the pattern is found."""
+    async def wait_for_log(self, pattern, since=0):
+        """Return the first log line at or after index `since` that matches the pattern."""
         found = []
 
-        def said():
+        def matching():
             found[:] = [line for line in self.lines[since:] if re.search(pattern, line)]
             return found or self.process.returncode is not None
 
-        await until(said, f"{pattern!r} in {self.lines}")
+        await until(matching, f"{pattern!r} in {self.lines}")
         assert found, (pattern, self.process.returncode, self.lines)
         return found[0]
 
-    async def ends(self):
-        """Its exit code."""
-        await asyncio.wait_for(self.process.wait(), PATIENCE_S)
+    async def wait_for_exit(self):
+        """Wait for the end of the process and return its exit code."""
+        await asyncio.wait_for(self.process.wait(), CONDITION_TIMEOUT_S)
         await self._reader
         return self.process.returncode
 
     async def kill(self):
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
-        await self.ends()
+        await self.wait_for_exit()
 
 
 def _toml(values):
-    """Simple values as TOML lines: TOML's texts, numbers and booleans are those of JSON."""
+    """Return simple values as TOML lines. Strings, numbers and booleans are the same in TOML and JSON."""
     return "".join(f"{json.dumps(key)} = {json.dumps(value)}\n" for key, value in values.items())
 
 
-# Leases run shorter than by default, so that their ends come within a test.
+# Leases are shorter than by default, so that they end within a test.
 QUICK = {
     "ownership_lease_ms": 2000,
     "quota_lease_ms": 1200,
     "dispatcher_lease_ms": 800,
     "renew_ms": 300,
     "lending_ms": 1500,
-    "ask_timeout_ms": 500,  # the machine may be busy: a request waits longer than in service
+    "ask_timeout_ms": 500,  # longer than in production, because the machine may be busy
 }
 
 
-class Asker:
-    """A dispatcher without clients: it asks for requests of teams, and keeps what it is told."""
+class LeaseClient:
+    """A dispatcher without HTTP clients that requests leases for teams and records the decisions."""
 
     def __init__(self, fleet, zone):
         settings = table.settings_of(load(str(fleet.folder / "c0.toml")).fleet, "c0.toml")
-        random, incarnation = Random(zone), c.new_incarnation()
+        random, incarnation = Random(zone), fleet_connections.new_incarnation()
         self.leases = DispatcherLeases(settings, f"asker-{zone}", zone, incarnation, monotonic_us(), random)
-        hello = Hello(VERSION, f"asker-{zone}", zone, c.ROLE_DISPATCHER, incarnation)
+        hello = Hello(VERSION, f"asker-{zone}", zone, fleet_connections.ROLE_DISPATCHER, incarnation)
         addresses = {member["name"]: (member["host"], member["port"]) for member in fleet.members}
-        self.connections = c.Connections(hello, addresses, self, random)
+        self.connections = fleet_connections.Connections(hello, addresses, self, random)
         self.over_quota, self.count = {}, 0
         self._ticks = asyncio.ensure_future(self._tick())
 
-    def ask(self, team):
-        """The request's number, under which `over_quota` will say what it is."""
+    def request(self, team):
+        """Start a request of the team and return its number, the key of its decision in `over_quota`."""
         self.count += 1
         self._perform(self.leases.request(monotonic_us(), self.count, team))
         return self.count
 
-    async def within(self, team):
-        """Ask until one request of that team is within its quota."""
-        end = time.monotonic() + PATIENCE_S
+    async def wait_until_within(self, team):
+        """Repeat requests until one of that team is within its quota."""
+        end = time.monotonic() + CONDITION_TIMEOUT_S
         while time.monotonic() < end:
-            number = self.ask(team)
+            number = self.request(team)
             await until(lambda number=number: number in self.over_quota)
             if not self.over_quota[number]:
                 return
@@ -221,15 +221,15 @@
 
 
 class ScriptedController:
-    """In this process, in the place of a controller: it grants all that is asked for, or answers nothing."""
+    """A controller in this process that grants every request, or does not reply."""
 
-    def __init__(self, fleet, name="c0", answers=True):
-        self.answers, self.asked, self.losses = answers, [], []
-        self._granted, self._returned = {}, {}  # by peer and team
+    def __init__(self, fleet, name="c0", replies=True):
+        self.replies, self.requesters, self.losses = replies, [], []
+        self._granted, self._returned = {}, {}  # totals by peer and team
         (member,) = (member for member in fleet.members if member["name"] == name)
         self._address = (member["host"], member["port"])
-        hello = Hello(VERSION, name, member["zone"], c.ROLE_CONTROLLER, c.new_incarnation())
-        self.connections = c.Connections(hello, {name: self._address}, self, Random(1))
+        hello = Hello(VERSION, name, member["zone"], fleet_connections.ROLE_CONTROLLER, fleet_connections.new_incarnation())
+        self.connections = fleet_connections.Connections(hello, {name: self._address}, self, Random(1))
 
     async def __aenter__(self):
         self.connections.listen(self._address)
@@ -243,8 +243,8 @@
         for total in totals:
             self._returned[sender.name, total.team] = total.used + total.returned
         if isinstance(message, LeaseRequest):
-            self.asked.append(sender.name)
-            if self.answers:
+            self.requesters.append(sender.name)
+            if self.replies:
                 granted = tuple(self._grant(sender.name, need) for need in message.needs)
                 self.connections.send(sender.name, LeaseGrant(message.sequence, granted))
 
@@ -261,10 +261,10 @@
     def granted(self, peer=None):
         return sum(count for (name, _), count in self._granted.items() if peer in (None, name))
 
-    def held(self, peer=None):
-        """By team: what was granted and neither used nor returned, as far as has been told."""
-        held = {}
+    def unused(self, peer=None):
+        """Return the requests by team that were granted and not yet reported as used or returned."""
+        unused = {}
         for (name, team), count in self._granted.items():
             if peer in (None, name):
-                held[team] = held.get(team, 0) + count - self._returned.get((name, team), 0)
-        return held
+                unused[team] = unused.get(team, 0) + count - self._returned.get((name, team), 0)
+        return unused
--- a/tests/fleet/rules_setup.py
+++ b/tests/fleet/rules_setup.py
@@ -11,13 +11,13 @@
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.fleet.settings import Controller, FleetSettings
 
-MS = 1000
-S = 1_000_000
-START = 1000 * S
+MILLISECOND = 1000
+SECOND = 1_000_000
+START = 1000 * SECOND
 
 
 def fleet(zones: int = 3, **changes: Any) -> FleetSettings:
-    """One controller a zone, one zone a region, one shard; all of them voters."""
+    """One controller per zone, one zone per region and one shard; every controller is a voter."""
     controllers = tuple(Controller(f"c{n}", f"z{n}", f"r{n}", "127.0.0.1", 7000 + n, True) for n in range(zones))
     changes.setdefault("shards", 1)
     settings = FleetSettings(controllers=controllers, **changes)
@@ -26,7 +26,7 @@
 
 
 def one_region(zones: int = 3, **changes: Any) -> FleetSettings:
-    """All zones in one region, the first controller the only voter."""
+    """All zones in one region, with the first controller as the only voter."""
     controllers = tuple(Controller(f"c{n}", f"z{n}", "r", "127.0.0.1", 7000 + n, n == 0) for n in range(zones))
     changes.setdefault("shards", 1)
     settings = FleetSettings(controllers=controllers, **changes)
@@ -50,26 +50,29 @@
 
 
 class Network:
-    """Controllers and dispatchers that hear each other at once, but those in `cut`. Time moves in ticks."""
+    """Controllers and dispatchers whose messages arrive at once. Time advances in ticks.
+
+    Controllers in `partitioned` cannot exchange messages with the other controllers.
+    """
 
     def __init__(self, settings: FleetSettings, dispatchers: dict[str, str] | None = None) -> None:
         self.settings = settings
         self.now = START
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.stopped: set[str] = set()
         self.decided: dict[int, bool] = {}
         self.sent: list[tuple[str, SendMessage]] = []
-        self.lives = {name: 1 for name in [*settings.names, *(dispatchers or {})]}
+        self.incarnations = {name: 1 for name in [*settings.names, *(dispatchers or {})]}
         self.zones = dispatchers or {}
         self.controllers = {name: self.new_controller(name) for name in settings.names}
         self.dispatchers = {name: self.new_dispatcher(name) for name in self.zones}
         self.quotas: dict[str, float] = {}
 
     def new_controller(self, name: str) -> ControllerRules:
-        return ControllerRules(self.settings, name, self.lives[name], self.now, Random(f"{name}/{self.lives[name]}"))
+        return ControllerRules(self.settings, name, self.incarnations[name], self.now, Random(f"{name}/{self.incarnations[name]}"))
 
     def new_dispatcher(self, name: str) -> DispatcherLeases:
-        return DispatcherLeases(self.settings, name, self.zones[name], self.lives[name], self.now, Random(name))
+        return DispatcherLeases(self.settings, name, self.zones[name], self.incarnations[name], self.now, Random(name))
 
     def set_quotas(self, quotas: dict[str, float]) -> None:
         self.quotas = quotas
@@ -77,7 +80,7 @@
             controller.set_quotas(self.now, quotas)
 
     def restart(self, name: str) -> None:
-        self.lives[name] += 1
+        self.incarnations[name] += 1
         if name in self.controllers:
             self.controllers[name] = self.new_controller(name)
             self.controllers[name].set_quotas(self.now, self.quotas)
@@ -96,17 +99,17 @@
             self.sent.append((sender, action))
             if self.reaches(sender, action.to):
                 node = self.controllers.get(action.to) or self.dispatchers[action.to]
-                self.deliver(action.to, node.receive(self.now, Peer(sender, self.lives[sender]), action.message))
+                self.deliver(action.to, node.receive(self.now, Peer(sender, self.incarnations[sender]), action.message))
 
     def reaches(self, sender: str, receiver: str) -> bool:
-        apart = (sender in self.cut) != (receiver in self.cut) and {sender, receiver} <= set(self.controllers)
-        return not apart and not self.stopped & {sender, receiver}
+        separated = (sender in self.partitioned) != (receiver in self.partitioned) and {sender, receiver} <= set(self.controllers)
+        return not separated and not self.stopped & {sender, receiver}
 
     def run(self, microseconds: int) -> None:
-        """Stopped ones are not ticked."""
+        """Advance the time and tick all nodes except the stopped ones."""
         end = self.now + microseconds
         while self.now < end:
-            self.now += self.settings.tick_ms * MS
+            self.now += self.settings.tick_ms * MILLISECOND
             for name, node in [*self.controllers.items(), *self.dispatchers.items()]:
                 if name not in self.stopped:
                     self.deliver(name, node.tick(self.now))
--- a/tests/fleet/test_broken_rules.py
+++ b/tests/fleet/test_broken_rules.py
@@ -1,5 +1,4 @@
-"""The checks are checked: each rule broken on purpose is found by the oracle, and the directed schedules accuse no
-whole rule."""
+"""Checks of the oracle: it detects each deliberately broken rule and reports no violation for intact rules."""
 
 import pytest
 
@@ -15,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(DIRECTED))
-def test_unbroken_rules_pass_the_directed_schedules(name: str) -> None:
+def test_intact_rules_pass_the_directed_schedules(name: str) -> None:
     for seed in range(5):
         findings = run_schedule(DIRECTED[name](seed)).findings
         assert not findings, "\n".join(str(violation) for violation in findings.first.values())
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -1,4 +1,4 @@
-"""Framing, and connections of the fleet on loopback: who connects, what is closed, what is counted."""
+"""Framing and the fleet's connections on loopback: connecting, closing and counters."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 from tornado.iostream import IOStream
 
 from badgerroad.errors import ListenError
-from badgerroad.fleet import connections as c
+from badgerroad.fleet import connections as fleet_connections
 from badgerroad.fleet import peer_connection
 from badgerroad.fleet.errors import FrameError
 from badgerroad.fleet.framing import LENGTH_BYTES, FrameReader, frame
@@ -21,7 +21,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=8), st.data())
-def test_frames_come_out_whole_however_the_stream_is_cut(payloads, data):
+def test_frames_are_reassembled_for_any_split_of_the_stream(payloads, data):
     stream, reader, out = b"".join(frame(p) for p in payloads), FrameReader(), []
     while stream:
         size = data.draw(st.integers(1, len(stream)))
@@ -31,7 +31,7 @@
     assert not reader.unfinished
 
 
-def test_a_frame_over_the_limit_is_refused_by_both_sides():
+def test_frame_above_the_size_limit_is_rejected_by_sender_and_receiver():
     with pytest.raises(FrameError):
         frame(bytes(MAX_MESSAGE_BYTES + 1))
     with pytest.raises(FrameError):
@@ -40,12 +40,12 @@
 
 
 class Node:
-    """One process's connections, and what they have told."""
+    """The connections of one process, with the received events."""
 
     def __init__(self, name, role, addresses, incarnation=1):
         self.messages, self.losses = [], []
         hello = Hello(VERSION, name, "z", role, incarnation)
-        self.connections = c.Connections(hello, addresses, self, Random(1))
+        self.connections = fleet_connections.Connections(hello, addresses, self, Random(1))
 
     def received(self, sender, message):
         self.messages.append((sender, message))
@@ -55,7 +55,7 @@
 
 
 class Network:
-    """Nodes with the addresses of controllers; all are closed at the end."""
+    """Nodes that share the addresses of the controllers. All are closed at the end."""
 
     def __init__(self, *controllers):
         self.addresses = {
@@ -64,12 +64,12 @@
         self.nodes = []
 
     def controller(self, name, incarnation=1):
-        node = self.node(name, c.ROLE_CONTROLLER, incarnation)
+        node = self.node(name, fleet_connections.ROLE_CONTROLLER, incarnation)
         node.connections.listen(self.addresses[name])
         node.connections.connect_controllers()
         return node
 
-    def node(self, name, role=c.ROLE_DISPATCHER, incarnation=1):
+    def node(self, name, role=fleet_connections.ROLE_DISPATCHER, incarnation=1):
         self.nodes.append(Node(name, role, self.addresses, incarnation))
         return self.nodes[-1]
 
@@ -82,8 +82,8 @@
         await asyncio.sleep(0)
 
 
-async def hears(reader):
-    """All until the other side ends the connection, or resets it."""
+async def read_to_end(reader):
+    """Return all data until the other side closes or resets the connection."""
     data = b""
     with contextlib.suppress(ConnectionError):
         while piece := await asyncio.wait_for(reader.read(4096), 30):
@@ -91,25 +91,25 @@
     return data
 
 
-A = OwnerAnnouncement((Claim(3, 7),))
+ANNOUNCEMENT = OwnerAnnouncement((Claim(3, 7),))
 
 
 @asynchronous
-async def test_a_pair_of_controllers_has_one_connection_and_both_send_on_it():
+async def test_two_controllers_share_one_connection_in_both_directions():
     async with Network("a", "b") as network:
         b, a = network.controller("b"), network.controller("a")
         await until(lambda: a.connections.connected("b") and b.connections.connected("a"))
-        a.connections.send("b", A)
+        a.connections.send("b", ANNOUNCEMENT)
         b.connections.send("a", NotOwner(3, 7))
         await until(lambda: a.messages and b.messages)
-        assert b.messages == [(("a", 1), A)]
+        assert b.messages == [(("a", 1), ANNOUNCEMENT)]
         assert a.messages == [(("b", 1), NotOwner(3, 7))]
         assert a.connections.traffic().messages_out == 2  # a Hello and one message
         assert a.connections.traffic().bytes_out == b.connections.traffic().bytes_in
 
 
 @asynchronous
-async def test_controllers_connect_again_after_one_was_gone():
+async def test_controllers_reconnect_after_one_was_stopped():
     async with Network("a", "b") as network:
         a, b = network.controller("a"), network.controller("b")
         await until(lambda: a.connections.connected("b"))
@@ -119,41 +119,41 @@
         assert not a.connections.connected("b")
         later = network.controller("b", incarnation=2)
         await until(lambda: a.connections.connected("b"))
-        a.connections.send("b", A)
+        a.connections.send("b", ANNOUNCEMENT)
         await until(lambda: later.messages)
-        assert later.messages[0][1] == A
+        assert later.messages[0][1] == ANNOUNCEMENT
 
 
 @asynchronous
-async def test_a_dispatchers_first_message_is_queued_for_the_connection_and_one_to_an_unreachable_peer_is_reported_lost():
+async def test_first_message_is_queued_until_connected_and_an_unreachable_peer_is_reported_lost():
     async with Network("a", "b") as network:
         a, dispatcher = network.controller("a"), network.node("d")
-        dispatcher.connections.send("a", A)
-        dispatcher.connections.send("b", A)
+        dispatcher.connections.send("a", ANNOUNCEMENT)
+        dispatcher.connections.send("b", ANNOUNCEMENT)
         await until(lambda: a.messages and dispatcher.losses)
-        assert a.messages == [(("d", 1), A)]
+        assert a.messages == [(("d", 1), ANNOUNCEMENT)]
         assert {*dispatcher.losses} == {"b"}
         assert dispatcher.connections.traffic().dropped >= 1
-        a.connections.send("nobody", A)
+        a.connections.send("nobody", ANNOUNCEMENT)
         assert a.connections.traffic().dropped == 1
 
 
 @pytest.mark.parametrize(
-    ("role", "name", "why"),
+    ("role", "name", "reason"),
     [
-        (c.ROLE_CONTROLLER, "x", "a stranger"),
-        (c.ROLE_DISPATCHER, "b", "a dispatcher with a controller's name"),
-        (c.ROLE_CONTROLLER, "a", "its own name"),
+        (fleet_connections.ROLE_CONTROLLER, "x", "unknown controller"),
+        (fleet_connections.ROLE_DISPATCHER, "b", "dispatcher with a controller's name"),
+        (fleet_connections.ROLE_CONTROLLER, "a", "name of the receiving process"),
     ],
 )
-def test_a_hello_that_does_not_fit_ends_the_connection(role, name, why):
+def test_unacceptable_hello_closes_the_connection(role, name, reason):
     @asynchronous
     async def play():
         async with Network("a", "b") as network:
             a = network.controller("a")
             reader, writer = await asyncio.open_connection(*network.addresses["a"])
-            writer.write(frame(encode(Hello(VERSION, name, "z", role, 1))) + frame(encode(A)))
-            await hears(reader)
+            writer.write(frame(encode(Hello(VERSION, name, "z", role, 1))) + frame(encode(ANNOUNCEMENT)))
+            await read_to_end(reader)
             assert a.connections.traffic().rejected == 1
             assert not a.messages
             assert not a.connections.connected(name)
@@ -162,7 +162,7 @@
 
 
 @asynchronous
-async def test_an_older_process_does_not_push_out_a_newer_one_of_its_name_and_a_newer_one_does():
+async def test_only_a_newer_incarnation_replaces_the_connection_of_its_name():
     async with Network("a") as network:
         a, new = network.controller("a"), network.node("d", incarnation=5)
         new.connections.connect("a")
@@ -170,7 +170,7 @@
         old = network.node("d", incarnation=4)
         old.connections.connect("a")
         await until(lambda: a.connections.traffic().rejected)
-        new.connections.send("a", A)
+        new.connections.send("a", ANNOUNCEMENT)
         await until(lambda: a.messages)
         assert a.messages[0][0] == ("d", 5)
         assert not a.losses
@@ -184,26 +184,26 @@
         (b"GET / HTTP/1.1\r\n\r\n", "broken"),
         (b"\xff" * 64, "broken"),
         (frame(b"\xc1 not MessagePack"), "rejected"),
-        (frame(encode(A)), "rejected"),
+        (frame(encode(ANNOUNCEMENT)), "rejected"),
         (frame(b""), "rejected"),
     ],
 )
-def test_bytes_that_are_no_hello_end_the_connection_and_are_counted(data, counter):
+def test_invalid_first_bytes_close_the_connection_and_are_counted(data, counter):
     @asynchronous
     async def play():
         async with Network("a") as network:
             a = network.controller("a")
             reader, writer = await asyncio.open_connection(*network.addresses["a"])
             writer.write(data)
-            await hears(reader)
+            await read_to_end(reader)
             assert getattr(a.connections.traffic(), counter) == 1
             assert not a.connections.names
 
     play()
 
 
-@pytest.mark.parametrize("data", [b"", b"\0", frame(encode(A))[:-1]])
-def test_a_peer_that_sends_nothing_or_half_a_message_is_disconnected(data, monkeypatch):
+@pytest.mark.parametrize("data", [b"", b"\0", frame(encode(ANNOUNCEMENT))[:-1]])
+def test_peer_that_sends_no_complete_message_is_disconnected(data, monkeypatch):
     monkeypatch.setattr(peer_connection, "HELLO_TIMEOUT_S", 0.2)
 
     @asynchronous
@@ -212,19 +212,19 @@
             a = network.controller("a")
             reader, writer = await asyncio.open_connection(*network.addresses["a"])
             writer.write(data)
-            await hears(reader)
+            await read_to_end(reader)
             assert a.connections.traffic().silent == 1
 
     play()
 
 
 @asynchronous
-async def test_after_the_hello_an_incomplete_message_times_out():
+async def test_incomplete_message_after_the_hello_times_out():
     async with Network("a") as network:
         a = network.controller("a")
         reader, writer = await asyncio.open_connection(*network.addresses["a"])
-        writer.write(frame(encode(Hello(VERSION, "d", "z", c.ROLE_DISPATCHER, 1))) + frame(encode(A))[:-1])
-        await hears(reader)
+        writer.write(frame(encode(Hello(VERSION, "d", "z", fleet_connections.ROLE_DISPATCHER, 1))) + frame(encode(ANNOUNCEMENT))[:-1])
+        await read_to_end(reader)
         assert a.connections.traffic().silent == 1
         assert a.losses == ["d"]
         assert not a.messages
@@ -235,29 +235,29 @@
     async with Network("a") as network:
         a = network.controller("a")
         _, writer = await asyncio.open_connection(*network.addresses["a"])
-        hello = frame(encode(Hello(VERSION + 1, "d", "z", c.ROLE_DISPATCHER, 1)))
+        hello = frame(encode(Hello(VERSION + 1, "d", "z", fleet_connections.ROLE_DISPATCHER, 1)))
         for payload in (msgspec.msgpack.encode([99, 1]), b"\xc1", b"", msgspec.msgpack.encode([9, -1, 0])):
             hello += frame(payload)
-        writer.write(hello + frame(encode(A)))
+        writer.write(hello + frame(encode(ANNOUNCEMENT)))
         await until(lambda: a.messages)
-        assert a.messages == [(("d", 1), A)]
+        assert a.messages == [(("d", 1), ANNOUNCEMENT)]
         assert a.connections.traffic().unknown == 4
         writer.close()
 
 
 @asynchronous
-async def test_a_peer_that_does_not_read_is_closed():
+async def test_peer_that_does_not_read_is_disconnected():
     async with Network("a") as network:
         a = network.controller("a")
         reader, writer = await asyncio.open_connection(*network.addresses["a"], limit=1024)
-        writer.write(frame(encode(Hello(VERSION, "d", "z", c.ROLE_DISPATCHER, 1))))
+        writer.write(frame(encode(Hello(VERSION, "d", "z", fleet_connections.ROLE_DISPATCHER, 1))))
         await until(lambda: a.connections.connected("d"))
         large = OwnerAnnouncement(tuple(Claim(1, 1 << 60) for _ in range(4096)))
         sent = 0
         while a.connections.connected("d"):
             a.connections.send("d", large)
             sent += len(frame(encode(large)))
-            assert sent < 64 << 20  # what the sockets themselves hold, and a limit
+            assert sent < 64 << 20  # socket buffers plus the limit of the write queue
             await asyncio.sleep(0)
         assert a.connections.traffic().full == 1
         assert a.losses == ["d"]
@@ -265,12 +265,12 @@
 
 
 @asynchronous
-async def test_a_connection_that_has_closed_before_its_first_byte_ends_once_and_quietly():
+async def test_connection_closed_before_its_first_byte_is_reported_closed_once():
     sock, other = socket.socketpair()
     other.close()
     stream, closed = IOStream(sock), []
     stream.close()
-    hello = Hello(VERSION, "d", "z", c.ROLE_DISPATCHER, 1)
+    hello = Hello(VERSION, "d", "z", fleet_connections.ROLE_DISPATCHER, 1)
     connection = peer_connection.PeerConnection(stream, hello, lambda *_: None, lambda *_: None, closed.append)
     await connection.run()
     assert closed == [connection]
@@ -278,8 +278,8 @@
 
 
 @asynchronous
-async def test_an_address_that_is_taken_is_a_typed_error():
+async def test_listening_on_an_address_in_use_raises_listen_error():
     async with Network("a", "b") as network:
         network.controller("a")
         with pytest.raises(ListenError):
-            network.node("b", c.ROLE_CONTROLLER).connections.listen(network.addresses["a"])
+            network.node("b", fleet_connections.ROLE_CONTROLLER).connections.listen(network.addresses["a"])
--- a/tests/fleet/test_example.py
+++ b/tests/fleet/test_example.py
@@ -1,4 +1,4 @@
-"""examples/fleet/two_regions.py runs to its end and says what was let through in each phase."""
+"""examples/fleet/two_regions.py runs to completion and prints the decisions of each phase."""
 
 import re
 import subprocess
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_two_regions_are_served_before_a_cut_during_it_and_after():
+def test_two_regions_are_served_before_during_and_after_a_partition():
     command = [sys.executable, "examples/fleet/two_regions.py", "--before", "2", "--cut", "6", "--after", "3"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=150)
     assert done.returncode == 0, done.stdout + done.stderr
--- a/tests/fleet/test_fleet_load.py
+++ b/tests/fleet/test_fleet_load.py
@@ -1,6 +1,7 @@
-"""The load benchmark's short form: 19 controllers and 38 hollow dispatchers in real processes, with a bad network and a dead owner.
+"""The short form of the load benchmark: real processes, an unreliable network and a killed owner.
 
-The bound on what is let through is asserted exactly; use and recovery only with wide margins, for a busy machine is slow, not wrong.
+It runs 19 controllers and 38 hollow dispatchers. The bound on requests within quota is asserted exactly; use and
+recovery only with wide margins, because a busy machine is slow without being wrong.
 """
 
 import os
@@ -29,7 +30,7 @@
 
 @pytest.fixture(scope="module")
 def result():
-    """One run at twice the quota; its owner of the largest quotas dies in the middle."""
+    """One run at twice the quota, during which the owner of the largest quotas is killed."""
     noise = Noise(twice=0.02, late=0.02, late_ms=100, dropped=0.0005)
     scenario = Scenario("short", "the short form", 2.0, fault=KillOwner(4), noise=noise, warm_s=4, seconds=14)
     before = children_of_this_process()
@@ -38,16 +39,16 @@
     return found
 
 
-def test_no_team_goes_beyond_its_quota_and_its_bucket(result):
+def test_no_team_exceeds_its_quota_and_bucket(result):
     assert result.requests > 1000
     assert result.overshoot <= result.bound, f"{result.overshoot_team}: {result.overshoot} beyond its rate"
 
 
-def test_most_of_the_quotas_is_used_though_an_owner_died(result):
+def test_most_of_the_quotas_is_used_although_an_owner_was_killed(result):
     assert result.use_share > 0.4
 
 
-def test_frames_were_doubled_and_late_on_the_way(result):
+def test_relay_duplicated_and_delayed_frames(result):
     assert result.frames_doubled > 10
     assert result.frames_delayed > 10
 
--- a/tests/fleet/test_load_judge.py
+++ b/tests/fleet/test_load_judge.py
@@ -1,4 +1,4 @@
-"""The load benchmark's verdicts: bounds that follow the scenario, recoveries, aims and the page."""
+"""The verdicts of the load benchmark: bounds per scenario, recoveries, aims and the page."""
 
 import msgspec
 import pytest
@@ -13,7 +13,7 @@
 
 
 def judge(scenario, records=(), changed=None):
-    """A judge of `records`: (seconds after the warm-up, team, over)."""
+    """Return a judge of `records`: (seconds after the warm-up, team, over quota)."""
     warm = scenario.warm_s
     return Judge(
         Outcome(
@@ -73,28 +73,28 @@
     return Result(**{**values, **changes})
 
 
-def test_the_bound_is_the_bucket_and_the_reserves_of_zones_that_are_cut_off():
+def test_bound_is_the_bucket_and_the_reserves_of_partitioned_zones():
     assert judge(BY_NAME["half"]).depth(10.0) == 2 * 19 + 2 * 10.0
     assert judge(BY_NAME["region-cut"]).depth(10.0) == pytest.approx(2 * 19 + 2 * 10.0 + 3 * (1 + 2 * 2.0 / 19))
 
 
-def test_a_burst_beyond_the_bucket_is_told_with_its_team():
+def test_burst_above_the_bucket_is_reported_with_its_team():
     records = [(1.0 + n / 1000, 5, False) for n in range(200)]
     worst = judge(BY_NAME["half"], records).worst()
     assert (worst.team, worst.beyond > 0) == (5, True)
 
 
-def test_a_burst_that_was_called_over_breaks_nothing():
+def test_burst_decided_as_over_quota_does_not_exceed_the_bound():
     records = [(1.0 + n / 1000, 5, True) for n in range(200)]
     assert judge(BY_NAME["half"], records).worst().beyond < 0
 
 
-def test_what_came_in_the_warm_up_is_not_judged():
+def test_requests_during_the_warm_up_are_not_judged():
     records = [(-5.0 + n / 1000, 5, False) for n in range(200)]
     assert judge(BY_NAME["half"], records).worst().beyond < 0
 
 
-def test_a_lowered_quota_is_held_against_a_team_after_fifteen_seconds():
+def test_lowered_quota_is_enforced_after_fifteen_seconds():
     scenario = BY_NAME["quotas-changed"]
     changed = [quota / 2 for quota in QUOTAS]
     gap = 1 / QUOTAS[0]
@@ -105,7 +105,7 @@
     assert found.worst().requests == pytest.approx(5 * QUOTAS[0] / 2, rel=0.1)
 
 
-def test_an_owners_death_is_judged_by_the_teams_of_its_shards_alone():
+def test_killed_owner_is_judged_by_the_teams_of_its_shards_only():
     found = judge(BY_NAME["owner-killed"])
     teams = found.teams_of("control-0")
     names = traffic.team_names()
@@ -113,7 +113,7 @@
     assert {found.settings.shard_of(names[team]) for team in teams} == {0}
 
 
-def test_recovery_of_lowered_quotas_waits_for_the_last_excess():
+def test_recovery_of_lowered_quotas_ends_with_the_last_excess():
     scenario = BY_NAME["quotas-changed"]
     changed = [quota / 2 if team < 10 else quota for team, quota in enumerate(QUOTAS)]
     records = []
@@ -125,12 +125,12 @@
     assert 2.5 <= lowered.seconds <= 3.25
 
 
-def test_filling_leaves_the_quotas_of_a_cold_start_alone():
+def test_filling_keeps_the_quotas_of_a_cold_start():
     assert BY_NAME[COLD].filling_quotas(QUOTAS, 19) == QUOTAS
     assert BY_NAME["half"].filling_quotas([1.0], 19) == [0.5 + (38 + 2) / 10]
 
 
-def test_an_aim_that_is_missed_or_was_not_run_is_told_so():
+def test_missed_aims_and_aims_without_a_run_are_reported_as_such():
     judged = {aim.name: aim for aim in aims.judged([result(over_share=0.02), result("double", use_share=0.94)])}
     assert judged["called over at half the quota, even traffic"].reached is False
     assert judged["used at twice the quota"].reached is False
@@ -138,19 +138,19 @@
     assert judged["a dispatcher's CPU"].reached is True
 
 
-def test_a_broken_bound_is_told_with_its_scenario():
+def test_broken_bound_is_reported_with_its_scenario():
     judged = aims.judged([result(bound_broken=True), result("double")])
     assert judged[-1].reached is False
     assert "half" in judged[-1].figure
 
 
-def test_an_owners_teams_that_never_recover_miss_their_aim():
+def test_teams_of_a_killed_owner_that_never_recover_miss_their_aim():
     recovery = Recovery("teams", "the fault", None, 1.0, 0.0)
     judged = {aim.name: aim for aim in aims.judged([result("owner-killed", recoveries=[recovery])])}
     assert judged["full use of an owner's teams after its death"].reached is False
 
 
-def test_the_page_names_every_result_and_survives_its_json():
+def test_page_lists_every_result_and_is_equal_after_a_json_round_trip():
     other = result(topology="owners")
     document = Document([result(), other, result("double", dispatchers=600, bound_broken=True)])
     copy = msgspec.json.decode(msgspec.json.encode(document), type=Document)
@@ -166,10 +166,10 @@
     assert len(BY_NAME) == len(SCENARIOS)
 
 
-def test_a_line_is_fitted_through_points():
+def test_line_is_fitted_through_points():
     fitted = slopes.line("it", "s", [(50, 1.5), (100, 2.0), (200, 3.0)])
     assert (fitted.base, fitted.slope, fitted.furthest) == pytest.approx((1.0, 0.01, 0.0))
 
 
-def test_overshoot_without_requests_is_nothing():
+def test_overshoot_without_requests_is_zero():
     assert oracle.worst_overshoot([[], []], [[], []], [3.0, 3.0]).requests == 0.0
--- a/tests/fleet/test_load_oracle.py
+++ b/tests/fleet/test_load_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of the load benchmark: it judges from times alone, and sees what is wrong."""
+"""The oracle of the load benchmark, which judges by the times of requests and detects violations."""
 
 import itertools
 
@@ -9,12 +9,12 @@
 
 
 def worst_by_hand(times, rate):
-    """The same by all pairs of requests."""
+    """Return the overshoot computed over all pairs of requests."""
     pairs = itertools.combinations_with_replacement(range(len(times)), 2)
     return max(last - first + 1 - rate * (times[last] - times[first]) for first, last in pairs)
 
 
-def test_overshoot_is_the_worst_of_all_windows():
+def test_overshoot_is_the_largest_over_all_windows():
     times = [0.0, 0.1, 0.2, 5.0, 5.1, 5.15, 5.2, 9.0]
     assert oracle.overshoot(times, [RateChange(0.0, 1.0)]) == pytest.approx(worst_by_hand(times, 1.0))
 
@@ -24,12 +24,12 @@
     assert oracle.overshoot(times, [RateChange(0.0, 4.0)]) == pytest.approx(1.0)
 
 
-def test_overshoot_counts_a_lowered_quota_from_its_time():
-    times = [n / 4 for n in range(80)]  # 4 a second for 20 s
+def test_overshoot_applies_a_lowered_quota_from_its_time():
+    times = [n / 4 for n in range(80)]  # 4 requests per second for 20 s
     assert oracle.overshoot(times, [RateChange(0.0, 4.0), RateChange(10.0, 2.0)]) == pytest.approx(1 + 2 * 9.75)
 
 
-def test_worst_overshoot_finds_the_team_that_broke_its_bound():
+def test_worst_overshoot_finds_the_team_that_exceeded_its_bound():
     decisions = [Decision(n / 10, 0, False) for n in range(100)]
     decisions += [Decision(n / 100, 1, False) for n in range(100)]
     decisions += [Decision(n / 100, 2, True) for n in range(1000)]
@@ -39,12 +39,12 @@
     assert worst.beyond == pytest.approx(100 - 9.9 - 20)
 
 
-def test_over_share_counts_the_window_alone():
+def test_over_share_counts_only_requests_in_the_window():
     decisions = [Decision(1.0, 0, True), Decision(2.0, 0, True), Decision(3.0, 0, False), Decision(9.0, 0, True)]
     assert oracle.over_share(decisions, 2.0, 9.0) == 0.5
 
 
-def test_time_to_full_use_is_from_the_fault_to_the_end_of_the_gap():
+def test_time_to_full_use_lasts_from_the_fault_to_the_end_of_the_gap():
     times = [n / 50 for n in range(2000) if not 10 <= n / 50 < 16]
     found = oracle.time_to_full_use(times, 10.0, 40.0, 50.0)
     assert 5.75 <= found <= 6.0
@@ -60,7 +60,7 @@
     assert oracle.time_to_full_use(times, 10.0, 39.0, 50.0) == 0.0
 
 
-def test_time_to_use_at_most_waits_for_the_last_excess():
+def test_time_to_use_at_most_ends_with_the_last_excess():
     times = [n / 50 for n in range(500)] + [10 + n / 25 for n in range(500)]
     assert 6.5 <= oracle.time_to_use_at_most(times, 3.0, 30.0, 25.0 * 1.05) <= 7.0
 
@@ -83,6 +83,6 @@
     assert sum(arrival.team == 0 for arrival in first(1)) == pytest.approx(5000 * traffic.quotas()[0] / 450, rel=0.15)
 
 
-def test_a_tenth_of_the_dispatchers_is_a_seeded_sample():
+def test_busy_dispatchers_are_a_seeded_sample():
     assert len(traffic.busy_dispatchers(200, 0.1, 1)) == 20
     assert traffic.busy_dispatchers(200, 0.1, 1) != traffic.busy_dispatchers(200, 0.1, 2)
--- a/tests/fleet/test_load_relay.py
+++ b/tests/fleet/test_load_relay.py
@@ -1,4 +1,4 @@
-"""The relay of the load benchmark: whole frames in order, and the faults of its script. A real process on loopback."""
+"""The relay of the load benchmark, as a real process on loopback: complete frames in order, and scripted faults."""
 
 import asyncio
 import contextlib
@@ -8,7 +8,7 @@
 
 from benchmarks.fleet import children, relay
 
-LIMIT_S = 20.0
+TIMEOUT_S = 20.0
 
 
 def frame(payload):
@@ -22,8 +22,8 @@
 NO_NOISE = relay.Noise()
 
 
-class Bench:
-    """A relay process with one link to a server that sends each frame back."""
+class RelayLink:
+    """A relay process with one link to a server that echoes each frame."""
 
     def __init__(self, folder, cuts=(), noise=NO_NOISE, delay_ms=0.0, seed="1"):
         self.folder, self.cuts, self.noise, self.delay_ms, self.seed = folder, cuts, noise, delay_ms, seed
@@ -36,7 +36,7 @@
         self.process = await self.children.start(["-m", "benchmarks.fleet.relay"], self.folder / "relay.log")
         script = relay.Script(self.seed, (link,), self.cuts, self.noise, marks=(0.0,))
         await children.tell(self.process, msgspec.json.encode(script).decode())
-        self.port = msgspec.json.decode(await children.hear(self.process, LIMIT_S))[0]
+        self.port = msgspec.json.decode(await children.hear(self.process, TIMEOUT_S))[0]
         self.epoch = time.monotonic()
         await children.tell(self.process, repr(self.epoch))
         return self
@@ -58,13 +58,13 @@
 
 def played(folder, test, **options):
     async def play():
-        async with Bench(folder, **options) as bench:
+        async with RelayLink(folder, **options) as bench:
             await test(bench)
 
-    asyncio.run(asyncio.wait_for(play(), LIMIT_S))
+    asyncio.run(asyncio.wait_for(play(), TIMEOUT_S))
 
 
-def test_frames_arrive_whole_and_in_order_however_they_are_cut(tmp_path):
+def test_frames_arrive_complete_and_in_order_for_any_split(tmp_path):
     async def test(bench):
         reader, writer = await bench.connect()
         payloads = [bytes([n]) * (n * 7) for n in range(1, 60)]
@@ -77,7 +77,7 @@
     played(tmp_path, test, noise=relay.Noise(late=0.3, late_ms=20))
 
 
-def test_a_frame_takes_the_delay_of_its_link_each_way(tmp_path):
+def test_frame_takes_the_delay_of_its_link_each_way(tmp_path):
     async def test(bench):
         reader, writer = await bench.connect()
         began = time.monotonic()
@@ -88,7 +88,7 @@
     played(tmp_path, test, delay_ms=50.0)
 
 
-def test_the_first_frame_comes_once_and_others_may_come_twice(tmp_path):
+def test_first_frame_is_never_duplicated_and_later_ones_may_be(tmp_path):
     async def test(bench):
         reader, writer = await bench.connect()
         for payload in (b"hello", b"one", b"end"):
@@ -99,33 +99,33 @@
     played(tmp_path, test, noise=relay.Noise(twice=1.0))
 
 
-def test_a_dropped_frame_ends_its_connection(tmp_path):
+def test_dropped_frame_closes_its_connection(tmp_path):
     async def test(bench):
         reader, writer = await bench.connect()
         writer.write(frame(b"hello"))
         assert await read_frame(reader) == b"hello"
         writer.write(frame(b"one"))
         with contextlib.suppress(ConnectionError):
-            await reader.read()  # returns at the connection's end alone
+            await reader.read()  # returns only when the connection ends
 
     played(tmp_path, test, noise=relay.Noise(dropped=1.0))
 
 
-def test_nothing_passes_in_a_cut(tmp_path):
+def test_no_frame_passes_during_a_partition(tmp_path):
     async def test(bench):
         reader, writer = await bench.connect()
         writer.write(frame(b"hello"))
         try:
             assert await read_frame(reader) == b"hello"
             came = time.monotonic()
-        except (asyncio.IncompleteReadError, ConnectionError):  # one half of the connections is reset at its end
+        except (asyncio.IncompleteReadError, ConnectionError):  # half of the connections are reset when the partition ends
             came = time.monotonic()
         assert came - bench.epoch >= 1.5
 
     played(tmp_path, test, cuts=(relay.Cut(0.0, 1.5, ("a",)),))
 
 
-def test_a_cut_round_both_ends_stops_nothing_between_them(tmp_path):
+def test_partition_around_both_ends_does_not_block_them(tmp_path):
     async def test(bench):
         reader, writer = await bench.connect()
         writer.write(frame(b"hello"))
@@ -134,10 +134,10 @@
     played(tmp_path, test, cuts=(relay.Cut(0.0, 3600.0, ("a", "b")),))
 
 
-def test_the_relay_ends_with_its_input_and_tells_its_counts(tmp_path):
+def test_relay_exits_at_end_of_input_and_reports_its_counts(tmp_path):
     async def test(bench):
-        snapshots = msgspec.json.decode(await children.finish(bench.process, LIMIT_S), type=list[relay.Snapshot])
+        snapshots = msgspec.json.decode(await children.finish(bench.process, TIMEOUT_S), type=list[relay.Snapshot])
         assert [snapshot.at for snapshot in snapshots] == [0.0]
-        assert await asyncio.wait_for(bench.process.wait(), LIMIT_S) == 0
+        assert await asyncio.wait_for(bench.process.wait(), TIMEOUT_S) == 0
 
     played(tmp_path, test)
--- a/tests/fleet/test_rules_credits.py
+++ b/tests/fleet/test_rules_credits.py
@@ -1,4 +1,4 @@
-"""Credit by cumulative counters: both ends, and messages that are lost, repeated or late."""
+"""Credit accounts by cumulative counters: both sides, with lost, repeated and late messages."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from badgerroad.fleet.rules.sharing import FairShares
 
 
-def test_what_is_granted_is_outstanding_until_it_is_reported() -> None:
+def test_granted_credit_is_outstanding_until_it_is_reported() -> None:
     credit = GrantorCredit()
     credit.grant(5)
     assert credit.report(2, 1) == Progress(2, 1)
     assert credit.outstanding == 2
 
 
-def test_a_report_repeated_or_late_adds_nothing() -> None:
+def test_repeated_or_late_report_changes_nothing() -> None:
     credit = GrantorCredit()
     credit.grant(5)
     credit.report(3, 1)
@@ -24,7 +24,7 @@
     assert credit.outstanding == 1
 
 
-def test_what_was_written_off_adds_nothing_when_it_is_reported_after_all() -> None:
+def test_written_off_credit_is_not_counted_again_when_it_is_reported() -> None:
     credit = GrantorCredit()
     credit.grant(5)
     credit.report(1, 0)
@@ -35,7 +35,7 @@
     assert credit.outstanding == 0
 
 
-def test_totals_beyond_what_was_granted_are_ignored() -> None:
+def test_totals_above_the_granted_total_are_ignored() -> None:
     credit = GrantorCredit()
     credit.grant(5)
     assert credit.report(1 << 62, 0) == credit.report(3, 3) == Progress(0, 0)
@@ -43,29 +43,29 @@
     assert credit.report(2, 3) == Progress(2, 3)
 
 
-def test_a_forgotten_account_adopts_the_totals_of_the_other_side() -> None:
+def test_dropped_account_adopts_the_totals_of_the_holder() -> None:
     credit = GrantorCredit()
-    credit.begin_anew(40, 2)
+    credit.adopt_totals(40, 2)
     assert (credit.granted, credit.outstanding) == (42, 0)
     credit.grant(3)
     assert credit.report(41, 2) == Progress(1, 0)
 
 
-def test_an_account_adopts_no_totals_while_credit_is_outstanding_nor_implausible_ones() -> None:
+def test_implausible_totals_and_totals_during_outstanding_credit_are_not_adopted() -> None:
     credit = GrantorCredit()
-    credit.begin_anew(1 << 62, 0)
+    credit.adopt_totals(1 << 62, 0)
     assert credit.granted == 0
     credit.grant(3)
-    credit.begin_anew(40, 2)
+    credit.adopt_totals(40, 2)
     assert (credit.granted, credit.outstanding) == (3, 3)
 
 
 @given(st.integers(0, 1 << 62), st.integers(0, 1 << 62))
-def test_a_number_far_ahead_does_not_hide_the_newest_message(known: int, number: int) -> None:
+def test_number_far_too_high_does_not_block_later_messages(known: int, number: int) -> None:
     assert is_newest(number, known) or 0 < known - number <= LATE_WINDOW
 
 
-def test_a_total_of_grants_repeated_or_late_adds_nothing() -> None:
+def test_repeated_or_late_granted_total_changes_nothing() -> None:
     held = HolderCredit()
     assert [held.take(total) for total in (3, 3, 1, 5)] == [3, 0, 0, 2]
     assert held.unused == 5
@@ -78,9 +78,11 @@
     ),
     st.randoms(),
 )
-def test_the_holder_never_has_more_than_the_grantor_counts_as_outstanding(steps, random) -> None:  # type: ignore[no-untyped-def]
-    """Messages both ways arrive late, in any order, several times or never. After a write-off the holder's lease has
-    ended, so it counts what it held as returned."""
+def test_holder_never_has_more_than_the_grantor_counts_as_outstanding(steps, random) -> None:  # type: ignore[no-untyped-def]
+    """Messages in both directions arrive late, in any order, several times or never.
+
+    At a write-off the holder's lease has ended, so the holder counts its unused credit as returned.
+    """
     granted, held = GrantorCredit(), HolderCredit()
     grants: list[int] = [0]
     reports: list[tuple[int, int]] = [(0, 0)]
@@ -108,7 +110,7 @@
 
 
 @given(st.dictionaries(st.integers(0, 5), st.integers(1, 20), min_size=1), st.lists(st.integers(0, 30), max_size=30))
-def test_shares_never_exceed_what_there_is_nor_what_is_needed(needs: dict[int, int], amounts: list[int]) -> None:
+def test_shares_never_exceed_the_available_or_the_needed_amount(needs: dict[int, int], amounts: list[int]) -> None:
     shares: FairShares[int] = FairShares()
     for available in amounts:
         given_out = shares.share(available, needs)
@@ -117,7 +119,7 @@
 
 
 @given(st.dictionaries(st.integers(0, 9), st.integers(1, 50), min_size=2, max_size=10))
-def test_single_requests_go_around_in_proportion_to_need(needs: dict[int, int]) -> None:
+def test_single_requests_are_shared_over_time_in_proportion_to_need(needs: dict[int, int]) -> None:
     shares: FairShares[int] = FairShares()
     got = dict.fromkeys(needs, 0)
     rounds = sum(needs.values()) * 4
--- a/tests/fleet/test_rules_messages.py
+++ b/tests/fleet/test_rules_messages.py
@@ -1,4 +1,4 @@
-"""The messages of a fleet: what goes over the wire, and what is refused."""
+"""The messages of a fleet: their encoding, and the input that is rejected."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
 
 
 @pytest.mark.parametrize("message", EACH_KIND, ids=lambda message: type(message).__name__)
-def test_each_kind_of_message_survives_the_wire(message: messages.Message) -> None:
+def test_each_message_kind_round_trips(message: messages.Message) -> None:
     assert decode(encode(message)) == message
 
 
-def test_there_is_an_example_of_each_kind() -> None:
+def test_examples_cover_each_message_kind() -> None:
     assert {message.__struct_config__.tag for message in EACH_KIND} == messages.TAGS
 
 
-def test_a_message_of_an_unknown_kind_comes_back_as_unknown() -> None:
+def test_message_of_an_unknown_kind_decodes_as_unknown() -> None:
     assert decode(msgspec.msgpack.encode([77, "anything", {}])) == Unknown(77)
 
 
 @pytest.mark.parametrize("message", EACH_KIND, ids=lambda message: type(message).__name__)
-def test_fields_that_a_newer_version_appends_are_ignored(message: messages.Message) -> None:
+def test_fields_appended_by_a_newer_version_are_ignored(message: messages.Message) -> None:
     fields = msgspec.msgpack.decode(encode(message))
     assert decode(msgspec.msgpack.encode([*fields, "new", 1])) == message
 
@@ -76,23 +76,23 @@
         [True, 1, 2],
     ],
 )
-def test_fields_that_are_missing_or_out_of_bounds_are_malformed(fields: object) -> None:
+def test_missing_or_out_of_bounds_fields_are_malformed(fields: object) -> None:
     with pytest.raises(MalformedMessageError):
         decode(msgspec.msgpack.encode(fields))
 
 
-def test_an_array_nested_too_deep_is_malformed() -> None:
+def test_too_deeply_nested_array_is_malformed() -> None:
     with pytest.raises(MalformedMessageError):
         decode(b"\x91" * 100_000)
 
 
-def test_a_message_over_the_limit_is_malformed() -> None:
+def test_message_above_the_size_limit_is_malformed() -> None:
     with pytest.raises(MalformedMessageError, match="at most"):
         decode(b"\x00" * (messages.MAX_MESSAGE_BYTES + 1))
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_unknown_or_malformed(data: bytes) -> None:
+def test_random_bytes_decode_or_raise_only_malformed_message_errors(data: bytes) -> None:
     error = None
     message = None
     try:
@@ -106,7 +106,7 @@
 
 
 @given(st.sampled_from(EACH_KIND), st.data())
-def test_a_message_with_one_byte_changed_never_raises_another_error(
+def test_message_with_one_changed_byte_raises_only_malformed_message_errors(
     message: messages.Message, data: st.DataObject
 ) -> None:
     changed = bytearray(encode(message))
--- a/tests/fleet/test_rules_settings.py
+++ b/tests/fleet/test_rules_settings.py
@@ -1,4 +1,4 @@
-"""What a fleet's settings may be."""
+"""The validation of a fleet's settings."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         ("controllers.region", controllers(("a", "z", "", True))),
     ],
 )
-def test_members_that_cannot_be_are_refused_by_field(field: str, members: tuple[Controller, ...]) -> None:
+def test_invalid_members_are_rejected_by_field(field: str, members: tuple[Controller, ...]) -> None:
     with pytest.raises(FleetSettingsError) as raised:
         FleetSettings(controllers=members).check()
     assert raised.value.field == field
@@ -46,31 +46,31 @@
         ("lending_ms", {"lending_ms": 1500}),
     ],
 )
-def test_durations_that_contradict_each_other_are_refused_by_field(field: str, changes: dict[str, Any]) -> None:
+def test_contradictory_durations_are_rejected_by_field(field: str, changes: dict[str, Any]) -> None:
     with pytest.raises(FleetSettingsError) as raised:
         fleet(**changes)
     assert raised.value.field == field
 
 
-def test_one_voter_a_region_decides_by_majority() -> None:
+def test_majority_is_counted_over_one_voter_per_region() -> None:
     assert fleet(7).majority == 4
     assert one_region(3).majority == 1
 
 
 @given(st.integers(1, 600_000_000))
-def test_a_duration_granted_out_of_what_is_left_ends_no_later_by_the_granter(left: int) -> None:
+def test_shortened_duration_does_not_outlast_the_grantors_own_lease(left: int) -> None:
     settings = fleet()
     assert settings.longer(settings.shorter(left)) <= left + 1
 
 
 @given(st.integers(1, 600_000_000), st.floats(0.99, 1.01), st.floats(0.99, 1.01))
-def test_the_grantor_waits_longer_than_the_holder_with_clocks_one_percent_off(
+def test_grantor_waits_longer_than_the_holder_with_clocks_one_percent_off(
     duration: int, one: float, other: float
 ) -> None:
     assert fleet().longer(duration) / one >= duration / other
 
 
-def test_nothing_carried_over_reaches_the_owner_after_the_next() -> None:
-    """The carry's time, by a clock a hundredth slow, and the time for votes are shorter than the shortest term."""
+def test_carried_over_credit_never_reaches_the_owner_after_the_next() -> None:
+    """The carry time (by a clock one percent slow) plus the time for votes is shorter than the shortest term."""
     settings = fleet()
     assert settings.longer(settings.carry_ms) + settings.claim_ms < settings.ownership_lease_ms
--- a/tests/fleet/test_scenarios.py
+++ b/tests/fleet/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Single faults with the default settings, in a small fleet called at twice its quota."""
+"""Single faults with the default settings, in a small fleet with load at twice its quota."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 def small_fleet() -> Setup:
-    """Three zones, two shards, all else as by default."""
+    """Three zones and two shards; all other settings are the defaults."""
     settings = FleetSettings(controllers=controllers(3, 3), shards=2)
     quotas = {f"team-{number}": QUOTA for number in range(TEAMS)}
     return Setup(settings, quotas, {f"dispatcher-{number}": f"zone-{number % 3}" for number in range(DISPATCHERS)})
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize(
     ("scenario", "within_s"), [(no_fault(), 0), (owner_killed(), 10)], ids=("no fault", "owner killed")
 )
-def test_the_quota_is_in_full_use_again_within_the_stated_time(scenario: Scenario, within_s: int) -> None:
+def test_quota_is_fully_used_again_within_the_stated_time(scenario: Scenario, within_s: int) -> None:
     figures, findings = run_scenario(scenario, small_fleet())
     assert not findings, "\n".join(str(violation) for violation in findings.first.values())
     assert figures.before > 0.9
--- a/tests/fleet/test_simulation.py
+++ b/tests/fleet/test_simulation.py
@@ -1,4 +1,4 @@
-"""The simulation itself: its clocks, its network, its queue and the meter of the oracle do what they say."""
+"""The simulation itself: its clocks, its network, its event queue and the oracle's quota meter."""
 
 from dataclasses import replace
 from functools import partial
@@ -16,29 +16,29 @@
 from tests.fleet.simulation.world import World
 
 
-def test_a_clock_reads_what_its_inverse_says() -> None:
+def test_clock_reading_and_its_inverse_agree() -> None:
     for seed in range(50):
         clock = draw_clock(Random(seed))
         assert abs(clock.when(clock.read(123_456_789)) - 123_456_789) < 2
         assert 0.99 <= clock.rate <= 1.01
 
 
-def test_a_fast_clock_shows_more_time() -> None:
+def test_fast_clock_shows_more_time() -> None:
     assert Clock(5, 1.01).read(SECOND) == 5 + 1_010_000
 
 
-def test_the_meter_stays_within_its_depth_at_the_quota() -> None:
+def test_meter_stays_within_its_depth_at_the_quota() -> None:
     meter = QuotaMeter(10.0, 3.0)
     levels = [meter.add(time * SECOND // 10) for time in range(1_000)]
     assert max(levels) <= 1.01
 
 
-def test_the_meter_overflows_by_one_request_too_many_at_once() -> None:
+def test_meter_exceeds_its_depth_when_one_request_too_many_arrives_at_once() -> None:
     meter = QuotaMeter(10.0, 3.0)
     assert [meter.add(SECOND) for _ in range(4)] == pytest.approx([1.0, 2.0, 3.0, 4.0])
 
 
-def test_the_meter_overflows_by_a_rate_above_the_quota() -> None:
+def test_meter_exceeds_its_depth_at_a_rate_above_the_quota() -> None:
     meter = QuotaMeter(10.0, 3.0)
     level = 0.0
     for number in range(1_200):
@@ -46,7 +46,7 @@
     assert level > 100
 
 
-def test_the_meter_takes_the_larger_rate_till_a_change_of_quota_is_settled() -> None:
+def test_meter_uses_the_larger_rate_until_a_quota_change_is_settled() -> None:
     meter = QuotaMeter(10.0, 3.0)
     meter.add(SECOND)
     meter.change(SECOND, 1.0, 1.0, settled=2 * SECOND)
@@ -54,7 +54,7 @@
     assert meter.add(2 * SECOND + SECOND // 2) == pytest.approx(2 - 0.505)
 
 
-def test_a_cut_holds_in_its_direction_only_and_ends() -> None:
+def test_partition_applies_in_its_direction_only_and_ends() -> None:
     network = Network(Random(1))
     network.block({("a", "b")})
     network.block({("a", "b"), ("b", "c")})
@@ -66,7 +66,7 @@
     assert not network.is_blocked("b", "c")
 
 
-def test_messages_are_lost_repeated_and_late_in_the_given_shares() -> None:
+def test_messages_are_lost_repeated_and_delayed_in_the_given_shares() -> None:
     conditions = Conditions(100, 200, loss=0.2, repeated=0.5, late=0.1, late_delay=1_000_000)
     network = Network(Random(1), conditions)
     sent = [network.delays(Parcel("one", 1, "two", None, 0)) for _ in range(4_000)]
@@ -77,7 +77,7 @@
     assert min(copies) >= 100
 
 
-def test_slow_messages_are_those_of_their_kind_and_ends_only() -> None:
+def test_slow_messages_are_selected_by_kind_and_endpoints() -> None:
     network = Network(Random(1), slow=[SlowMessages("VoteRelease", "one", "", 1_000_000)])
     slow = Parcel("one", 1, "two", VoteRelease(()), 0)
     assert min(network.delays(slow)) > 1_000_000
@@ -85,14 +85,14 @@
     assert max(network.delays(replace(slow, message=NotOwner(0, 0)))) < 1_000_000
 
 
-def test_a_lost_connection_loses_what_is_under_way() -> None:
+def test_lost_connection_drops_messages_in_flight() -> None:
     network = Network(Random(1))
     parcel = Parcel("one", 1, "two", None, network.epoch("one", "two"))
     network.lose_connection("two", "one")
     assert network.epoch("one", "two") != parcel.connection
 
 
-def test_the_queue_runs_in_the_order_of_time_and_of_entry() -> None:
+def test_queue_runs_events_by_time_and_order_of_entry() -> None:
     world = World(small_setup(Random(1)), Random(1))
     seen: list[str] = []
     for time, text in ((20, "c"), (10, "a"), (10, "b"), (30, "d")):
@@ -102,7 +102,7 @@
     assert world.now == 20
 
 
-def test_a_stopped_node_handles_queued_messages_once_it_wakes_and_a_dead_one_never() -> None:
+def test_stopped_node_handles_queued_messages_after_it_wakes_and_a_killed_one_never() -> None:
     world = World(small_setup(Random(1)), Random(1))
     world.start_all()
     node = world.dispatchers[0]
@@ -123,7 +123,7 @@
     assert handled == [SECOND]
 
 
-def test_a_restarted_node_has_a_higher_incarnation_and_new_rules() -> None:
+def test_restarted_node_has_a_higher_incarnation_and_new_rules() -> None:
     world = World(small_setup(Random(1)), Random(1))
     world.start_all()
     node = world.controllers[0]
@@ -141,7 +141,7 @@
     assert run_seed(5) == run_seed(5)
 
 
-def test_the_drawn_schedules_hold_every_kind_of_fault() -> None:
+def test_drawn_schedules_contain_every_kind_of_fault() -> None:
     kinds = {type(fault).__name__ for seed in range(60) for fault in draw_schedule(seed).faults}
     assert kinds == {
         "Cut",
@@ -157,7 +157,7 @@
     }
 
 
-def test_the_set_ups_are_valid_settings() -> None:
+def test_setups_have_valid_settings() -> None:
     for seed in range(50):
         small_setup(Random(seed)).settings.check()
     large = large_setup()
--- a/tests/fleet/zone_setup.py
+++ b/tests/fleet/zone_setup.py
@@ -1,8 +1,8 @@
-"""A zone controller for tests, whose owner is played by the test."""
+"""A zone controller for tests. The test takes the role of its owner."""
 
 from __future__ import annotations
 
-from rules_setup import START, S, fleet, messages
+from rules_setup import START, SECOND, fleet, messages
 
 from badgerroad.fleet.messages import (
     Claim,
@@ -26,21 +26,21 @@
 D0, D1 = Peer("d0", 1), Peer("d1", 1)
 
 
-ME = 9  # the zone controller's incarnation
+INCARNATION = 9  # the zone controller's incarnation
 
 
 SETTINGS = fleet()
 
 
-LENT = int(5 * S * (1 + 2 * SETTINGS.clock_margin)) + 1
+LENDING_US = int(5 * SECOND * (1 + 2 * SETTINGS.clock_margin)) + 1
 
 
 class Zone:
-    """A zone controller whose owner is played by the test."""
+    """A zone controller whose owner is simulated by the test."""
 
     def __init__(self, quota: float = 30.0, settings: FleetSettings = SETTINGS) -> None:
         self.view = View(settings)
-        self.rules = ZoneController(settings, ME, self.view, START)
+        self.rules = ZoneController(settings, INCARNATION, self.view, START)
         self.rules.set_quotas(START, {"team": quota})
         self.sequence = 0
 
@@ -51,8 +51,8 @@
         self.rules.expire(now)
         return self.rules.tick(now)
 
-    def asked(self, now: int) -> QuotaRequest:
-        """Announces the owner, and returns what it is asked."""
+    def request_quota(self, now: int) -> QuotaRequest:
+        """Announce the owner and return the quota request that is sent to it."""
         self.announce(now, OWNER, 5)
         (action,) = self.tick(now)
         assert action.to == OWNER.name
@@ -79,7 +79,7 @@
         )
 
     def open(self, now: int = START, granted: int = 8) -> QuotaRequest:
-        request = self.asked(now)
+        request = self.request_quota(now)
         self.grant(now, request, granted)
         return request
 
@@ -87,7 +87,7 @@
         self.sequence += 1
         self.rules.expire(now)
         need = LeaseNeed("team", used, returned, wanted)
-        request = LeaseRequest(changes.get("sequence", self.sequence), (need,), changes.get("controller", ME))
+        request = LeaseRequest(changes.get("sequence", self.sequence), (need,), changes.get("controller", INCARNATION))
         (grant,) = messages(self.rules.lease(now, peer, request), LeaseGrant)
         assert grant.sequence == request.sequence
         return grant.credits[0]
