--- a/tests/fleet/simulation/broken_rules.py
+++ b/tests/fleet/simulation/broken_rules.py
@@ -150,7 +150,9 @@
         OWNERSHIP,
         "late release",
     ),
-    BrokenRule("a voter votes at once after its start", (Patch(Voter, "_abstaining", _never),), OWNERSHIP, "voters forget"),
+    BrokenRule(
+        "a voter votes at once after its start", (Patch(Voter, "_abstaining", _never),), OWNERSHIP, "voters forget"
+    ),
     BrokenRule(
         "a woken owner keeps granting",
         (Patch(Candidate, "owns", _owns_without_end),),
--- a/tests/fleet/simulation/inspect.py
+++ b/tests/fleet/simulation/inspect.py
@@ -30,7 +30,9 @@
             for name, team in rules.owners[shard].teams.items():
                 bucket = team.bucket
                 out = bucket.outstanding + bucket.suspended
-                yield BucketState(name, bucket.total / MICRO_PER_REQUEST, out / MICRO_PER_REQUEST, bucket.depth / MICRO_PER_REQUEST)
+                yield BucketState(
+                    name, bucket.total / MICRO_PER_REQUEST, out / MICRO_PER_REQUEST, bucket.depth / MICRO_PER_REQUEST
+                )
 
 
 def lending(rules: ControllerRules, owned_until: dict[int, int]) -> Iterator[tuple[int, str, int]]:
