--- a/badgerroad/fleet/controller.py
+++ b/badgerroad/fleet/controller.py
@@ -185,7 +185,9 @@
         log.info("configuration_reloaded", teams=len(quotas))
 
     def _log_settings_that_need_restart(self, fleet: Fleet, settings: FleetSettings) -> None:
-        """Log changed members and durations, which apply only after a restart since all processes must agree on them.
+        """Log changed members and durations, which need a restart.
+
+        All processes of the fleet must agree on them.
         """
         names = settings.__struct_fields__
         changed = [name for name in names if getattr(settings, name) != getattr(self._settings, name)]
--- a/badgerroad/fleet/rules/bucket.py
+++ b/badgerroad/fleet/rules/bucket.py
@@ -59,8 +59,7 @@
         self.outstanding -= amount
 
     def put_back(self, amount: int) -> None:
-        """Move `amount` of outstanding credit that was returned unused back to the level, as far as the depth allows.
-        """
+        """Move `amount` of outstanding credit that came back unused to the level, as far as the depth allows."""
         self.outstanding -= amount
         self.level += min(amount, max(0, self.depth - self.total))
 
--- a/badgerroad/fleet/rules/lease_transfer.py
+++ b/badgerroad/fleet/rules/lease_transfer.py
@@ -9,8 +9,7 @@
 
 
 class ExportedLease(msgspec.Struct, frozen=True):
-    """Unused credit of one team: `count` requests, valid until `end` (microseconds of the machine's monotonic clock).
-    """
+    """Unused credit of one team: `count` requests, valid until `end` (microseconds of the monotonic clock)."""
 
     team: str
     count: int
--- a/badgerroad/fleet/rules/order.py
+++ b/badgerroad/fleet/rules/order.py
@@ -1,4 +1,4 @@
-"""The preference orders of controllers, which every process computes alike and which spread the load evenly."""
+"""The preference orders of controllers. All processes compute the same orders, which spread the load evenly."""
 
 from __future__ import annotations
 
--- a/badgerroad/fleet/rules/owner.py
+++ b/badgerroad/fleet/rules/owner.py
@@ -314,8 +314,7 @@
             team.waiting.pop(session.peer, None)
 
     def _grant_at_once(self, now: int, session: Session, name: str, account: Account) -> None:
-        """Grant the shortfall if the bucket covers all waiting sessions; otherwise the next tick shares the credit out.
-        """
+        """Grant the shortfall if the bucket covers all waiting sessions; otherwise the next tick shares it out."""
         team = self._refresh(name)
         needed = sum(waiting.accounts[name].shortfall for waiting in team.waiting.values())
         if session.peer in team.waiting and needed * MICRO_PER_REQUEST <= team.bucket.level:
@@ -323,8 +322,7 @@
             self._update_waiting(session, name, account)
 
     def _distribute(self, now: int, name: str) -> dict[Peer, Session]:
-        """Share the available credit of one team among its waiting sessions. Returns the sessions that received some.
-        """
+        """Share the available credit of one team among its waiting sessions. Returns the sessions that got some."""
         team = self._refresh(name)
         needs = {
             peer: session.accounts[name].shortfall
--- a/badgerroad/fleet/rules/reserve.py
+++ b/badgerroad/fleet/rules/reserve.py
@@ -53,8 +53,7 @@
     """The zone's side, for one shard. `usable_from`: by the zone's clock."""
 
     def __init__(self, settings: FleetSettings, now: int) -> None:
-        """Start at `now`. The reserve counts as lent, because an earlier incarnation of this process may have lent it.
-        """
+        """Start at `now` with the reserve counted as lent, because an earlier incarnation may have lent it."""
         self._settings = settings
         self.usable_from = 0
         self._leased_until = 0
--- a/tests/fleet/fleet_processes.py
+++ b/tests/fleet/fleet_processes.py
@@ -23,8 +23,7 @@
 
 
 def free_ports(count):
-    """Return unused ports below the ephemeral range, since the system may assign ephemeral ports before they are used.
-    """
+    """Return unused ports below the ephemeral range, since the system may assign ephemeral ports before they are used."""
     ports = set()
     while len(ports) < count:
         port = SystemRandom().randrange(10_000, 32_000)
@@ -228,7 +227,9 @@
         self._granted, self._returned = {}, {}  # totals by peer and team
         (member,) = (member for member in fleet.members if member["name"] == name)
         self._address = (member["host"], member["port"])
-        hello = Hello(VERSION, name, member["zone"], fleet_connections.ROLE_CONTROLLER, fleet_connections.new_incarnation())
+        hello = Hello(
+            VERSION, name, member["zone"], fleet_connections.ROLE_CONTROLLER, fleet_connections.new_incarnation()
+        )
         self.connections = fleet_connections.Connections(hello, {name: self._address}, self, Random(1))
 
     async def __aenter__(self):
--- a/tests/fleet/rules_setup.py
+++ b/tests/fleet/rules_setup.py
@@ -69,7 +69,9 @@
         self.quotas: dict[str, float] = {}
 
     def new_controller(self, name: str) -> ControllerRules:
-        return ControllerRules(self.settings, name, self.incarnations[name], self.now, Random(f"{name}/{self.incarnations[name]}"))
+        return ControllerRules(
+            self.settings, name, self.incarnations[name], self.now, Random(f"{name}/{self.incarnations[name]}")
+        )
 
     def new_dispatcher(self, name: str) -> DispatcherLeases:
         return DispatcherLeases(self.settings, name, self.zones[name], self.incarnations[name], self.now, Random(name))
@@ -102,7 +104,9 @@
                 self.deliver(action.to, node.receive(self.now, Peer(sender, self.incarnations[sender]), action.message))
 
     def reaches(self, sender: str, receiver: str) -> bool:
-        separated = (sender in self.partitioned) != (receiver in self.partitioned) and {sender, receiver} <= set(self.controllers)
+        separated = (sender in self.partitioned) != (receiver in self.partitioned) and {sender, receiver} <= set(
+            self.controllers
+        )
         return not separated and not self.stopped & {sender, receiver}
 
     def run(self, microseconds: int) -> None:
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -223,7 +223,10 @@
     async with Network("a") as network:
         a = network.controller("a")
         reader, writer = await asyncio.open_connection(*network.addresses["a"])
-        writer.write(frame(encode(Hello(VERSION, "d", "z", fleet_connections.ROLE_DISPATCHER, 1))) + frame(encode(ANNOUNCEMENT))[:-1])
+        writer.write(
+            frame(encode(Hello(VERSION, "d", "z", fleet_connections.ROLE_DISPATCHER, 1)))
+            + frame(encode(ANNOUNCEMENT))[:-1]
+        )
         await read_to_end(reader)
         assert a.connections.traffic().silent == 1
         assert a.losses == ["d"]
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -231,7 +231,11 @@
 
 @asynchronous
 async def test_sigterm_returns_all_leases_and_exits_with_code_0(tmp_path):
-    async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, DispatcherEnvironment(serve) as w:
+    async with (
+        Controllers(tmp_path, 1) as fleet,
+        ScriptedController(fleet) as controller,
+        DispatcherEnvironment(serve) as w,
+    ):
         program = await start_dispatcher(fleet, w)
         await w.ready()
         for number in range(5):
@@ -258,7 +262,11 @@
 
 @asynchronous
 async def test_old_process_returns_its_leases_during_a_hot_restart(tmp_path):
-    async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, DispatcherEnvironment(serve) as w:
+    async with (
+        Controllers(tmp_path, 1) as fleet,
+        ScriptedController(fleet) as controller,
+        DispatcherEnvironment(serve) as w,
+    ):
         variables = {"TMPDIR": str(tmp_path), "PROXY_OPS": f"127.0.0.1:{free_port()}"}
         old = await start_dispatcher(fleet, w, **variables)
         await w.ready()
@@ -282,7 +290,11 @@
 
 @asynchronous
 async def test_server_processes_on_one_address_lease_separately_and_return_their_leases(tmp_path):
-    async with Controllers(tmp_path, 1) as fleet, ScriptedController(fleet) as controller, DispatcherEnvironment(serve) as w:
+    async with (
+        Controllers(tmp_path, 1) as fleet,
+        ScriptedController(fleet) as controller,
+        DispatcherEnvironment(serve) as w,
+    ):
         config, operator = program_files(fleet, w)
         arguments = ("serve", "--workers", "2", "--operator", str(operator))
         program = await Program.start(*arguments, PROXY_CONFIG=str(config), TMPDIR=str(tmp_path))
@@ -313,7 +325,12 @@
     config = tmp_path / "config.json"
 
     def write(operator=None, **settings):
-        document = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": {**SETTINGS, **settings}}
+        document = {
+            "name": "n",
+            "listen": "127.0.0.1:1",
+            "discovery": "127.0.0.1:1",
+            "settings": {**SETTINGS, **settings},
+        }
         config.write_text(json.dumps(document))
         return config, fleet.write_operator("dispatcher", **(operator or {}))
 
--- a/tests/fleet/test_load_relay.py
+++ b/tests/fleet/test_load_relay.py
@@ -118,7 +118,10 @@
         try:
             assert await read_frame(reader) == b"hello"
             came = time.monotonic()
-        except (asyncio.IncompleteReadError, ConnectionError):  # half of the connections are reset when the partition ends
+        except (
+            asyncio.IncompleteReadError,
+            ConnectionError,
+        ):  # half of the connections are reset when the partition ends
             came = time.monotonic()
         assert came - bench.epoch >= 1.5
 
--- a/tests/fleet/test_rules_controller.py
+++ b/tests/fleet/test_rules_controller.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from rules_setup import MILLISECOND, START, Network, SECOND, fleet, messages, one_region, quota_request
+from rules_setup import MILLISECOND, SECOND, START, Network, fleet, messages, one_region, quota_request
 
 from badgerroad.fleet.messages import (
     Claim,
--- a/tests/fleet/test_rules_credits.py
+++ b/tests/fleet/test_rules_credits.py
@@ -66,14 +66,14 @@
 
 
 def test_repeated_or_late_granted_total_changes_nothing() -> None:
-    held = HolderCredit()
-    assert [held.take(total) for total in (3, 3, 1, 5)] == [3, 0, 0, 2]
-    assert held.unused == 5
+    holder = HolderCredit()
+    assert [holder.take(total) for total in (3, 3, 1, 5)] == [3, 0, 0, 2]
+    assert holder.unused == 5
 
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["grant", "use", "return", "tell", "ask", "write off"]), st.integers(0, 5)),
+        st.tuples(st.sampled_from(["grant", "use", "return", "deliver", "report", "write off"]), st.integers(0, 5)),
         max_size=60,
     ),
     st.randoms(),
@@ -83,30 +83,30 @@
 
     At a write-off the holder's lease has ended, so the holder counts its unused credit as returned.
     """
-    granted, held = GrantorCredit(), HolderCredit()
+    grantor, holder = GrantorCredit(), HolderCredit()
     grants: list[int] = [0]
     reports: list[tuple[int, int]] = [(0, 0)]
     for step, count in steps:
         if step == "grant":
-            granted.grant(count)
-            grants.append(granted.granted)
+            grantor.grant(count)
+            grants.append(grantor.granted)
         elif step == "use":
-            held.use(min(count, held.unused))
+            holder.use(min(count, holder.unused))
         elif step == "return":
-            held.give_back(min(count, held.unused))
-        elif step == "tell":
-            held.take(random.choice(grants))
+            holder.give_back(min(count, holder.unused))
+        elif step == "deliver":
+            holder.take(random.choice(grants))
         elif step == "write off":
-            held.take(granted.granted)
-            held.give_back(held.unused)
-            granted.write_off()
+            holder.take(grantor.granted)
+            holder.give_back(holder.unused)
+            grantor.write_off()
         else:
-            reports.append((held.used, held.returned))
-            before = granted.outstanding
-            progress = granted.report(*random.choice(reports))
+            reports.append((holder.used, holder.returned))
+            before = grantor.outstanding
+            progress = grantor.report(*random.choice(reports))
             assert min(progress) >= 0
-            assert before - granted.outstanding == sum(progress)
-        assert 0 <= held.unused <= granted.outstanding
+            assert before - grantor.outstanding == sum(progress)
+        assert 0 <= holder.unused <= grantor.outstanding
 
 
 @given(st.dictionaries(st.integers(0, 5), st.integers(1, 20), min_size=1), st.lists(st.integers(0, 30), max_size=30))
--- a/tests/fleet/test_rules_dispatcher.py
+++ b/tests/fleet/test_rules_dispatcher.py
@@ -4,8 +4,8 @@
 
 from random import Random
 
-from dispatcher_setup import OWN_CONTROLLER, SETTINGS, grant_for, lease_request, dispatcher, dispatcher_with_credit
-from rules_setup import MILLISECOND, START, SECOND, decided, messages
+from dispatcher_setup import OWN_CONTROLLER, SETTINGS, dispatcher, dispatcher_with_credit, grant_for, lease_request
+from rules_setup import MILLISECOND, SECOND, START, decided, messages
 
 from badgerroad.fleet.messages import LeaseGrant, LeaseRequest, LeaseReturn, QuotaGrant, Usage
 from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
@@ -19,7 +19,9 @@
     assert action.to == "c1"
     assert lease_request([action]).needs[0].wanted == 1
     assert lease_request([action]).controller == 0
-    assert leases.receive(START + MILLISECOND, OWN_CONTROLLER, grant_for(lease_request([action]), 1)) == [QuotaDecision(1, False)]
+    assert leases.receive(START + MILLISECOND, OWN_CONTROLLER, grant_for(lease_request([action]), 1)) == [
+        QuotaDecision(1, False)
+    ]
     assert leases.figures(START).within == 1
 
 
@@ -52,7 +54,10 @@
     actions = leases.receive(START + MILLISECOND, OWN_CONTROLLER, grant_for(first, 1))
     assert decided(actions) == {1: False}
     assert lease_request(actions).needs[0].wanted >= 2
-    assert decided(leases.receive(START + 2 * MILLISECOND, OWN_CONTROLLER, grant_for(lease_request(actions), 3))) == {2: False, 3: False}
+    assert decided(leases.receive(START + 2 * MILLISECOND, OWN_CONTROLLER, grant_for(lease_request(actions), 3))) == {
+        2: False,
+        3: False,
+    }
 
 
 def test_rejection_decides_all_waiting_requests_and_is_cached_briefly() -> None:
@@ -146,7 +151,10 @@
     assert decided(leases.receive(START + 100 * MILLISECOND, again, grant_for(request, 1))) == {2: False}
     request = lease_request(leases.request(START + 200 * MILLISECOND, 3, "team"))
     assert request.controller == 2
-    assert (request.needs[0].used, request.needs[0].returned) == (1, 0)  # one of the two used requests belongs to the earlier incarnation
+    assert (request.needs[0].used, request.needs[0].returned) == (
+        1,
+        0,
+    )  # one of the two used requests belongs to the earlier incarnation
 
 
 def test_lease_of_an_earlier_incarnation_stays_valid_until_its_end() -> None:
@@ -184,7 +192,9 @@
 def test_used_requests_are_reported_once_within_half_a_second() -> None:
     leases = dispatcher_with_credit(0)
     returns = [messages(leases.tick(START + tick * 50 * MILLISECOND), LeaseReturn) for tick in range(1, 40)]
-    assert [message for messages_of_tick in returns for message in messages_of_tick] == [LeaseReturn((Usage("team", 1, 0),), 1)]
+    assert [message for messages_of_tick in returns for message in messages_of_tick] == [
+        LeaseReturn((Usage("team", 1, 0),), 1)
+    ]
     assert returns[9]
 
 
--- a/tests/fleet/test_rules_dispatcher_failover.py
+++ b/tests/fleet/test_rules_dispatcher_failover.py
@@ -4,10 +4,17 @@
 
 from typing import Any
 
-from dispatcher_setup import NEXT_CONTROLLER, OWN_CONTROLLER, grant_for, lease_request, dispatcher, dispatcher_with_credit
+from dispatcher_setup import (
+    NEXT_CONTROLLER,
+    OWN_CONTROLLER,
+    dispatcher,
+    dispatcher_with_credit,
+    grant_for,
+    lease_request,
+)
 from hypothesis import given
 from hypothesis import strategies as st
-from rules_setup import MILLISECOND, START, SECOND, decided, messages, one_region
+from rules_setup import MILLISECOND, SECOND, START, decided, messages, one_region
 
 from badgerroad.fleet.messages import LeaseCredit, LeaseGrant, LeaseRequest
 from badgerroad.fleet.rules.actions import Peer, QuotaDecision, SendMessage
@@ -45,7 +52,9 @@
     leases.request(START, 1, "team")
     (action,) = leases.peer_lost(START + MILLISECOND, "c1")
     assert action.to == NEXT_CONTROLLER
-    assert leases.receive(START + 2 * MILLISECOND, Peer(NEXT_CONTROLLER, 1), grant_for(action.message, 1)) == [QuotaDecision(1, False)]
+    assert leases.receive(START + 2 * MILLISECOND, Peer(NEXT_CONTROLLER, 1), grant_for(action.message, 1)) == [
+        QuotaDecision(1, False)
+    ]
     assert leases.peer_lost(START + 3 * MILLISECOND, "c1") == []
 
 
--- a/tests/fleet/test_rules_owner.py
+++ b/tests/fleet/test_rules_owner.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rules_setup import MILLISECOND, START, SECOND, fleet, messages, quota_request
+from rules_setup import MILLISECOND, SECOND, START, fleet, messages, quota_request
 
 from badgerroad.fleet.messages import NotOwner, QuotaGrant, QuotaNeed, QuotaReturn, Usage
 from badgerroad.fleet.rules.actions import Peer, SendMessage
@@ -23,7 +23,9 @@
     return QuotaNeed(team, used, returned, wanted, carried)
 
 
-def request_quota(shard: ShardOwner, now: int, peer: Peer, sequence: int, *needs: QuotaNeed, **changes: int) -> QuotaGrant:
+def request_quota(
+    shard: ShardOwner, now: int, peer: Peer, sequence: int, *needs: QuotaNeed, **changes: int
+) -> QuotaGrant:
     remaining = changes.pop("remaining", 5 * SECOND)
     action = shard.request(now, peer, quota_request(5, sequence, *needs, **changes), remaining)
     assert action.to == peer.name
@@ -90,7 +92,9 @@
             granted_counts[action.to] = granted(grant)
         if tenth % 10 == 0:
             for number, (peer, wanted) in enumerate(((Z0, 2), (Z1, 2), (Z2, 4))):
-                request_quota(shard, START + tenth * 100 * MILLISECOND, peer, 2 + tenth, need(wanted), session=100 + number)
+                request_quota(
+                    shard, START + tenth * 100 * MILLISECOND, peer, 2 + tenth, need(wanted), session=100 + number
+                )
     assert granted_counts == {"c0": 1, "c1": 1, "c2": 2}
 
 
@@ -303,7 +307,9 @@
     for peer in (Z0, Z1, Z2):
         request_quota(shard, START, peer, 1, need(1))
     shard.tick(START + SECOND)
-    granted_counts = [granted(message) for message in messages(shard.distribute_remaining(START + SECOND, None), QuotaGrant)]
+    granted_counts = [
+        granted(message) for message in messages(shard.distribute_remaining(START + SECOND, None), QuotaGrant)
+    ]
     assert granted_counts == [4, 3, 3]
     assert shard.teams["team"].bucket.outstanding == 10 * MICRO_PER_REQUEST
     assert shard.distribute_remaining(START + SECOND, None) == []
--- a/tests/fleet/test_rules_reserve.py
+++ b/tests/fleet/test_rules_reserve.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rules_setup import START, SECOND, fleet
+from rules_setup import SECOND, START, fleet
 
 from badgerroad.fleet.rules.demand import Demand, target_stock
 from badgerroad.fleet.rules.reserve import Lending, Reserve, ReserveStock, zone_share
@@ -115,9 +115,7 @@
 
 
 @given(st.floats(0.01, 1000.0), st.integers(1, 30), st.integers(1, 4), st.floats(0.1, 5.0), st.floats(0.0, 1.0))
-def test_stocks_of_all_zones_fit_in_the_bucket(
-    quota: float, zones: int, each: int, burst: float, skew: float
-) -> None:
+def test_stocks_of_all_zones_fit_in_the_bucket(quota: float, zones: int, each: int, burst: float, skew: float) -> None:
     """Demand is half the quota: one zone has any part of it, and the others share the rest evenly."""
     settings = fleet(zones, requests_per_zone=each, burst_s=burst)
     one = quota / 2 * (skew if zones > 1 else 1.0)
--- a/tests/fleet/test_rules_voter.py
+++ b/tests/fleet/test_rules_voter.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from rules_setup import MILLISECOND, START, SECOND, fleet
+from rules_setup import MILLISECOND, SECOND, START, fleet
 
 from badgerroad.fleet.messages import Claim, Holding, OwnerAnnouncement, VoteRelease, VoteReply, VoteRequest
 from badgerroad.fleet.rules.actions import Peer
--- a/tests/fleet/test_rules_zone.py
+++ b/tests/fleet/test_rules_zone.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rules_setup import MILLISECOND, START, SECOND, messages
+from rules_setup import MILLISECOND, SECOND, START, messages
 from zone_setup import D0, D1, INCARNATION, NEXT_OWNER, SETTINGS, Zone
 
 from badgerroad.fleet.messages import (
@@ -162,7 +162,10 @@
     assert request.needs[0].wanted > 4
     assert request.session == 100
     assert request.acknowledged == 1
-    assert messages(zone.rules.lease(START + 100 * MILLISECOND, D1, LeaseRequest(1, needs, INCARNATION)), QuotaRequest) == []
+    assert (
+        messages(zone.rules.lease(START + 100 * MILLISECOND, D1, LeaseRequest(1, needs, INCARNATION)), QuotaRequest)
+        == []
+    )
     assert len(zone.tick(START + 110 * MILLISECOND)) == 1
 
 
--- a/tests/fleet/test_rules_zone_sessions.py
+++ b/tests/fleet/test_rules_zone_sessions.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rules_setup import MILLISECOND, START, SECOND, messages
+from rules_setup import MILLISECOND, SECOND, START, messages
 from zone_setup import D0, LENDING_US, NEXT_OWNER, OWNER, SETTINGS, Zone
 
 from badgerroad.fleet.messages import (
--- a/tests/fleet/zone_setup.py
+++ b/tests/fleet/zone_setup.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rules_setup import START, SECOND, fleet, messages
+from rules_setup import SECOND, START, fleet, messages
 
 from badgerroad.fleet.messages import (
     Claim,
