--- a/badgerroad/fleet/rules/team_leases.py
+++ b/badgerroad/fleet/rules/team_leases.py
@@ -6,7 +6,7 @@
 from badgerroad.fleet.rules.credits import HolderCredit
 from badgerroad.fleet.rules.demand import Demand
 
-PREFETCH_S = 0.5  # seconds of recent demand that are leased in advance
+PREFETCH_S = 0.5  # seconds of recent demand to lease in advance
 INHERITED = Peer("", 0)  # key of the account for credit inherited from another process
 
 
--- a/badgerroad/fleet/rules/view.py
+++ b/badgerroad/fleet/rules/view.py
@@ -12,7 +12,7 @@
 from badgerroad.fleet.rules.actions import Peer
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-MAX_TERM = 1 << 43  # higher terms are invalid: no installation holds that many elections
+MAX_TERM = 1 << 43  # higher terms are invalid, since no installation reaches that many elections
 ALIVE_PERIODS = 3  # renewal periods for which a controller counts as alive after its last announcement
 
 
