--- a/badgerroad/backend/__init__.py
+++ b/badgerroad/backend/__init__.py
@@ -1,1 +1,1 @@
-"""The backend: one module or package a protocol that workers speak."""
+"""The backend sends requests to workers; each worker protocol has a module or package of its own."""
--- a/badgerroad/backend/attempts.py
+++ b/badgerroad/backend/attempts.py
@@ -1,4 +1,4 @@
-"""An attempt: one request sent once to one worker."""
+"""The state of attempts. An attempt is one request sent once to one worker."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 
 
 class ForwardedRequest:
-    """What all attempts of one request forward, byte for byte. `deadline` in microseconds of the clock."""
+    """The parts of a client's request that all its attempts forward unchanged.
+
+    `deadline` is in microseconds of the clock.
+    """
 
     __slots__ = ("id", "method", "target", "headers", "body", "deadline")
 
     def __init__(
         self, method: bytes, target: bytes, body: bytes, request_id: bytes, headers: http1.Headers, deadline: int
     ) -> None:
-        """`headers`: without those that belong to one connection."""
+        """Store the parts; `headers` must not include the hop-by-hop ones."""
         self.id = request_id
         self.method = method
         self.target = target
@@ -49,38 +52,38 @@
     )
 
     def __init__(self, request: int, number: int, forwarded: ForwardedRequest, worker: str, now: int) -> None:
-        """Attempt `number` of the dispatcher's request `request`, sent to `worker` at `now`."""
+        """Create attempt `number` of the dispatcher's request number `request`, sent to `worker` at `now`."""
         self.request = request
         self.number = number
         self.forwarded = forwarded
         self.worker = worker
         self.sent_at = now
-        self.written = False  # to the connection
-        self.event_received = False  # a job event, before or after the 202
-        self.started = False  # as a job event reported
-        self.accepted = False  # by a 202
+        self.written = False  # the request has been handed to the connection
+        self.event_received = False  # a job event has arrived, before or after the 202
+        self.started = False  # a job event has reported the start
+        self.accepted = False  # the worker has responded with 202
         self.ended = False
         self.not_sent = False
-        self.opened_connection = False  # no idle connection was there
-        self.started_at = 0  # when its start was reported
-        self.status = 0  # of the worker's response, where it is not a 202
+        self.opened_connection = False  # no idle connection was available, so a new one was opened
+        self.started_at = 0  # when the start was reported
+        self.status = 0  # HTTP status of the worker's response if it is not 202
         self.connections: WorkerConnections | None = None
         self.timeout_timer: Timer | None = None
-        self.connection: CallConnection | None = None  # while the response is awaited
+        self.connection: CallConnection | None = None  # set while the response is awaited
 
-    def connecting(self, connection: CallConnection) -> None:
-        """A connection is opened for it, which ends with it."""
+    def on_connecting(self, connection: CallConnection) -> None:
+        """Record the connection being opened for this attempt, so that ending the attempt closes it."""
         self.connection = connection
         self.opened_connection = True
 
     @property
     def key(self) -> tuple[bytes, str]:
-        """A worker holds at most one attempt of a request at a time."""
+        """Request ID and worker, which are unique: a worker holds at most one attempt of a request at a time."""
         return self.forwarded.id, self.worker
 
     @property
     def log_fields(self) -> dict[str, object]:
-        """What identifies the attempt in a log line."""
+        """The log fields that identify the attempt."""
         return {
             "request_id": self.forwarded.id.decode("latin-1"),
             "attempt": self.number,
--- a/badgerroad/backend/cancels.py
+++ b/badgerroad/backend/cancels.py
@@ -1,4 +1,4 @@
-"""Cancels: `DELETE /jobs/<request id>` to a worker that has accepted an attempt."""
+"""Cancels jobs by `DELETE /jobs/<request id>` to a worker that has accepted an attempt."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     """Cancels jobs at workers. While a cancel is open, no attempt of the same request is sent to that worker."""
 
     def __init__(self, pools: ConnectionPools) -> None:
-        """Cancels go by connections of `pools`."""
+        """Send cancels on connections from `pools`."""
         self._pools = pools
 
     def start(self, worker: WorkerConnections, request_id: bytes, confirmed: Callable[[], None] | None) -> None:
-        """Cancel a request at a worker; `confirmed` is called once the worker has responded."""
+        """Cancel a request at a worker; `confirmed` is called once the worker responds, but not if the cancel fails."""
         worker.cancelling[request_id] = asyncio.get_event_loop().create_future()
         spawn(self._cancel(worker, request_id, confirmed))
 
--- a/badgerroad/backend/health_checks.py
+++ b/badgerroad/backend/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: `GET /-/load` to a worker, which also brings its load report."""
+"""Checks the health of workers by `GET /-/load`, whose response also contains a load report."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class HealthChecks:
-    """Performs health checks and raises a `HealthCheckResult` for each."""
+    """Performs health checks and raises a `HealthCheckResult` event for each."""
 
     def __init__(
         self, pools: ConnectionPools, reports: LoadReportParser, raise_event: Callable[[interface.Event], None]
     ) -> None:
-        """`reports`: reads the load reports; replaced when the settings change."""
+        """Parse load reports with `reports`, which is replaced when the settings change."""
         self.reports = reports
         self._pools = pools
         self.raise_event = raise_event
 
     def start(self, name: str) -> None:
-        """Check one worker, if it is known."""
+        """Start a check of worker `name`; does nothing if there is no such worker."""
         worker = self._pools.workers.get(name)
         if worker is not None:
             spawn(self._check(worker))
--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -1,8 +1,8 @@
 """The backend for workers that speak HTTP/1.1: sends attempts and ends them.
 
-An attempt is opened by `start_attempt` and ends in `_end`, whatever ends it: a response, a job event, a broken
-connection, its timeout or a cancel. Between the decision and the first byte it may wait for an earlier cancel and for a
-connection; `may_begin` is asked again immediately before that byte. Nothing is retried here.
+An attempt is opened by `start_attempt` and always ends in `_end`, whether by a response, a job event, a broken
+connection, its timeout or a cancel. After the decision to send it, an attempt may have to wait for an earlier cancel
+and for a connection, so `may_begin` is called again immediately before its first byte. The backend never retries.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 log = logs.get("badgerroad")
 
-# A worker responds with 202 as soon as it has the job, whether or not it can start it. One that has not by then has
-# vanished or is cut off, which no end of a connection shows.
+# A worker responds with 202 as soon as it has the job, whether or not it can start it yet. A worker that has not
+# responded within this time has failed or is unreachable, which may happen without the connection being closed.
 ACCEPT_TIMEOUT_US = 300_000
 
 AttemptEndedCallback = Callable[[Attempt, str, LoadReport, bytes], None]
 
 
 class Backend:
-    """The attempts that are open, and what sends them."""
+    """Sends attempts, health checks and cancels to workers, and tracks the open attempts."""
 
     def __init__(
         self,
@@ -49,8 +49,10 @@
         free_descriptors: Callable[[], None],
         on_sent: Callable[[], None] | None = None,
     ) -> None:
-        """`may_begin`: whether an attempt may still be sent; `free_descriptors`: takes descriptors from clients;
-        `on_sent`: called for each attempt whose last byte is written.
+        """Create a backend without workers.
+
+        `may_begin` tells whether an attempt may still be sent. `free_descriptors` closes connections of clients.
+        `on_sent` is called for each attempt once its last byte is written.
         """
         self.timers = timers
         self.settings = settings
@@ -65,7 +67,7 @@
         self._on_sent = on_sent
 
     def apply_settings(self, settings: interface.Settings) -> None:
-        """These settings hold from now on."""
+        """Use `settings` from now on."""
         self.settings = self.pools.settings = settings
         self.reports = LoadReportParser(settings.load_report_fields)
         self.health_checks.reports = self._job_events.reports = self.reports
@@ -75,22 +77,24 @@
     def start_attempt(self, attempt: Attempt, timeout: int, accept_timeout: int) -> None:
         """Send an attempt.
 
-        `timeout`: microseconds until it is given up, 0 for as long as the client waits. `accept_timeout`: microseconds
-        until the worker must have accepted it, 0 for no such limit.
+        `timeout` is in microseconds; 0 means until the deadline of the request. `accept_timeout` is the time in
+        microseconds within which the worker must accept the attempt; 0 means no limit.
         """
-        left = attempt.forwarded.deadline - attempt.sent_at
-        left = min(left, timeout) if timeout else left
+        remaining = attempt.forwarded.deadline - attempt.sent_at
+        remaining = min(remaining, timeout) if timeout else remaining
         worker = attempt.connections = self.pools.workers.get(attempt.worker)
-        if left <= 0 or attempt.key in self.attempts or worker is None:
+        if remaining <= 0 or attempt.key in self.attempts or worker is None:
             attempt.ended = True
             self._attempt_ended(attempt, interface.AttemptResult.NOT_NEEDED, None, b"")
             return
-        self._open(attempt, left)
-        spawn(self._run(attempt, worker, attempt.sent_at + left, accept_timeout))
+        self._open(attempt, remaining)
+        spawn(self._run(attempt, worker, attempt.sent_at + remaining, accept_timeout))
 
-    def _open(self, attempt: Attempt, left: int) -> None:
+    def _open(self, attempt: Attempt, remaining: int) -> None:
         self.attempts[attempt.key] = attempt
-        attempt.timeout_timer = self.timers.after(left, lambda: self._give_up(attempt, interface.AttemptResult.TIMEOUT))
+        attempt.timeout_timer = self.timers.after(
+            remaining, lambda: self._give_up(attempt, interface.AttemptResult.TIMEOUT)
+        )
 
     async def _run(self, attempt: Attempt, worker: WorkerConnections, deadline: int, accept_timeout: int) -> None:
         try:
@@ -99,7 +103,7 @@
             log.warning(
                 "attempt_not_sent", **attempt.log_fields, code=error.code, error=str(error), remedy=error.remedy
             )
-            # Not a failed connection, which would count against a healthy worker.
+            # Not CONNECT_FAILED, which would count against a healthy worker.
             self._end(attempt, interface.AttemptResult.NOT_NEEDED)
         except ConnectionBrokenError as error:
             if not attempt.ended:
@@ -116,14 +120,14 @@
     ) -> None:
         request_id = attempt.forwarded.id
         while request_id in worker.cancelling and not attempt.ended:
-            await asyncio.wait([worker.cancelling[request_id]])  # the earlier attempt there must be cancelled first
+            await asyncio.wait([worker.cancelling[request_id]])  # this request's earlier attempt at the worker
         if attempt.ended:
             return
-        connection = await self.pools.checkout(worker, attempt.connecting)
+        connection = await self.pools.checkout(worker, attempt.on_connecting)
         if attempt.ended:
             self.pools.checkin(worker, connection)
             return
-        attempt.connection = None  # stays usable for others, should the attempt end now
+        attempt.connection = None  # if the attempt ends now, the connection stays open for others
         if connection.address != worker.address or not self._may_begin(attempt):
             self.pools.checkin(worker, connection)
             self._end(attempt, interface.AttemptResult.NOT_SENT)
@@ -134,11 +138,12 @@
             self.pools.checkin(worker, connection)
             attempt.accepted = True
             return
-        # Some workers respond twice, the second time milliseconds late. Taken for the response to the next attempt on
-        # this connection, it could mean that a job never ran which runs. A 202 or a health check's response cannot.
+        # Some workers send a second response a few milliseconds after the first. On a reused connection it would be
+        # read as the response to the next attempt, and could report that a running job never ran. After a 202 or a
+        # health check the connection is reused, since a second copy of those responses cannot have that effect.
         connection.close()
         attempt.status = response.status
-        self._end(attempt, _result_of(response), self.reports.from_header(response.header(b"server-load")))
+        self._end(attempt, _result_for(response), self.reports.from_header(response.header(b"server-load")))
 
     async def _exchange(
         self,
@@ -148,14 +153,14 @@
         deadline: int,
         accept_timeout: int,
     ) -> http1.Message:
-        """Send the request and wait for the response, which must not take longer than `accept_timeout`."""
+        """Send the request and wait for the response, for `accept_timeout` microseconds at most (0: no limit)."""
         forwarded = attempt.forwarded
-        left_ms = max((deadline - self.timers.clock.now()) // 1000, 1)
+        remaining_ms = max((deadline - self.timers.clock.now()) // 1000, 1)
         data = http1.request(
             forwarded.method,
             forwarded.target,
             worker.authority,
-            [*forwarded.headers, (b"Request-Timeout-Ms", b"%d" % left_ms)],
+            [*forwarded.headers, (b"Request-Timeout-Ms", b"%d" % remaining_ms)],
             forwarded.body,
         )
         attempt.written = True
@@ -170,7 +175,7 @@
     def _end(
         self, attempt: Attempt, result: interface.AttemptResult, load: LoadReport = None, body: bytes = b""
     ) -> None:
-        """End an attempt and report it; the only place that does so. No effect on one that has ended."""
+        """End an attempt and report its result. This is the only place that does so; later calls have no effect."""
         if attempt.ended:
             return
         attempt.not_sent = result == interface.AttemptResult.NOT_SENT
@@ -178,7 +183,7 @@
         self._attempt_ended(attempt, result, load, body)
 
     def release_attempt(self, attempt: Attempt) -> None:
-        """End an attempt without a report: it has ended, or another process goes on with it."""
+        """End an attempt without reporting a result, as when another process takes it over."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -186,19 +191,20 @@
         if attempt.timeout_timer:
             attempt.timeout_timer.cancel()
 
-    def resume_attempt(self, attempt: Attempt, left: int) -> None:
-        """Go on with an attempt that a worker has accepted from another process, for `left` microseconds."""
+    def resume_attempt(self, attempt: Attempt, remaining: int) -> None:
+        """Take over an attempt that a worker has accepted from another process; `remaining` microseconds are left."""
         attempt.connections = self.pools.workers.get(attempt.worker)
-        self._open(attempt, left)
+        self._open(attempt, remaining)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """End an attempt whose response is not needed."""
+        """Cancel an attempt whose response is no longer needed."""
         self._give_up(attempt, interface.AttemptResult.CANCELLED)
 
     def _give_up(self, attempt: Attempt, result: interface.AttemptResult) -> None:
-        """Stop waiting: before the 202 the connection is closed, after it the job is cancelled.
+        """Stop waiting for an attempt: close its connection before the 202, cancel its job after it.
 
-        A 202 that lies unread on the socket counts, as closing would not tell its worker anything any more.
+        A 202 still unread on the socket counts as received: its worker has finished the exchange, so closing the
+        connection would not stop the job.
         """
         if attempt.ended:
             return
@@ -206,38 +212,38 @@
         accept_unread = attempt.written and connection is not None and connection.peer_has_sent()
         worker = attempt.connections
         if (attempt.accepted or accept_unread) and worker is not None and attempt.forwarded.id not in worker.cancelling:
-            # Without hedging, two attempts may never run at once: this one ends only once its worker has confirmed it.
-            waits = result == interface.AttemptResult.CANCELLED and not self.settings.hedging_allowed
-            confirmed = (lambda: self._end(attempt, interface.AttemptResult.CANCELLED)) if waits else None
+            # Without hedging, two attempts must never run at once, so this one ends only when its worker has confirmed.
+            awaits_confirmation = result == interface.AttemptResult.CANCELLED and not self.settings.hedging_allowed
+            confirmed = (lambda: self._end(attempt, interface.AttemptResult.CANCELLED)) if awaits_confirmation else None
             self._cancels.start(worker, attempt.forwarded.id, confirmed)
-            if waits:
+            if awaits_confirmation:
                 return
         self._end(attempt, result)
         if connection is not None:
             connection.close()
 
     def _not_accepted(self, attempt: Attempt, worker: WorkerConnections) -> None:
-        """The accept timeout is over."""
+        """Give up an attempt that its worker has not accepted within the accept timeout."""
         connection = attempt.connection
         if attempt.ended or attempt.event_received or connection is None or connection.peer_has_sent():
-            return  # a response that waits on the socket means that this process was slow
-        worker.close_idle()  # likely as dead as this one: the next attempt there finds out sooner
+            return  # an unread response means that this process was slow, not the worker
+        worker.close_idle()  # probably dead too; a new connection shows sooner whether the worker is reachable
         self._give_up(attempt, interface.AttemptResult.TIMEOUT)
 
     def handle_job_event(self, request_id: bytes, name: str, state: str, item: dict[str, Any]) -> bool:
-        """Apply a job event of worker `name`.
+        """Apply a job event of worker `name` to its attempt.
 
-        False if its attempt is not open here: the event is a repetition, the attempt has ended, or another process
-        has it.
+        Returns False if the attempt is not open in this process: the event is a duplicate, the attempt has ended, or
+        another process holds it.
         """
         attempt = self.attempts.get((request_id, name))
         if attempt is None or not attempt.written:
-            return False  # one that is not written yet cannot be meant either
+            return False  # the worker cannot know of an attempt that is not written yet
         self._job_events.apply(attempt, state, item)
         return True
 
     def check_health(self, name: str) -> None:
-        """Start a health check of a worker."""
+        """Start a health check of worker `name`."""
         self.health_checks.start(name)
 
     # Connections.
@@ -249,28 +255,28 @@
 
     @property
     def successor(self) -> ConnectionSuccessor | None:
-        """What passes idle connections to the process that takes the new requests."""
+        """The function that transfers idle connections to the process that now receives the requests, if any."""
         return self.pools.successor
 
     @successor.setter
     def successor(self, successor: ConnectionSuccessor | None) -> None:
-        """Set what passes idle connections to the process that takes over; None: nothing does."""
+        """Set the function that transfers idle connections; None keeps them in this process."""
         self.pools.successor = successor
 
     def set_address(self, name: str, address: Address) -> None:
-        """The endpoint list has a worker, perhaps at a new address."""
+        """Add a worker of the endpoint list, or change its address."""
         self.pools.set_address(name, address)
 
     def addresses(self) -> dict[str, Address]:
-        """The address of each worker."""
+        """Return the address of each worker by name."""
         return self.pools.addresses()
 
     def pass_connections_on(self) -> None:
-        """Pass the idle connections to the successor."""
+        """Transfer the idle connections to the successor."""
         self.pools.pass_connections_on()
 
     def adopt_connection(self, sock: socket.socket, name: str, address: Address, idle: int) -> None:
-        """Take over an idle connection of another process, for `idle` microseconds."""
+        """Take over an idle connection from another process and keep it for `idle` microseconds."""
         self.pools.adopt_connection(sock, name, address, idle)
 
     def close_idle(self, name: str) -> None:
@@ -278,19 +284,19 @@
         self.pools.close_idle(name)
 
     def shed_idle_connections(self) -> None:
-        """Close all idle connections, since descriptors are scarce."""
+        """Close all idle connections to workers to free their descriptors."""
         self.pools.shed_idle_connections()
 
     def forget_unlisted(self, listed: Callable[[str], bool]) -> None:
-        """Forget the workers that are not on the endpoint list and have no attempt."""
+        """Remove the workers that are not on the endpoint list and have no open attempt."""
         self.pools.forget_unlisted(listed, {worker for _, worker in self.attempts})
 
 
-def _result_of(response: http1.Message) -> interface.AttemptResult:
-    """What a response other than 202 means for the attempt."""
+def _result_for(response: http1.Message) -> interface.AttemptResult:
+    """Return the result of an attempt whose worker responded with another status than 202."""
     if response.status in (503, 504) and (response.header(b"not-started") or b"").strip() == b"1":
         return interface.AttemptResult.QUEUE_FULL
-    # Other client errors are the request's fault: counted as errors, one client could have healthy workers ejected.
+    # Other 4xx statuses are the request's fault. Counted as errors, they would let one client eject healthy workers.
     if 400 <= response.status < 500 and response.status not in (408, 429):
         return interface.AttemptResult.INVALID_REQUEST
     return interface.AttemptResult.ERROR
--- a/badgerroad/backend/job_events.py
+++ b/badgerroad/backend/job_events.py
@@ -1,6 +1,6 @@
-"""Job events: what a worker reports of a job by a POST to the dispatcher.
+"""Applies job events, by which a worker reports the progress and the end of a job in a POST to the dispatcher.
 
-An event names the request and the worker, not the attempt; it may be repeated and may arrive before the 202.
+An event identifies the request and the worker, not the attempt. It may be repeated and may arrive before the 202.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from badgerroad.load_balancing import interface
 from badgerroad.net.timer_wheel import TimerWheel
 
-# How long the 202 may take of an attempt that a job event has ended already.
+# How long to wait for the 202 of an attempt that a job event has already ended.
 LATE_ACCEPT_TIMEOUT_US = 2_000_000
 
 _RESULTS = {
@@ -26,12 +26,12 @@
 
 
 class EndAttempt(Protocol):
-    """Ends an attempt with its result, load report and response body."""
+    """The type of the function that ends an attempt with its result, load report and response body."""
 
     def __call__(
         self, attempt: Attempt, result: interface.AttemptResult, load: LoadReport = None, body: bytes = b""
     ) -> None:
-        """Has no effect on an attempt that has ended."""
+        """End `attempt`; no effect if it has ended."""
 
 
 class JobEvents:
@@ -44,14 +44,14 @@
         raise_event: Callable[[interface.Event], None],
         end_attempt: EndAttempt,
     ) -> None:
-        """`reports`: reads the load reports; replaced when the settings change."""
+        """Parse load reports with `reports`, which is replaced when the settings change."""
         self.reports = reports
         self._timers = timers
         self._raise_event = raise_event
         self._end_attempt = end_attempt
 
     def apply(self, attempt: Attempt, state: str, item: dict[str, Any]) -> None:
-        """Apply an event, whose `state` is known, to an attempt that was written."""
+        """Apply an event with a valid `state` to an attempt whose request has been written."""
         attempt.event_received = True
         if state == "started":
             self._started(attempt)
@@ -76,7 +76,7 @@
         connection = attempt.connection
         self._end_attempt(attempt, _RESULTS[state], load, body)
         if connection is not None:
-            # The 202 is still to come; a worker that has fallen silent must not keep the socket for good.
+            # The 202 has yet to arrive; without a timeout an unresponsive worker would hold the socket forever.
             self._timers.after(
                 LATE_ACCEPT_TIMEOUT_US,
                 lambda: connection.close() if attempt.connection is connection else None,
--- a/badgerroad/backend/worker_connections.py
+++ b/badgerroad/backend/worker_connections.py
@@ -1,4 +1,4 @@
-"""The connections to each worker: address, idle pool, and the choice of a connection for a call."""
+"""Pools of connections to the workers: addresses, idle connections, and checkout of a connection for a call."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
 DEFAULT_IDLE_TIMEOUT_US = 60_000_000
-IDLE_TIME_FRACTION = 0.75  # of the allowed idle time, after which a connection is closed from this side
+IDLE_TIME_FRACTION = 0.75  # of the idle time that workers allow; after it this side closes a connection
 
-# Passes an idle connection to another process: descriptor, worker, address, microseconds that it may stay idle. False
-# if this is not possible now.
+# Transfers an idle connection to another process, given its descriptor, worker, address, and the microseconds that it
+# may stay idle. Returns False if the transfer is not possible now.
 ConnectionSuccessor = Callable[[int, str, Address, int], bool]
 
 
 class WorkerConnections:
-    """One worker: its address, its idle connections (the most recently used last) and the cancels on their way."""
+    """One worker: its address, its idle connections (the most recently used last) and its cancels in progress."""
 
     def __init__(self, name: str, address: Address) -> None:
-        """A worker without connections."""
+        """Create a worker without connections."""
         self.name = name
         self.address = address
         self.idle: list[tuple[CallConnection, Timer]] = []
@@ -45,7 +45,7 @@
             connection.close()
 
     def retire(self, connection: CallConnection) -> None:
-        """Close one idle connection at the end of its idle time."""
+        """Remove and close one idle connection whose idle time is over."""
         self.idle = [entry for entry in self.idle if entry[0] is not connection]
         connection.close()
 
@@ -60,16 +60,16 @@
         settings: interface.Settings,
         free_descriptors: Callable[[], None],
     ) -> None:
-        """`free_descriptors` takes descriptors from clients for an attempt."""
+        """Create the pools without workers; `free_descriptors` closes clients' connections in favour of an attempt."""
         self.timers = timers
         self.descriptors = descriptors
         self.settings = settings
         self.workers: dict[str, WorkerConnections] = {}
-        self.successor: ConnectionSuccessor | None = None  # while another process takes the new requests
+        self.successor: ConnectionSuccessor | None = None  # set while another process receives the new requests
         self._free_descriptors = free_descriptors
 
     def set_address(self, name: str, address: Address) -> None:
-        """The endpoint list has a worker, perhaps at a new address."""
+        """Add a worker of the endpoint list, or change its address, which closes its idle connections."""
         worker = self.workers.get(name)
         if worker is None:
             self.workers[name] = WorkerConnections(name, address)
@@ -78,22 +78,22 @@
             worker.address = address
 
     def addresses(self) -> dict[str, Address]:
-        """The address of each worker."""
+        """Return the address of each worker by name."""
         return {name: worker.address for name, worker in self.workers.items()}
 
     async def checkout(
-        self, worker: WorkerConnections, connecting: Callable[[CallConnection], None] | None = None
+        self, worker: WorkerConnections, on_connecting: Callable[[CallConnection], None] | None = None
     ) -> CallConnection:
-        """An idle connection, or a new one, of which `connecting` is notified before it connects.
+        """Return an idle connection, or open a new one and call `on_connecting` with it before it connects.
 
-        Raises NoDescriptorError without a free descriptor and ConnectionBrokenError if the worker cannot be reached.
+        Raises NoDescriptorError if no descriptor is free, and ConnectionBrokenError if the worker cannot be reached.
         """
         connection = self._idle_connection(worker)
         if connection is not None:
             return connection
         connection = self._new_connection()
-        if connecting is not None:
-            connecting(connection)
+        if on_connecting is not None:
+            on_connecting(connection)
         timeout = self.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US
         timer = self.timers.after(timeout, connection.close, awaits_peer=True)
         try:
@@ -118,33 +118,36 @@
         if self.descriptors.nearly_exhausted:
             self._free_descriptors()
         if self.descriptors.exhausted:
-            raise NoDescriptorError(False, "no descriptor left")
+            raise NoDescriptorError(False, "no file descriptor is free for a connection to a worker")
         try:
             return CallConnection(self.descriptors)
         except OSError as error:
-            raise NoDescriptorError(False, f"no descriptor: {error}") from error
+            raise NoDescriptorError(False, f"cannot create a socket for a connection to a worker: {error}") from error
 
     def checkin(self, worker: WorkerConnections, connection: CallConnection) -> None:
-        """Keep a connection for the next call, or close it if it cannot be used again."""
+        """Return a connection to the pool, or close it if it cannot be reused."""
         if not connection.reusable or connection.address != worker.address:
             connection.close()
             return
         allowed = self.settings.connection_idle_timeout or DEFAULT_IDLE_TIMEOUT_US
-        self._keep(worker, connection, int(allowed * IDLE_TIME_FRACTION))
+        self._add_idle(worker, connection, int(allowed * IDLE_TIME_FRACTION))
 
-    def _keep(self, worker: WorkerConnections, connection: CallConnection, idle: int) -> None:
+    def _add_idle(self, worker: WorkerConnections, connection: CallConnection, idle: int) -> None:
         if (
             self.successor is not None
             and connection.no_read_in_progress
             and not connection.peer_has_sent()
             and self.successor(connection.stream.socket.fileno(), worker.name, worker.address, idle)
         ):
-            connection.close()  # the other process has a copy of the descriptor
+            connection.close()  # the successor has a copy of the descriptor
             return
         worker.idle.append((connection, self.timers.after(idle, lambda: worker.retire(connection))))
 
     async def call(self, worker: WorkerConnections, method: bytes, target: bytes, timeout: int) -> http1.Message:
-        """A request without a body, with `timeout` in microseconds. Raises ConnectionBrokenError."""
+        """Send a request without a body and return the response.
+
+        `timeout` is in microseconds. Raises ConnectionBrokenError.
+        """
         connection = await self.checkout(worker)
         timer = self.timers.after(timeout, connection.close, awaits_peer=True)
         try:
@@ -155,37 +158,40 @@
         return response
 
     def pass_connections_on(self) -> None:
-        """Pass the idle connections to the successor, which saves it the handshakes."""
+        """Transfer the idle connections to the successor, so that it need not open new ones."""
         now = self.timers.clock.now()
         for worker in self.workers.values():
             idle = worker.idle
             worker.idle = []
             for connection, timer in idle:
                 timer.cancel()
-                self._keep(worker, connection, max(timer.due_at - now, 0))
+                self._add_idle(worker, connection, max(timer.due_at - now, 0))
 
     def adopt_connection(self, sock: socket.socket, name: str, address: Address, idle: int) -> None:
-        """Take over an idle connection of another process, for `idle` microseconds."""
+        """Take over an idle connection from another process and keep it for `idle` microseconds."""
         worker = self.workers.get(name)
         if worker is None or worker.address != address or self.descriptors.exhausted:
             sock.close()
             return
         sock.setblocking(False)
-        self._keep(worker, CallConnection(self.descriptors, sock=sock, address=address), idle)
+        self._add_idle(worker, CallConnection(self.descriptors, sock=sock, address=address), idle)
 
     def close_idle(self, name: str) -> None:
-        """Close the idle connections to one worker."""
+        """Close the idle connections to worker `name`."""
         worker = self.workers.get(name)
         if worker is not None:
             worker.close_idle()
 
     def shed_idle_connections(self) -> None:
-        """Close all idle connections, since descriptors are scarce."""
+        """Close all idle connections to free their descriptors."""
         for worker in self.workers.values():
             worker.close_idle()
 
     def forget_unlisted(self, listed: Callable[[str], bool], busy: set[str]) -> None:
-        """Forget the workers that are not on the endpoint list; `busy`: those with an attempt, which stay."""
+        """Remove the workers that are not on the endpoint list, except those with a cancel or in `busy`.
+
+        `busy` holds the names of the workers with an open attempt.
+        """
         for name in [name for name in self.workers if not listed(name)]:
             worker = self.workers[name]
             worker.close_idle()
