--- a/badgerroad/admin/__init__.py
+++ b/badgerroad/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: where operators ask whether this process accepts clients, and for its metrics."""
+"""The admin listener, which serves readiness and metrics to operators at an address of its own."""
--- a/badgerroad/admin/counters.py
+++ b/badgerroad/admin/counters.py
@@ -1,4 +1,7 @@
-"""The counters behind `/metrics`: each request once, where it ends; each attempt where its last byte is written."""
+"""The counters behind `/metrics`.
+
+A request is counted once, when it ends; an attempt when its last byte is written.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +9,15 @@
 from typing import Any
 
 STATUS_OK = 200
-REJECTED_STATUSES = (429, 503)  # the answers that the protocol calls refused, whichever side worded them
-CLIENT_GONE = 0  # in place of a status
+REJECTED_STATUSES = (429, 503)  # the protocol's refusals, whether of the dispatcher or of a worker
+CLIENT_DISCONNECTED = 0  # stands for a status if the client disconnected before its response
 
 
 class Counters:
-    """From the start of the process. A class that the settings no longer name keeps its counters."""
+    """Counts since the start of the process. A class removed from the settings keeps its counters."""
 
     def __init__(self, request_classes: Iterable[str]) -> None:
-        """All at zero."""
+        """Create the counters at zero, those by class for each of `request_classes`."""
         self.answered: dict[str, int] = {}
         self.deferred: dict[str, int] = {}
         self.errored: dict[str, int] = {}
@@ -25,22 +28,22 @@
         self.add_classes(request_classes)
 
     def add_classes(self, request_classes: Iterable[str]) -> None:
-        """Every class of the settings is shown from the first moment on, at zero too."""
+        """Add counters at zero for new classes, so that a class is shown before its first request ends."""
         for name in request_classes:
             for counter in (self.answered, self.deferred, self.errored):
                 counter.setdefault(name, 0)
 
     def request_admitted(self) -> None:
-        """A request is open."""
+        """Count a request that is now open."""
         self.open_requests += 1
 
     def request_ended(self, request_class: str, status: int) -> None:
-        """An admitted request has its final answer. `status` CLIENT_GONE: its client left before."""
+        """Count the end of an admitted request by its status, or CLIENT_DISCONNECTED."""
         self.open_requests -= 1
         self._count(request_class, status)
 
     def request_rejected(self, request_class: str) -> None:
-        """Rejected before it was admitted: too few descriptors, or draining."""
+        """Count a request rejected before admission, because of too few descriptors or a drain."""
         self._count(request_class, 503)
 
     def _count(self, request_class: str, status: int) -> None:
@@ -53,11 +56,14 @@
         counter[request_class] = counter.get(request_class, 0) + 1
 
     def attempt_sent(self) -> None:
-        """An attempt's last byte is written."""
+        """Count an attempt whose last byte is written."""
         self.attempts += 1
 
     def metrics(self, workers: int, avoided_workers: int) -> dict[str, Any]:
-        """What `/metrics` shows. `workers`: in the list; `avoided_workers`: those of them that get nothing now."""
+        """Return the metrics that `/metrics` shows.
+
+        `workers` is the number of listed workers, `avoided_workers` the number of those that get no requests now.
+        """
         return {
             "answered": self.answered,
             "deferred": self.deferred,
--- a/badgerroad/admin/listener.py
+++ b/badgerroad/admin/listener.py
@@ -1,6 +1,6 @@
-"""The listener for operators' calls: HTTP/1.1, one call a connection, `GET /ready` and `GET /metrics`.
+"""The admin listener: serves `GET /ready` and `GET /metrics` over HTTP/1.1, one request per connection.
 
-It accepts by itself and has descriptors of its own, so that neither clients nor attempts can take a caller's place.
+It accepts its own connections from a descriptor budget of its own, so that clients and attempts cannot exhaust it.
 """
 
 from __future__ import annotations
@@ -18,42 +18,42 @@
 from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
-# Callers at one time. Two or three call every second; the rest is for silent ones, of which the oldest is closed when
-# there are more, so that one that calls is always accepted.
-MAX_CALLERS = 12
-RESERVED_DESCRIPTORS = MAX_CALLERS + 2  # not for clients and attempts: the callers, the listener, one being accepted
-CALL_TIMEOUT_US = 1_500_000  # from the connection to the end of its call; an answer is due within 1 s
-# A call arrives a moment after its connection. A caller is not closed before this age, so that silent ones which come
-# back at once cannot displace those that call; the next ones wait in the backlog meanwhile.
+# Connections open at one time. Two or three monitoring requests arrive every second; the rest is for idle connections.
+# The oldest idle one is closed when all are in use, so that a peer that sends a request is always accepted.
+MAX_CONNECTIONS = 12
+RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2  # withheld from clients and attempts; 2 for listener and the next accept
+REQUEST_TIMEOUT_US = 1_500_000  # from the connection to the end of its request; a response is due within 1 s
+# A request arrives shortly after its connection. Connections below this age are not closed, so that idle peers which
+# reconnect immediately cannot displace those that send a request; further connections wait in the backlog.
 MIN_CLOSE_AGE_US = 100_000
-ACCEPT_PAUSE_US = 10_000  # while all callers are younger than that
-LINGER_US = 250_000  # what arrives behind the call is read and discarded so long, so that the answer arrives
-BACKLOG = 128  # callers that wait while this process is busy
-BODY_LIMIT_BYTES = 1_024  # of a call; none that is known has a body
+ACCEPT_PAUSE_US = 10_000  # pause of accepting while all connections are below MIN_CLOSE_AGE_US
+LINGER_US = 250_000  # how long bytes behind the request are read and discarded, so that no reset destroys the response
+BACKLOG = 128  # connections that wait while this process is busy
+BODY_LIMIT_BYTES = 1_024  # of a request; no request defined here has a body
 
 
-class Caller(Connection):
-    """One call, from its connection to the end of its answer."""
+class AdminConnection(Connection):
+    """A connection for one request, closed after the response."""
 
     def __init__(self, sock: socket.socket, listener: Listener) -> None:
-        """Owns `sock` from now on. Raises OSError, then it does not."""
+        """Take ownership of `sock`, unless OSError is raised."""
         super().__init__(sock, listener.descriptors, responses=False, body_limit=BODY_LIMIT_BYTES)
         self.listener = listener
-        self.answered = False  # its call is complete, or cannot be any more
-        self.connected_at = listener.wheel.clock.now()
-        self._timer = listener.wheel.after(CALL_TIMEOUT_US, self._on_timeout, awaits_peer=True)
+        self.answered = False  # a response has been sent, possibly an error
+        self.connected_at = listener.timers.clock.now()
+        self._timer = listener.timers.after(REQUEST_TIMEOUT_US, self._on_timeout, awaits_peer=True)
 
     def wants_message(self) -> bool:
-        """Whether its call has not arrived yet."""
+        """Whether the request has not been answered yet."""
         return not self.answered
 
     def on_message(self, message: http1.Message) -> None:
-        """Answer the call."""
-        self._answer(*self.listener.answer(message))
+        """Respond to the request."""
+        self._respond(*self.listener.answer(message))
 
     def on_bad_message(self, error: http1.BadMessageError) -> None:
-        """Answer what is no call."""
-        self._answer(error.status, str(error).encode() + b"\n")
+        """Respond to bytes that are not a valid request."""
+        self._respond(error.status, str(error).encode() + b"\n")
 
     def _on_timeout(self) -> None:
         if self.answered or self.parser.idle:
@@ -61,46 +61,49 @@
         else:
             self.on_bad_message(http1.BadMessageError(408, "the call stopped halfway"))
 
-    def _answer(self, status: int, body: bytes, headers: http1.Headers | None = None) -> None:
+    def _respond(self, status: int, body: bytes, headers: http1.Headers | None = None) -> None:
         if not self.answered:
             self.answered = self.lingering = True
             self._timer.cancel()
-            self._timer = self.listener.wheel.after(LINGER_US, self.close)
+            self._timer = self.listener.timers.after(LINGER_US, self.close)
             self.send(http1.response(status, body, headers or [], close=True))
 
     def on_written(self) -> None:
-        """The answer is sent: close, once the caller has read it where it has sent more than its call."""
+        """Close the connection, or with unread bytes only its writing side, so that the peer gets the response."""
         if self.peer_has_sent() or len(self.receive_buffer):
             try:
-                self.stream.socket.shutdown(socket.SHUT_WR)  # an end with bytes unread would be a reset
+                self.stream.socket.shutdown(socket.SHUT_WR)  # a close with unread bytes would be a reset
                 return
             except OSError:
                 pass
         self.close()
 
     def on_closed(self) -> None:
-        """Its descriptor is free."""
+        """Remove the connection from its listener."""
         self._timer.cancel()
-        self.listener.callers.pop(self, None)
+        self.listener.connections.pop(self, None)
 
 
 class Listener:
-    """The second address and its callers."""
+    """Listens at the admin address and tracks its connections."""
 
-    def __init__(self, wheel: TimerWheel, ready: Callable[[], bool], metrics: Callable[[], dict[str, Any]]) -> None:
-        """`ready`: whether this process accepts clients; `metrics`: what `/metrics` shows, computed at each call."""
-        self.wheel = wheel
+    def __init__(self, timers: TimerWheel, ready: Callable[[], bool], metrics: Callable[[], dict[str, Any]]) -> None:
+        """Create a listener that does not listen yet.
+
+        `ready` tells whether this process accepts clients; `metrics` is called for each request of `/metrics`.
+        """
+        self.timers = timers
         self._ready = ready
         self._metrics = metrics
         self.descriptors = DescriptorBudget(
-            MAX_CALLERS + DescriptorBudget.RESERVE
-        )  # apart from that of clients and attempts
-        self.callers: dict[Caller, None] = {}  # the oldest first
+            MAX_CONNECTIONS + DescriptorBudget.RESERVE
+        )  # separate from the budget of clients and attempts
+        self.connections: dict[AdminConnection, None] = {}  # in the order of their age, oldest first
         self._socket: socket.socket | None = None
         self._loop = IOLoop.current()
 
     def listen(self, address: Address) -> Address:
-        """Listen on an address; returns it with the port in use. Raises OSError."""
+        """Listen at `address`; returns it with the actual port. Raises OSError."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -116,38 +119,42 @@
         return host, port
 
     def _accept(self, listener: socket.socket, events: int) -> None:
-        for _ in range(MAX_CALLERS):
-            if len(self.callers) >= MAX_CALLERS and not self._close_oldest_silent():
+        for _ in range(MAX_CONNECTIONS):
+            if len(self.connections) >= MAX_CONNECTIONS and not self._close_oldest_idle():
                 self._loop.remove_handler(listener)
-                self.wheel.after(ACCEPT_PAUSE_US, self._resume_accepting)
+                self.timers.after(ACCEPT_PAUSE_US, self._resume_accepting)
                 return
             try:
                 sock, _peer = listener.accept()
             except OSError:
-                return  # none waits, or it has left; without a descriptor the next turn tries again
+                return  # nothing to accept; if descriptors ran out, the next loop iteration retries
             try:
-                caller = Caller(sock, self)
+                connection = AdminConnection(sock, self)
             except OSError:
                 sock.close()
                 continue
-            self.callers[caller] = None
-            spawn(caller.read())
+            self.connections[connection] = None
+            spawn(connection.read())
 
     def _resume_accepting(self) -> None:
         if self._socket is not None:
             self._loop.add_handler(self._socket, self._accept, IOLoop.READ)
 
-    def _close_oldest_silent(self) -> bool:
-        """Close the oldest that has not called, unless it is young or its call is unread; false if there is none."""
-        connected_before = self.wheel.clock.now() - MIN_CLOSE_AGE_US
-        for caller in self.callers:
-            if not caller.answered and caller.connected_at <= connected_before and not caller.peer_has_sent():
-                caller.close()
+    def _close_oldest_idle(self) -> bool:
+        """Close the oldest connection without a request that is old enough; returns False if there is none."""
+        connected_before = self.timers.clock.now() - MIN_CLOSE_AGE_US
+        for connection in self.connections:
+            if (
+                not connection.answered
+                and connection.connected_at <= connected_before
+                and not connection.peer_has_sent()
+            ):
+                connection.close()
                 return True
         return False
 
     def answer(self, message: http1.Message) -> tuple[int, bytes, http1.Headers]:
-        """Status, body and headers for a call."""
+        """Return status, body and headers of the response to a request."""
         path = message.path
         if path not in (b"/ready", b"/metrics"):
             return 404, b"no such path\n", []
@@ -159,10 +166,10 @@
         return 200, text, [(b"Content-Type", b"application/json")]
 
     def close(self) -> None:
-        """Close the address and all callers."""
+        """Close the listening socket and all connections."""
         if self._socket is not None:
-            self._loop.remove_handler(self._socket)  # also while accepting is paused
+            self._loop.remove_handler(self._socket)  # no effect if accepting is paused
             self._socket.close()
             self._socket = None
-        for caller in list(self.callers):
-            caller.close()
+        for connection in list(self.connections):
+            connection.close()
--- a/badgerroad/frontend/__init__.py
+++ b/badgerroad/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The frontend: one module or package a protocol that clients speak."""
+"""The frontend receives requests of clients; each client protocol has a module or package of its own."""
--- a/badgerroad/frontend/client.py
+++ b/badgerroad/frontend/client.py
@@ -1,4 +1,4 @@
-"""A client's connection, and its requests in turn."""
+"""A connection from a client: handles its requests one after the other."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 log = logs.get("badgerroad")
 
-LINGER_TIME_US = 1_000_000  # how long bytes of the client are discarded after the end of this side
-# From the first byte of a request to its last; for the first request, from the connection on. The protocol allows 3 s
-# until a client without a complete request gets an error or a close.
+LINGER_TIME_US = 1_000_000  # how long bytes of the client are read and discarded after this side has ended
+# Time from the first byte of a request to its last; for the first request, it starts with the connection. The protocol
+# requires an error response or a close within 3 s for a client that has not sent a complete request.
 REQUEST_TIMEOUT_US = 2_500_000
-FRESH_TIME_US = 500_000  # how long a connection, new or just served, is not evicted
-# How long a client without a complete request is spared while others wait for its descriptor, and how long a client has
-# to notice the end. Enough for what is on its way within a zone.
+MIN_IDLE_BEFORE_EVICTION_US = 500_000  # a connection that was active more recently is not evicted
+# How long an inactive client without a complete request keeps its connection while others wait for its descriptor, and
+# how long a client has to notice that its connection has ended. Enough for data in flight within a zone to arrive.
 EVICTION_GRACE_US = 100_000
-# Bytes discarded behind an open request, more than both socket buffers hold. Beyond them, the client has not
-# left but goes on sending.
+# Limit of the bytes discarded behind an open request. It is more than both socket buffers hold: beyond it the client
+# is still sending and has not merely disconnected with unread data behind.
 DISCARD_LIMIT_BYTES = 16 * 1024 * 1024
 
-# Passes a client's connection to another process: descriptor, what `restore` needs there, bytes that were read but not
-# used, and the open exchange if there is one. False if this is not possible now.
+# Transfers a client's connection to another process, given its descriptor, the state that `restore` needs there, the
+# bytes that were read but not parsed, and the open exchange if there is one. Returns False if this is not possible now.
 ConnectionSuccessor = Callable[[int, dict[str, Any], bytes, Exchange | None], bool]
 
 
-class Owner(Protocol):
-    """What a client's connection needs of the frontend that has accepted it."""
+class ConnectionOwner(Protocol):
+    """The interface through which a client's connection uses the frontend that has accepted it."""
 
     timers: TimerWheel
     descriptors: DescriptorBudget
@@ -44,29 +44,32 @@
     successor: ConnectionSuccessor | None
 
     def handle(self, message: http1.Message, exchange: Exchange) -> None:
-        """A complete request has arrived."""
+        """Handle a complete request."""
 
 
 class ClientConnection(Connection):
-    """Hands the requests of one client to its owner, one after the other, and writes the responses."""
+    """Passes the requests of one client to its owner, one after the other, and writes the responses."""
 
-    def __init__(self, sock: socket.socket, owner: Owner) -> None:
-        """Raises OSError if the socket cannot be used."""
+    def __init__(self, sock: socket.socket, owner: ConnectionOwner) -> None:
+        """Take ownership of `sock` and start the timeout of the first request.
+
+        Raises OSError if the socket cannot be used.
+        """
         super().__init__(sock, owner.descriptors, responses=False)
         self.owner = owner
         self.exchange: Exchange | None = None
-        self.pipelined_request: http1.Message | None = None  # read behind the open request, and next in turn
+        self.pipelined_request: http1.Message | None = None  # the next request, read while one is open
         self.last_activity_at = owner.timers.clock.now()
-        self.served = False  # has had a response
+        self.served = False  # a response has been sent
         self._request_timer: Timer | None = None
-        self._closing = False  # after what is being written
-        self._discarded_bytes = 0  # behind the open request
+        self._closing = False  # the connection ends after the response that is due or being written
+        self._discarded_bytes = 0  # bytes discarded behind the open request
         self._continue_sent = False
         self._start_request_timer(REQUEST_TIMEOUT_US)
 
     @property
     def idle(self) -> bool:
-        """Whether no part of a request or response is here or on its way out."""
+        """Whether no part of a request has arrived and no response is due or being written."""
         return (
             self.exchange is None
             and self.pipelined_request is None
@@ -77,42 +80,49 @@
 
     @property
     def has_pending_response(self) -> bool:
-        """Whether a response is due or being written. An incomplete request has none."""
+        """Whether a response is due or being written. No response is due for an incomplete request."""
         return self.exchange is not None or self.pipelined_request is not None or not self.all_written
 
     def evictable(self, now: int) -> bool:
         """Whether the connection may be ended when descriptors are scarce.
 
-        It must be idle for so long that no request is likely to be on its way: a new client would take the end for a
-        failure of the dispatcher, and a busy one sends the next request soon. While the dispatcher drains, clients that
-        were served can reconnect elsewhere. A connection that only waits for its peer's end is evictable too.
+        It must have been idle long enough that no request is likely to be in flight: a new client would take the end
+        for a failure of the dispatcher, and a busy client sends the next request soon. While the dispatcher drains, a
+        client that was served may be evicted at any time, as it can reconnect elsewhere. A lingering connection, which
+        only waits for the client to close its side, may be evicted after EVICTION_GRACE_US.
         """
-        silent_for = now - self.last_activity_at
+        inactive_us = now - self.last_activity_at
         if self.lingering:
-            return self.all_written and silent_for >= EVICTION_GRACE_US
-        fresh = silent_for <= FRESH_TIME_US and not (self.served and self.owner.draining)
-        return self.idle and not fresh
+            return self.all_written and inactive_us >= EVICTION_GRACE_US
+        recently_active = inactive_us <= MIN_IDLE_BEFORE_EVICTION_US and not (self.served and self.owner.draining)
+        return self.idle and not recently_active
 
     @property
-    def usefulness(self) -> tuple[bool, bool, int]:
-        """Sort key for eviction: first bad requests, then clients without a request, and the longest silent."""
+    def eviction_sort_key(self) -> tuple[bool, bool, int]:
+        """Sort key of eviction, smallest evicted first.
+
+        Lingering connections come first, then clients not served yet, then the others; within each group the longest
+        inactive ones.
+        """
         return not self.lingering, self.served, self.last_activity_at
 
     # Requests.
 
     def wants_message(self) -> bool:
-        """One request behind the open one is read too.
+        """Whether another request may be parsed: at most one while a request is open.
 
-        If that is not a message, client and dispatcher disagree on the framing, and the open one is not trustworthy.
+        That one is parsed early because, if it is malformed, client and dispatcher may disagree on the framing, and the
+        open request cannot be trusted either.
         """
         if self.pipelined_request is not None or self._closing:
             return False
         return self.owner.successor is None or self.exchange is not None
 
     def discard_when_full(self) -> bool:
-        """More than one request lies behind the open one: discard it, so that the client's end behind it is noticed.
+        """Whether to discard further bytes while a request is open and the receive buffer is full.
 
-        The open request gets its response, and the connection ends; the client repeats what had no response.
+        They are discarded so that a disconnect of the client behind them is noticed. The open request gets its response
+        and then the connection ends; the client can repeat the requests that had no response.
         """
         if self.exchange is None or self.owner.successor is not None:
             return False
@@ -121,13 +131,13 @@
         return True
 
     def on_discarded(self, count: int) -> None:
-        """Reject the open request of a client that does not stop sending."""
+        """Reject the open request of a client that keeps sending after DISCARD_LIMIT_BYTES."""
         self._discarded_bytes += count
         if self._discarded_bytes > DISCARD_LIMIT_BYTES and not self.lingering:
             self.on_bad_message(http1.BadMessageError(413, "too much behind an open request"))
 
     def process_messages(self) -> None:
-        """Hand out what has arrived; without a complete request, start its timeout and respond to `Expect`."""
+        """Handle the requests that have arrived; for an incomplete one, start its timeout and respond to `Expect`."""
         self.last_activity_at = self.owner.timers.clock.now()
         super().process_messages()
         if self.closed or self.lingering or self.exchange is not None:
@@ -154,7 +164,7 @@
             self._request_timer = None
 
     def _request_timed_out(self) -> None:
-        """Neither an incomplete request nor an unused connection may hold a descriptor or a drain for good."""
+        """End an unused connection or respond with 408, so that neither can hold a descriptor or a drain forever."""
         self._request_timer = None
         if self.parser.idle:
             self.end_gracefully()
@@ -162,7 +172,7 @@
             self.on_bad_message(http1.BadMessageError(408, "the request stopped halfway"))
 
     def on_message(self, message: http1.Message) -> None:
-        """A complete request: the owner handles it, behind the open one if there is one."""
+        """Pass a complete request to the owner, or store it until the open request has its response."""
         if self.exchange is not None:
             self.pipelined_request = message
             return
@@ -177,23 +187,23 @@
             exchange.answer(500, b"internal error\n")
 
     def on_bad_message(self, error: http1.BadMessageError) -> None:
-        """Respond with the error, in place of the response to an open request, and end the connection."""
+        """Respond with the error, in place of the response to the open request if any, and end the connection."""
         self._closing = True
         self._abandon_exchange()
         self.send(http1.response(error.status, str(error).encode() + b"\n", close=True))
         self.end_gracefully()
 
     def respond(self, status: int, body: bytes, headers: Iterable[tuple[bytes, bytes]], close: bool) -> None:
-        """Send the response to the open request; with `close`, or an error of the client, the connection ends."""
+        """Send the response to the open request; with `close` or a 4xx status the connection then ends."""
         self.exchange = None
         self.served = True
         draining = self.owner.draining and self.owner.successor is None
-        # A client whose requests are bad repeats them, on connections that it keeps.
+        # A client that sends bad requests is likely to repeat them on the same connection.
         self._closing = self._closing or close or draining or 400 <= status < 500
         self.send(http1.response(status, body, headers, close=self._closing))
 
     def on_written(self) -> None:
-        """The response is written: end the connection, or go on with what has arrived meanwhile."""
+        """End the connection after the response, or continue with the bytes received since the request."""
         if self.lingering:
             self._shut_down_writing()
         elif self.exchange is None and self._closing:
@@ -202,7 +212,7 @@
             IOLoop.current().add_callback(self.resume)
 
     def resume(self) -> None:
-        """Go on with the pipelined request and the bytes behind it."""
+        """Continue with the pipelined request and the bytes behind it."""
         if self.owner.successor is not None:
             self.pass_to_successor()
             return
@@ -217,14 +227,15 @@
         except http1.BadMessageError as error:
             self.on_bad_message(error)
 
-    # The end.
+    # Ending the connection.
 
     def end_gracefully(self) -> None:
-        """End a connection that works.
+        """End the connection without a reset.
 
-        Closed with unread bytes it would be reset, which can destroy a response on its way. So the writing side is shut
-        down once the last response is written, and what still arrives is discarded until the client ends its side or
-        LINGER_TIME_US is over. A request among it is never forwarded: its client sees the end and may retry.
+        Closing a socket with unread bytes resets the connection, which can destroy a response in flight. So the writing
+        side is shut down once the last response is written, and bytes that still arrive are discarded until the client
+        closes its side or LINGER_TIME_US is over. A discarded request is never forwarded: its client sees the end of
+        the connection and may retry.
         """
         if self.closed or self.lingering:
             return
@@ -243,7 +254,7 @@
             self.close()
 
     def _abandon_exchange(self) -> None:
-        """The client has disconnected, or is treated so: the open request needs no response of its own."""
+        """Report the client of the open request as disconnected: the request will get no response of its own."""
         exchange = self.exchange
         self.exchange = None
         if exchange is not None and not exchange.answered:
@@ -251,15 +262,15 @@
             self.owner.request_handler.client_disconnected(exchange)
 
     def on_closed(self) -> None:
-        """Leave the owner, which is notified if a request was open."""
+        """Remove the connection from its owner and report an open request as abandoned."""
         self._cancel_request_timer()
         self.owner.connections.discard(self)
         self._abandon_exchange()
 
-    # Another process of the same dispatcher.
+    # Transfer to another process of the same dispatcher.
 
     def pass_to_successor(self) -> None:
-        """Pass the connection on, with the bytes not used yet, and with the open request if that is possible."""
+        """Transfer the connection, the bytes not parsed yet and the open request, if this is possible now."""
         successor = self.owner.successor
         if successor is None or not self._can_be_passed():
             return
@@ -269,7 +280,7 @@
         if successor(self.stream.socket.fileno(), self._state(), data, self.exchange):
             self.pipelined_request = None
             self.exchange = None
-            self.close()  # the other process has a copy of the descriptor
+            self.close()  # the successor has a copy of the descriptor
 
     def _can_be_passed(self) -> bool:
         if self.closed or self.lingering or self._closing and self.exchange is None:
@@ -277,16 +288,16 @@
         return self.all_written and self.no_read_in_progress
 
     def _state(self) -> dict[str, Any]:
-        """What `restore` needs in another process; the names are those of the message between the processes."""
-        left = -1
+        """The state that `restore` needs in another process; the keys are fields of the inter-process message."""
+        remaining = -1
         if self._request_timer is not None:
-            left = max(self._request_timer.due_at - self.owner.timers.clock.now(), 0)
-        return {"served": self.served, "left": left, "closing": self._closing}
+            remaining = max(self._request_timer.due_at - self.owner.timers.clock.now(), 0)
+        return {"served": self.served, "left": remaining, "closing": self._closing}
 
     def restore(
         self, state: dict[str, Any], data: bytes, restore_request: Callable[[ClientConnection], None] | None
     ) -> None:
-        """Go on from where another process was; `restore_request` adds the open request. Raises ValueError."""
+        """Continue from the state of another process; `restore_request` adds the open request. Raises ValueError."""
         self.served = bool(state["served"])
         self._closing = bool(state["closing"])
         self._cancel_request_timer()
--- a/badgerroad/frontend/eviction.py
+++ b/badgerroad/frontend/eviction.py
@@ -1,4 +1,4 @@
-"""Which connections of clients are ended when descriptors are scarce: the least useful first."""
+"""Ends connections of clients when descriptors are scarce, in the order of their eviction sort key."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 def end_idle(
     connections: Iterable[ClientConnection], descriptors: DescriptorBudget, now: int, until_headroom: bool
 ) -> None:
-    """End evictable connections; `until_headroom`: no more than needed. One whose next request has arrived stays."""
+    """End evictable connections, except those on which the next request has arrived.
+
+    With `until_headroom`, end no more than needed for headroom; otherwise all.
+    """
     connections = list(connections)
     closing = sum(connection.lingering for connection in connections)
     evictable = [connection for connection in connections if connection.evictable(now)]
-    for connection in sorted(evictable, key=lambda connection: connection.usefulness):
+    for connection in sorted(evictable, key=lambda connection: connection.eviction_sort_key):
         if until_headroom and descriptors.has_headroom(closing):
             break
         if connection.lingering:
@@ -27,22 +30,23 @@
 
 
 def close_while_needed(
-    connections: Iterable[ClientConnection], needed: Callable[[], bool], min_silence: int, now: int
+    connections: Iterable[ClientConnection], needed: Callable[[], bool], min_inactive_us: int, now: int
 ) -> None:
-    """Close connections without a complete request at once, as long as `needed`.
+    """Close connections without a complete request immediately, as long as `needed` returns True.
 
-    Clients with a request, or about to bring one, take precedence over those silent for `min_silence` microseconds.
+    Only clients inactive for at least `min_inactive_us` are closed; those with a request, or likely to be sending one,
+    take precedence.
     """
     candidates = [
         connection
         for connection in connections
-        if not connection.has_pending_response and now - connection.last_activity_at >= min_silence
+        if not connection.has_pending_response and now - connection.last_activity_at >= min_inactive_us
     ]
-    for connection in sorted(candidates, key=lambda connection: connection.usefulness):
+    for connection in sorted(candidates, key=lambda connection: connection.eviction_sort_key):
         if not needed():
             break
         if connection.lingering:
             connection.close()
         elif not connection.peer_has_sent():
-            connection.end_gracefully()  # the client sees a regular end; the descriptor is needed now
-            connection.close()
+            connection.end_gracefully()  # the client sees a regular end, not a reset
+            connection.close()  # no lingering: the descriptor is needed now
--- a/badgerroad/frontend/exchange.py
+++ b/badgerroad/frontend/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and its response, and the interface of what handles requests."""
+"""A request of a client with its response, and the interface of the request handler."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class RespondingConnection(Protocol):
-    """What an exchange needs of the connection by which its request came."""
+    """The interface through which an exchange uses the connection of its request."""
 
     def respond(self, status: int, body: bytes, headers: Iterable[tuple[bytes, bytes]], close: bool) -> None:
         """Send the response to the open request."""
 
     def peer_has_closed(self) -> bool:
-        """Whether the client's end has arrived."""
+        """Whether the client has closed its side."""
 
     def close(self) -> None:
         """Close the connection."""
@@ -27,7 +27,7 @@
     __slots__ = ("connection", "answered", "number")
 
     def __init__(self, connection: RespondingConnection) -> None:
-        """`number` is the dispatcher's, once it has admitted the request."""
+        """Create the exchange of a request; `number` is 0 until the dispatcher admits the request and numbers it."""
         self.connection = connection
         self.answered = False
         self.number = 0
@@ -35,41 +35,41 @@
     def answer(
         self, status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), close: bool = False
     ) -> None:
-        """Send the final response; no effect after the first. `close`: the connection ends with it."""
+        """Send the final response; later calls have no effect. With `close`, the connection ends after it."""
         if not self.answered:
             self.answered = True
             self.connection.respond(status, body, headers, close)
 
     def client_has_closed(self) -> bool:
-        """Whether the client's end has arrived, even if it is not read yet."""
+        """Whether the client has closed its side, even if this has not been read from the socket yet."""
         return self.connection.peer_has_closed()
 
     def close(self) -> None:
-        """The client has disconnected: no response is due any more."""
+        """Close the connection of the client, which gets no response."""
         self.connection.close()
 
 
 class RequestHandler(Protocol):
-    """What handles the requests of clients: the dispatcher."""
+    """The interface of the dispatcher, which handles the requests of clients."""
 
     def handle_request(self, message: http1.Message, exchange: Exchange) -> None:
-        """A request for a path that it serves."""
+        """Handle a request whose path `serves_path` accepts."""
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        """The client of an open request has disconnected."""
+        """Handle the disconnect of the client of an open request."""
 
     def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """A worker reports an event of a job; `item` is the complete report."""
+        """Handle a job event reported by worker `host`; `item` is the complete decoded event."""
 
     @property
     def ready(self) -> bool:
         """Whether requests can be forwarded."""
 
     def serves_path(self, path: bytes) -> bool:
-        """Whether a path is one of its own."""
+        """Whether requests for `path` are forwarded to workers."""
 
     def shed_idle_connections(self) -> None:
-        """Close idle connections to workers, since descriptors are scarce."""
+        """Close idle connections to workers to free their descriptors."""
 
     def record_rejection(self, path: bytes) -> None:
-        """A request was rejected before it was handled, for want of descriptors."""
+        """Count a request that was rejected before it was handled because descriptors were scarce."""
--- a/badgerroad/frontend/http.py
+++ b/badgerroad/frontend/http.py
@@ -1,4 +1,4 @@
-"""The frontend: clients that speak HTTP/1.1, job events of workers at the same address, and `/-/ready`."""
+"""The frontend for HTTP/1.1: serves clients, and job events of workers and `/-/ready` at the same address."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
-# At the end of this process: for what has arrived to be read, and as long again for clients to notice the end.
+# Time for reading bytes that have arrived when this process ends; clients then have as long to notice the end.
 FINAL_READ_TIME_US = 300_000
 READY_PATH = b"/-/ready"
 JOB_EVENTS_PATH = b"/v1/job-events"
 
 
 class Frontend:
-    """The connections of clients; hands their requests to a request handler."""
+    """Accepts connections of clients and passes their requests to a request handler."""
 
     def __init__(self, timers: TimerWheel, descriptors: DescriptorBudget, request_handler: RequestHandler) -> None:
-        """It accepts nothing before `listen`, or `adopt_listener` and `start_accepting`."""
+        """Create a frontend that accepts nothing before `listen`, or `adopt_listener` and `start_accepting`."""
         self.timers = timers
         self.descriptors = descriptors
         self.request_handler = request_handler
         self.connections: set[ClientConnection] = set()
         self.draining = False
-        self.successor: ConnectionSuccessor | None = None  # while another process takes the new requests
-        self.serving = False  # new connections are for this process, even while the listener pauses
-        self._end_started_at: int | None = None
+        self.successor: ConnectionSuccessor | None = None  # set while another process receives the new requests
+        self.serving = False  # this process serves new connections, even while the listener is paused
+        self._shutdown_started_at: int | None = None
         self._listener = Listener(
             timers, self._before_accepting, self._has_descriptor, self._connect, self._accept_after_pause
         )
@@ -42,11 +42,11 @@
     # The listener.
 
     def listen(self, address: Address, shared: bool = False) -> Address:
-        """Listen and accept; `shared`: another process may listen at the same address. Raises OSError."""
+        """Listen at `address` and accept; with `shared`, other processes may listen there too. Raises OSError."""
         return self.adopt_listener(open_socket(address, shared), accept=True)
 
     def adopt_listener(self, listener: socket.socket, accept: bool) -> Address:
-        """Own a listening socket from now on; returns its address."""
+        """Take ownership of a listening socket, optionally start accepting, and return its address."""
         self._listener.adopt(listener)
         if accept:
             self.start_accepting()
@@ -55,16 +55,16 @@
 
     @property
     def listener(self) -> socket.socket | None:
-        """The listening socket, if it is not closed."""
+        """The listening socket, or None if it is closed."""
         return self._listener.socket
 
     @property
     def accepting(self) -> bool:
-        """Whether the listener accepts, rather than pauses."""
+        """Whether the listener is accepting and not paused."""
         return self._listener.accepting
 
     def start_accepting(self) -> None:
-        """Accept new connections from now on."""
+        """Start accepting connections."""
         if self._listener.start():
             self.serving = True
 
@@ -73,7 +73,7 @@
             self.start_accepting()
 
     def _before_accepting(self) -> None:
-        """Once for a batch, since this looks at every connection."""
+        """Free descriptors; called once for each batch, since it searches all connections."""
         if self.descriptors.scarce:
             self.shed_idle_connections()
             if self.descriptors.scarce:
@@ -90,7 +90,7 @@
             spawn(connection.read())
 
     def _add_connection(self, sock: socket.socket) -> ClientConnection | None:
-        """None if the socket has ended already."""
+        """Return the new connection, or None if the socket has already been closed by its peer."""
         try:
             connection = ClientConnection(sock, self)
         except OSError:
@@ -102,15 +102,15 @@
     # Eviction.
 
     def shed_idle_connections(self) -> None:
-        """End idle connections, the least useful first: until there is headroom, or all while draining."""
+        """End idle connections until there is headroom, or all of them while draining."""
         eviction.end_idle(self.connections, self.descriptors, self.timers.clock.now(), not self.draining)
 
     def free_descriptors(self) -> None:
-        """Close connections without a complete request, for an attempt of a request that is complete."""
+        """Close connections without a complete request to make room for an attempt of a complete one."""
         self._close_while_needed(lambda: self.descriptors.nearly_exhausted, 0)
 
-    def _close_while_needed(self, needed: Callable[[], bool], min_silence: int) -> None:
-        eviction.close_while_needed(self.connections, needed, min_silence, self.timers.clock.now())
+    def _close_while_needed(self, needed: Callable[[], bool], min_inactive_us: int) -> None:
+        eviction.close_while_needed(self.connections, needed, min_inactive_us, self.timers.clock.now())
 
     # Requests.
 
@@ -147,7 +147,7 @@
         else:
             self.request_handler.handle_request(message, exchange)
 
-    # Another process of the same dispatcher.
+    # Transfer to another process of the same dispatcher.
 
     def adopt_connection(
         self,
@@ -158,7 +158,8 @@
     ) -> None:
         """Take over a client's connection from another process.
 
-        `data`: what that has read of the next request; `restore_request`: adds the open one.
+        `data` holds the bytes of the next request that the other process has read; `restore_request` adds the open
+        request.
         """
         sock.setblocking(False)
         connection = self._add_connection(sock)
@@ -167,32 +168,33 @@
         try:
             connection.restore(state, data, restore_request)
         except Exception:
-            connection.close()  # the client must not wait for a connection that is not read
+            connection.close()  # otherwise the client would wait on a connection that nobody reads
             raise
         if not connection.closed:
             spawn(connection.read())
 
     def yield_to(self, successor: ConnectionSuccessor) -> None:
-        """Another process takes the new requests: the listener stays open, but nothing is accepted here.
+        """Stop accepting, as another process receives the new requests; the listener stays open.
 
-        Connections go there once they are idle: at the next `pass_connections_on`, or when a response is written.
+        Connections are transferred there once they are idle: at the next `pass_connections_on`, or after a response is
+        written.
         """
         self.successor = successor
         self.serving = False
         self._listener.pause()
 
     def pass_connections_on(self) -> None:
-        """Pass the connections that can go now to the successor."""
+        """Transfer the connections that can be transferred now to the successor."""
         for connection in list(self.connections):
             connection.pass_to_successor()
 
     @property
     def has_connections_to_pass(self) -> bool:
-        """Whether a connection has yet to be passed on."""
+        """Whether any connection has yet to be transferred."""
         return any(not connection.lingering for connection in self.connections)
 
     def resume_accepting(self) -> None:
-        """There is no other process any more."""
+        """Accept and handle requests again, as the other process has ended."""
         self.successor = None
         self.draining = False
         self.start_accepting()
@@ -200,40 +202,43 @@
             if connection.exchange is None:
                 connection.resume()
 
-    # The end.
+    # Shutdown.
 
     def drain(self) -> None:
-        """Responses end their connections from now on; the listener stays for late clients and job events."""
+        """End each connection after its response; the listener stays open for late clients and job events."""
         self.draining = True
         self.shed_idle_connections()
 
     def retire(self) -> None:
-        """Drain after another process has taken over, to which no connection can be passed."""
+        """Drain after another process has taken over, if connections cannot be transferred to it."""
         self.successor = None
         self.drain()
 
     def mark_draining(self) -> None:
-        """The end of a process whose connections all go to another one, so that none is ended for it."""
+        """Set the draining state without ending connections, all of which are transferred to another process."""
         self.draining = True
 
     @property
     def has_pending_responses(self) -> bool:
-        """Whether a complete request has had no response, or one is being written.
+        """Whether a complete request has no response yet, or a response is being written.
 
-        Incomplete requests do not count: clients that never complete one must not put off the end of a drain.
+        Incomplete requests do not count: clients that never complete a request must not delay the end of a drain.
         """
         return any(connection.has_pending_response for connection in self.connections)
 
     def end_connections(self) -> bool:
-        """Once no response is pending: accept what waits, then end all connections. Called until it returns True."""
+        """Accept the connections in the backlog, then end all that have no pending response.
+
+        Called repeatedly until it returns True, which means that the process may exit.
+        """
         now = self.timers.clock.now()
-        if self._end_started_at is None:
-            self._end_started_at = now
+        if self._shutdown_started_at is None:
+            self._shutdown_started_at = now
             self.draining = True
             self._listener.pause()
             self._listener.accept_backlog(lambda: not self.descriptors.exhausted)
             self._listener.close()
-        elapsed = now - self._end_started_at
+        elapsed = now - self._shutdown_started_at
         for connection in list(self.connections):
             if connection.has_pending_response:
                 continue
--- a/badgerroad/frontend/job_events.py
+++ b/badgerroad/frontend/job_events.py
@@ -1,4 +1,4 @@
-"""The endpoint to which workers report job events."""
+"""Handles the HTTP requests by which workers report job events."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class JobEventState(StrEnum):
-    """What a worker reports of a job."""
+    """The states of a job that workers report."""
 
     STARTED = "started"
     RUNNING = "running"
@@ -25,23 +25,23 @@
 
 
 def handle_job_event(message: http1.Message, exchange: Exchange, handler: RequestHandler) -> None:
-    """Respond with 200 to a job event and hand it on, or with 400 to anything else."""
+    """Respond with 200 to a valid job event and pass it to `handler`; respond with 400 to anything else."""
     try:
         item = _decode(message.body)
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         exchange.answer(400, f"not a call-back: {type(error).__name__}\n".encode())
         return
-    # First the response: its delay by what the event sets off must not make the worker repeat it.
+    # Respond first: if handling the event delayed the response, the worker could repeat the event.
     exchange.answer(200)
     handler.handle_job_event(item["id"].encode("utf-8", "replace"), item["from"], item["state"], item)
 
 
 def _decode(body: bytes) -> dict[str, Any]:
-    """Raises ValueError, KeyError, TypeError or RecursionError for what is not a job event."""
+    """Decode a job event. Raises ValueError, KeyError, TypeError or RecursionError if it is not valid."""
     item: dict[str, Any] = json.loads(body)
     request_id, worker, state = item["id"], item["from"], item["state"]
     if not (isinstance(request_id, str) and isinstance(worker, str) and state in _STATES):
-        raise ValueError("id, from and state are text")
+        raise ValueError("id and from must be strings, and state a known state")
     if state == JobEventState.RUNNING:
         float(item.get("share") or 0.0)
     return item
--- a/badgerroad/frontend/listener.py
+++ b/badgerroad/frontend/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket of the clients, and the loop that accepts their connections."""
+"""The listening socket for clients, and the handler that accepts connections from it."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 log = logs.get("badgerroad")
 
-ACCEPT_PAUSE_US = 50_000  # how long the listener pauses when no descriptor is left
-ACCEPT_BATCH_SIZE = 64  # connections accepted in one loop iteration
+ACCEPT_PAUSE_US = 50_000  # pause of the listener when no file descriptor is free
+ACCEPT_BATCH_SIZE = 64  # most connections accepted in one iteration of the event loop
 BACKLOG = 1024
 
 
 def open_socket(address: Address, shared: bool) -> socket.socket:
-    """A listening socket; `shared`: other processes may listen at the same address. Raises OSError."""
+    """Open a listening socket; with `shared`, other processes may listen at the same address. Raises OSError."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     if shared:
@@ -33,35 +33,38 @@
 
 
 class Listener:
-    """Owns the listening socket. It accepts between `start` and `pause`."""
+    """Owns the listening socket and accepts connections between `start` and `pause`."""
 
     def __init__(
         self,
         timers: TimerWheel,
         before_batch: Callable[[], None],
         has_descriptor: Callable[[], bool],
-        accepted: Callable[[socket.socket], None],
-        pause_over: Callable[[], None],
+        on_accepted: Callable[[socket.socket], None],
+        on_pause_ended: Callable[[], None],
     ) -> None:
-        """`before_batch`: called before connections are accepted; `has_descriptor`: whether one more may be;
-        `accepted`: takes each; `pause_over`: called after a pause for want of descriptors.
+        """Create a listener without a socket.
+
+        `before_batch` is called before a batch of connections is accepted, `has_descriptor` tells whether one more may
+        be accepted, `on_accepted` receives each, and `on_pause_ended` is called after a pause caused by a lack of
+        descriptors.
         """
         self.socket: socket.socket | None = None
         self.accepting = False
         self._timers = timers
         self._before_batch = before_batch
         self._has_descriptor = has_descriptor
-        self._accepted = accepted
-        self._pause_over = pause_over
+        self._on_accepted = on_accepted
+        self._on_pause_ended = on_pause_ended
         self._loop = IOLoop.current()
 
     def adopt(self, listener: socket.socket) -> None:
-        """Own a listening socket from now on, without accepting."""
+        """Take ownership of a listening socket without accepting."""
         self.socket = listener
         self.accepting = False
 
     def start(self) -> bool:
-        """Accept from now on; whether this is a change."""
+        """Start accepting; returns False if there is no socket or it is already accepting."""
         if self.socket is None or self.accepting:
             return False
         self.accepting = True
@@ -69,7 +72,7 @@
         return True
 
     def pause(self) -> None:
-        """Accept no more; connections wait in the backlog."""
+        """Stop accepting; new connections wait in the backlog."""
         if self.socket is not None and self.accepting:
             self.accepting = False
             self._loop.remove_handler(self.socket)
@@ -82,13 +85,13 @@
             self.socket = None
 
     def accept_backlog(self, may_accept: Callable[[], bool]) -> None:
-        """Accept what waits in the backlog: these clients consider themselves connected."""
+        """Accept the connections in the backlog, whose clients already consider themselves connected."""
         while self.socket is not None and may_accept():
             try:
                 accepted, _peer = self.socket.accept()
             except OSError:
                 return
-            self._accepted(accepted)
+            self._on_accepted(accepted)
 
     def _on_acceptable(self, listener: socket.socket, events: int) -> None:
         self._before_batch()
@@ -100,7 +103,7 @@
             except (BlockingIOError, ConnectionAbortedError, InterruptedError):
                 return
             except OSError as error:
-                # Without a pause the loop would spin on the same connection, which waits in the backlog.
+                # Without a pause the event loop would spin, as the connection stays in the backlog.
                 log.warning(
                     "accept_failed",
                     code=NoDescriptorError.code,
@@ -108,6 +111,6 @@
                     remedy=NoDescriptorError.remedy,
                 )
                 self.pause()
-                self._timers.after(ACCEPT_PAUSE_US, self._pause_over)
+                self._timers.after(ACCEPT_PAUSE_US, self._on_pause_ended)
                 return
-            self._accepted(accepted)
+            self._on_accepted(accepted)
--- a/badgerroad/net/__init__.py
+++ b/badgerroad/net/__init__.py
@@ -1,1 +1,1 @@
-"""What all sockets share: connection, ring, wheel and the HTTP/1.1 parser."""
+"""Networking code shared by the other packages: connections, ring buffer, timer wheel, HTTP/1.1, channels and logs."""
--- a/badgerroad/net/background_tasks.py
+++ b/badgerroad/net/background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that are owned by this module until they end."""
+"""Runs background tasks and holds references to them until they end."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def spawn(coroutine: Coroutine[Any, Any, None]) -> None:
     """Run `coroutine` concurrently; an unexpected exception is logged with its traceback."""
     task = asyncio.ensure_future(coroutine)
-    _tasks.add(task)  # the loop itself keeps weak references only
+    _tasks.add(task)  # the event loop holds only weak references to its tasks
     task.add_done_callback(_task_ended)
 
 
--- a/badgerroad/net/call_connection.py
+++ b/badgerroad/net/call_connection.py
@@ -1,4 +1,4 @@
-"""A connection on which this process sends requests: to a worker or to discovery, one call at a time."""
+"""A client connection over which this process calls a worker or discovery, one call at a time."""
 
 from __future__ import annotations
 
@@ -16,26 +16,29 @@
 
 
 class ConnectionBrokenError(BadgerroadError):
-    """The connection ended before the response; `sent`: whether the last byte of the request was written."""
+    """The connection ended before the response.
+
+    `sent` tells whether the last byte of the request had been written.
+    """
 
     code = "broken"
-    remedy = "look at the peer and the network to it if it goes on"
+    remedy = "if this persists, check the peer and the network between this process and it"
 
     def __init__(self, sent: bool, reason: str) -> None:
-        """`reason`: what happened, for the log."""
+        """Create the error; `reason` is the text for the log."""
         super().__init__(reason)
         self.sent = sent
 
 
 class NoDescriptorError(ConnectionBrokenError):
-    """This process had no descriptor left: nothing was sent, and the peer has no part in it."""
+    """This process had no free file descriptor; nothing was sent, and the peer is not at fault."""
 
     code = "descriptors"
     remedy = "raise limits.sockets, or start more dispatchers"
 
 
 class CallConnection(Connection):
-    """A connection to a worker or to discovery: one call at a time."""
+    """A connection to a worker or to discovery that carries one call at a time."""
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
         sock: socket.socket | None = None,
         address: Address | None = None,
     ) -> None:
-        """`sock`: an idle socket that is already connected to `address`; a new one otherwise. Raises OSError."""
+        """Use `sock`, an idle socket already connected to `address`, or create a new socket. Raises OSError."""
         self.address = address
         self._response: asyncio.Future[Message] | None = None
         self._on_sent: Callable[[], None] | None = None
@@ -65,9 +68,9 @@
             await self.stream.connect(address)
         except (StreamClosedError, OSError) as error:
             self.close()
-            raise ConnectionBrokenError(False, f"no connection: {self.stream.error or error}") from error
+            raise ConnectionBrokenError(False, f"cannot connect: {self.stream.error or error}") from error
         if self.closed:
-            raise ConnectionBrokenError(False, "given up while connecting")
+            raise ConnectionBrokenError(False, "connection closed by this process while connecting")
         self.reusable = True
         spawn(self.read())
 
@@ -77,12 +80,12 @@
         `on_sent` is called once, when the request's last byte is written. Raises ConnectionBrokenError.
         """
         if self.closed:
-            raise ConnectionBrokenError(False, "closed before the call")
+            raise ConnectionBrokenError(False, "connection closed before the request was sent")
         self.reusable = False
         self._response = asyncio.get_event_loop().create_future()
         self._on_sent = on_sent
         self.send(data)
-        self._report_sent()  # nearly always the data went to the socket at once
+        self._report_sent()  # usually the data has already been written to the socket
         return await self._response
 
     def _report_sent(self) -> None:
@@ -97,14 +100,14 @@
         return future
 
     def on_written(self) -> None:
-        """Report the request as sent."""
+        """Report that the request is sent."""
         self._report_sent()
 
     def on_message(self, message: Message) -> None:
         """Complete the call with its response."""
         future = self._take_response_future()
         if future is None:
-            self.close()  # a response without a request: what follows could be taken for that of another call
+            self.close()  # unsolicited response; the bytes behind it could be mistaken for the response to a later call
             return
         self.reusable = not message.close and self.parser.idle and self.all_written
         future.set_result(message)
@@ -112,16 +115,16 @@
             self.close()
 
     def on_bad_message(self, error: BadMessageError) -> None:
-        """Fail the call: the peer has sent something else than a response."""
+        """Fail the call because the peer has sent something other than an HTTP response."""
         future = self._take_response_future()
         if future is not None:
-            future.set_exception(ConnectionBrokenError(True, f"not an answer: {error}"))
+            future.set_exception(ConnectionBrokenError(True, f"invalid HTTP response: {error}"))
 
     def on_closed(self) -> None:
-        """Fail the call that is open, if there is one."""
+        """Fail the open call, if there is one."""
         self.reusable = False
         self._report_sent()
         future = self._take_response_future()
         if future is not None:
-            reason = f"broken off: {self.stream.error or 'closed'}"
+            reason = f"connection ended before the response: {self.stream.error or 'closed'}"
             future.set_exception(ConnectionBrokenError(self.all_written, reason))
--- a/badgerroad/net/connection.py
+++ b/badgerroad/net/connection.py
@@ -1,6 +1,7 @@
-"""What all TCP connections share: one descriptor, a buffer in each direction, one reader and one writer.
+"""The base class of all TCP connections: one descriptor, a buffer for each direction, one reader and one writer.
 
-A read is always pending, so the end of the peer is noticed at once, on idle connections too.
+A read is always pending unless the receive buffer is full, so a close by the peer is noticed immediately, also on idle
+connections.
 """
 
 from __future__ import annotations
@@ -17,19 +18,22 @@
 from badgerroad.net.ring_buffer import RingBuffer
 
 Address = tuple[str, int]
-# Target of reads whose bytes are discarded, shared by all connections. Large, since each read costs a loop iteration.
+# Target of reads whose bytes are discarded, shared by all connections. A small buffer would cost many loop iterations.
 _DISCARD_BUFFER = bytearray(64 * 1024)
 
 
 class Connection:
-    """Owns one socket. A subclass says by its `on_...` methods what is done with messages and with the end."""
+    """Owns one socket. Subclasses handle messages and the end of the connection in their `on_...` methods."""
 
-    lingering = False  # the last response is written; whatever still arrives is discarded
+    lingering = False  # this side has ended; bytes that still arrive are discarded
 
     def __init__(
         self, sock: socket.socket, descriptors: DescriptorBudget, responses: bool, body_limit: int = BODY_LIMIT
     ) -> None:
-        """`responses`: whether the peer sends responses rather than requests; `body_limit` in bytes."""
+        """Take ownership of `sock`.
+
+        `responses` tells whether the peer sends responses rather than requests; `body_limit` is in bytes.
+        """
         self.descriptors = descriptors
         descriptors.used += 1
         self.stream = IOStream(sock)
@@ -38,7 +42,7 @@
         self.send_buffer = RingBuffer(2 * MESSAGE_LIMIT)
         self.parser = Parser(self.receive_buffer, responses, body_limit)
         self.closed = False
-        self._flushing = 0  # bytes of the send buffer that the stream is writing
+        self._flushing_bytes = 0  # bytes of the send buffer that the stream is writing now
         self._write: asyncio.Future[None] | None = None
         self._pending_read: asyncio.Future[int] | None = None
         self._paused = False
@@ -46,39 +50,40 @@
 
     @property
     def all_written(self) -> bool:
-        """Whether the last byte given to `send` has gone to the socket."""
+        """Whether the last byte passed to `send` has been written to the socket."""
         if not len(self.send_buffer):
             return True
-        # The stream's write may be complete while its callback has yet to run: the future is what counts.
+        # The write may be complete although `_on_flushed` has not run yet, so the future is checked.
         done = self._write is not None and self._write.done() and not self._write.exception()
-        return done and self._flushing == len(self.send_buffer)
+        return done and self._flushing_bytes == len(self.send_buffer)
 
     def send(self, data: bytes) -> None:
-        """Write `data` behind what is already queued; on a closed connection, nothing. Raises ValueError if it is too
-        much.
+        """Queue `data` for writing; no effect on a closed connection.
+
+        Raises ValueError if the send buffer cannot hold it.
         """
         if self.closed:
             return
         self.send_buffer.put(data)
-        if not self._flushing:
+        if not self._flushing_bytes:
             self._flush()
 
     def _flush(self) -> None:
         view = self.send_buffer.readable()
-        self._flushing = len(view)
+        self._flushing_bytes = len(view)
         try:
             self._write = self.stream.write(view)
         except StreamClosedError:
             self.close()
             return
-        self._write.add_done_callback(self._flushed)
+        self._write.add_done_callback(self._on_flushed)
 
-    def _flushed(self, future: asyncio.Future[None]) -> None:
+    def _on_flushed(self, future: asyncio.Future[None]) -> None:
         if future.exception() or self.closed:
             self.close()
             return
-        self.send_buffer.skip(self._flushing)
-        self._flushing = 0
+        self.send_buffer.skip(self._flushing_bytes)
+        self._flushing_bytes = 0
         if len(self.send_buffer):
             self._flush()
         else:
@@ -86,14 +91,14 @@
             self.on_written()
 
     async def read(self) -> None:
-        """Read and process messages until the connection ends, from either side."""
+        """Read and process messages until either side ends the connection."""
         try:
             while not self.closed and not self.lingering:
                 self.receive_buffer.shrink()
                 if self.receive_buffer.full:
                     await self._make_space()
                     continue
-                space: Any = self.receive_buffer.writable()  # any writable buffer will do, though it is typed narrower
+                space: Any = self.receive_buffer.writable()  # tornado accepts it, though its type hints are narrower
                 self._pending_read = asyncio.ensure_future(self.stream.read_into(space, partial=True))
                 count = await self._pending_read
                 self._pending_read = None
@@ -111,7 +116,7 @@
         await self._discard_until_closed()
 
     async def _make_space(self) -> None:
-        """The receive buffer is full: discard what the peer sends, or leave it in the socket's buffers for now."""
+        """With a full receive buffer, discard what the peer sends, or stop reading until there is space."""
         if self.discard_when_full():
             self.on_discarded(await self.stream.read_into(_DISCARD_BUFFER, partial=True))
             return
@@ -128,7 +133,7 @@
                 self.close()
 
     def process_messages(self) -> None:
-        """Hand out the complete messages, one at a time. Raises BadMessageError."""
+        """Pass the complete messages to `on_message`, one at a time. Raises BadMessageError."""
         while not self.closed and not self.lingering and self.wants_message():
             message = self.parser.next_message()
             if message is None:
@@ -137,7 +142,7 @@
         self._space_available.set()
 
     def close(self) -> None:
-        """Give the descriptor and the buffers back. The only place that does so; may be called again."""
+        """Close the socket and release its descriptor; the only place that does so. Later calls have no effect."""
         if self.closed:
             return
         self.closed = True
@@ -148,11 +153,11 @@
 
     @property
     def no_read_in_progress(self) -> bool:
-        """Whether the receive buffer holds all that was taken from the socket: no read is complete but unprocessed."""
+        """Whether the receive buffer holds all bytes read from the socket, so that no completed read is unprocessed."""
         return not self._paused and (self._pending_read is None or not self._pending_read.done())
 
     def peer_has_sent(self) -> bool:
-        """Whether anything is unread on the socket, an end included, even if the event loop has not seen it yet."""
+        """Whether data or a close is unread on the socket, even if the event loop has not noticed it yet."""
         if self.stream.closed():
             return True
         try:
@@ -160,18 +165,18 @@
         except BlockingIOError:
             return False
         except OSError:
-            pass  # a reset is an end too
+            pass  # a reset counts as a close
         return True
 
     def peer_has_closed(self) -> bool:
-        """Whether the peer's end has arrived, even behind bytes that are not read yet."""
+        """Whether the peer has closed its side, even if unread bytes precede the close."""
         if self.closed or self.stream.closed():
             return True
         try:
             if not self.stream.socket.recv(1, socket.MSG_PEEK):
                 return True
         except BlockingIOError:
-            return False  # nothing at all
+            return False  # nothing to read
         except OSError:
             return True
         poll = select.poll()
@@ -179,24 +184,24 @@
         return bool(poll.poll(0))
 
     def discard_when_full(self) -> bool:
-        """The receive buffer is full. False: further bytes wait in the socket's buffers; true: they are discarded."""
+        """Whether to discard further bytes while the receive buffer is full, rather than leave them unread."""
         return False
 
     def on_discarded(self, count: int) -> None:
-        """`count` bytes were read and discarded."""
+        """Handle that `count` bytes were read and discarded."""
 
     def wants_message(self) -> bool:
-        """Whether the next message may be handed to `on_message`."""
+        """Whether the next message may be passed to `on_message`."""
         return True
 
     def on_message(self, message: Message) -> None:
-        """A complete message has arrived."""
+        """Handle a complete message."""
 
     def on_bad_message(self, error: BadMessageError) -> None:
-        """What has arrived is not a message; the reader ends."""
+        """Handle bytes that are not a valid message; reading ends after this call."""
 
     def on_written(self) -> None:
-        """The send buffer is written to its last byte."""
+        """Handle that the send buffer has been written completely."""
 
     def on_closed(self) -> None:
-        """The connection is closed, by either side. Called once."""
+        """Handle the end of the connection, whichever side has closed it. Called once."""
--- a/badgerroad/net/http1.py
+++ b/badgerroad/net/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages (RFC 9112): an incremental parser over a ring buffer, and the serializer.
+"""HTTP/1.1 messages (RFC 9112): an incremental parser over a ring buffer, and a serializer.
 
-The parser is strict: whatever two parsers could frame differently (two lengths, a length with chunks, bare line feeds,
-white space before a colon) is rejected, as the bytes behind it would be taken for another request.
+The parser rejects every message that two parsers could frame differently (two lengths, a length with chunks, bare line
+feeds, white space before a colon), since bytes of such a message could be smuggled as another request.
 """
 
 from __future__ import annotations
@@ -44,22 +44,22 @@
 _LENGTH = re.compile(rb"\d{1,15}\Z")
 _CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[\t -~\x80-\xff]*)?\Z")
 
-# Values of the body's length beside a number of bytes.
+# Special values of the body's length, which is otherwise a number of bytes.
 _CHUNKED = -1
 _UNTIL_CLOSE = -2
-# Values of the bytes left of a chunk beside a number of bytes.
+# Special values of the remaining bytes of a chunk, which are otherwise a number of bytes.
 _AT_SIZE_LINE = -1
 _IN_TRAILERS = -2
 
 
 class BadMessageError(BadgerroadError):
-    """What has arrived is not a message; `status` is the response where one is due."""
+    """The received bytes are not a valid message; `status` is that of the response if one is due."""
 
     code = "message"
-    remedy = "look at what the peer sent: it does not speak HTTP/1.1, or too large messages"
+    remedy = "check what the peer sent: it does not speak HTTP/1.1, or its messages are too large"
 
     def __init__(self, status: int, reason: str) -> None:
-        """`reason`: what is wrong, also the body of the response."""
+        """Create the error; `reason` is also the body of the response."""
         super().__init__(reason)
         self.status = status
 
@@ -70,7 +70,7 @@
     __slots__ = ("method", "target", "status", "headers", "body", "close")
 
     def __init__(self, method: bytes, target: bytes, status: int, headers: Headers, version: bytes) -> None:
-        """`version` as on the first line, which decides on the connection's reuse."""
+        """Create a message without a body; `version` and the Connection header determine `close`."""
         self.method = method
         self.target = target
         self.status = status
@@ -82,15 +82,15 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """The request target without its query."""
         return self.target.partition(b"?")[0]
 
     def header_values(self, name: bytes) -> list[bytes]:
-        """All values of a header, whose name is given in lower case."""
+        """Return all values of a header; `name` must be in lower case."""
         return [value for header_name, value in self.headers if header_name == name]
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of a header, several joined by commas; None without one."""
+        """Return the value of a header, with several values joined by commas, or None if it is missing."""
         values = [value for header_name, value in self.headers if header_name == name]
         if not values:
             return None
@@ -98,25 +98,28 @@
 
 
 class Parser:
-    """Takes complete messages out of a ring buffer."""
+    """Incrementally parses the messages in a ring buffer."""
 
     def __init__(self, buffer: RingBuffer, responses: bool = False, body_limit: int = BODY_LIMIT) -> None:
-        """`body_limit`: bytes of the longest body; the buffer must hold that and a header."""
+        """Parse requests, or responses if `responses`, from `buffer`.
+
+        `body_limit` is the largest allowed body in bytes; the buffer must hold such a body and a header.
+        """
         self.buffer = buffer
         self.responses = responses
         self.body_limit = body_limit
         self.head: Message | None = None
-        self._length = 0  # bytes of the body, _CHUNKED or _UNTIL_CLOSE
+        self._length = 0  # of the body in bytes, or _CHUNKED or _UNTIL_CLOSE
         self._chunks = bytearray()
-        self._chunk_left = _AT_SIZE_LINE  # bytes of the current chunk with its line end, or _IN_TRAILERS
+        self._chunk_remaining = _AT_SIZE_LINE  # missing bytes of the current chunk and its line end, or _IN_TRAILERS
 
     @property
     def idle(self) -> bool:
-        """Whether no part of a message has arrived."""
+        """Whether no part of the next message has arrived."""
         return self.head is None and not len(self.buffer)
 
     def next_message(self) -> Message | None:
-        """The next message, or None while it is incomplete. Raises BadMessageError."""
+        """Return the next message, or None if it is incomplete. Raises BadMessageError."""
         if self.head is None and not self._read_head():
             return None
         if self._length == _CHUNKED:
@@ -130,9 +133,9 @@
         return self._complete(self.buffer.take(self._length))
 
     def unconsumed_bytes(self) -> bytes:
-        """What another parser needs to go on from here.
+        """Return the bytes that another parser needs to continue from here.
 
-        These are the buffer's bytes, preceded by the head of the incomplete message, serialized again.
+        These are the head and the decoded chunks of the incomplete message, serialized again, and the buffer's bytes.
         """
         head = self.head
         if head is None:
@@ -144,14 +147,14 @@
 
     def _serialized_chunks(self) -> bytes:
         chunks = b"%x\r\n%b\r\n" % (len(self._chunks), self._chunks) if self._chunks else b""
-        if self._chunk_left == _IN_TRAILERS:
+        if self._chunk_remaining == _IN_TRAILERS:
             return chunks + b"0\r\n"
-        if self._chunk_left >= 0:
-            return chunks + b"%x\r\n" % (self._chunk_left - 2)
+        if self._chunk_remaining >= 0:
+            return chunks + b"%x\r\n" % (self._chunk_remaining - 2)
         return chunks
 
     def message_at_end(self) -> Message | None:
-        """The peer has closed: a response without a length is complete."""
+        """Return the response whose body ends with the connection, if there is one; called when the peer has closed."""
         if self.head is not None and self._length == _UNTIL_CLOSE and len(self.buffer) <= self.body_limit:
             self.head.close = True
             return self._complete(self.buffer.take(len(self.buffer)))
@@ -161,12 +164,12 @@
         message = self.head
         self.head = None
         if message is None:
-            raise RuntimeError("a body without a head")
+            raise RuntimeError("body completed without a parsed head")
         message.body = body
         return message
 
     def _read_head(self) -> bool:
-        """Parse the next head, over interim responses; False while it is incomplete."""
+        """Parse the next head, skipping interim responses; returns False if it is incomplete."""
         while True:
             block = self._take_head()
             if block is None:
@@ -178,13 +181,13 @@
             )
             self._length = self._body_length(head)
             self._chunks = bytearray()
-            self._chunk_left = _AT_SIZE_LINE
+            self._chunk_remaining = _AT_SIZE_LINE
             if not self.responses or head.status >= 200:
                 self.head = head
                 return True
 
     def _take_head(self) -> bytes | None:
-        """The bytes of the next head, taken from the buffer with the empty line behind it."""
+        """Remove the next head and the empty line behind it from the buffer; returns None if it is incomplete."""
         data = self.buffer.peek()
         start = 0
         while data.startswith(b"\r\n", start) and not self.responses:
@@ -225,25 +228,25 @@
 
     def _read_chunks(self) -> Message | None:
         while True:
-            if self._chunk_left >= 0 and not self._take_chunk():
+            if self._chunk_remaining >= 0 and not self._take_chunk():
                 return None
             line = self._take_line()
             if line is None:
                 return None
-            if self._chunk_left == _AT_SIZE_LINE:
+            if self._chunk_remaining == _AT_SIZE_LINE:
                 self._start_chunk(line)
             elif not line:
                 return self._complete(bytes(self._chunks))
-            # Other lines are trailers, which are dropped.
+            # Other lines are trailers, which are ignored.
 
     def _take_chunk(self) -> bool:
-        if len(self.buffer) < self._chunk_left:
+        if len(self.buffer) < self._chunk_remaining:
             return False
-        chunk = self.buffer.take(self._chunk_left)
+        chunk = self.buffer.take(self._chunk_remaining)
         if chunk[-2:] != b"\r\n":
             raise BadMessageError(400, "a chunk does not end where it says")
         self._chunks += chunk[:-2]
-        self._chunk_left = _AT_SIZE_LINE
+        self._chunk_remaining = _AT_SIZE_LINE
         return True
 
     def _start_chunk(self, line: bytes) -> None:
@@ -253,7 +256,7 @@
         size = int(match.group(1), 16)
         if len(self._chunks) + size > self.body_limit:
             raise BadMessageError(413, "the body is too large")
-        self._chunk_left = size + 2 if size else _IN_TRAILERS
+        self._chunk_remaining = size + 2 if size else _IN_TRAILERS
 
 
 def _parse_headers(lines: list[bytes]) -> Headers:
@@ -288,14 +291,17 @@
 
 
 def serialize_request(message: Message) -> bytes:
-    """A complete request, as it could have arrived."""
+    """Serialize a received request with its body, as another parser could receive it."""
     framing = (b"content-length", b"transfer-encoding")
     headers = [(name, value) for name, value in _headers_with_close(message) if name not in framing]
     return _serialize(_request_line(message), headers, message.body)
 
 
 def _headers_with_close(head: Message) -> Headers:
-    """An HTTP/1.0 request ends its connection by default; in HTTP/1.1 this needs a header."""
+    """Return the headers with `Connection: close` if the message ends its connection.
+
+    HTTP/1.0 requests do so by default, but they are serialized as HTTP/1.1, which needs the header.
+    """
     return [*head.headers, (b"connection", b"close")] if head.close else head.headers
 
 
@@ -307,7 +313,7 @@
 
 
 def response(status: int, body: bytes = b"", headers: Iterable[tuple[bytes, bytes]] = (), close: bool = False) -> bytes:
-    """A serialized response; `close` adds the header that ends the connection."""
+    """Serialize a response; `close` adds the header that ends the connection."""
     close_header = [(b"Connection", b"close")] if close else []
     framed_body = None if status in (100, 204) else body
     return _serialize(f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", [*headers, *close_header], framed_body)
@@ -316,6 +322,6 @@
 def request(
     method: bytes, target: bytes, host: str, headers: Iterable[tuple[bytes, bytes]] = (), body: bytes | None = None
 ) -> bytes:
-    """A serialized request; without a body if that is None."""
+    """Serialize a request; without a `body` it has no Content-Length either."""
     first_line = f"{method.decode('latin-1')} {target.decode('latin-1')} HTTP/1.1"
     return _serialize(first_line, [(b"Host", host.encode("latin-1")), *headers], body)
--- a/badgerroad/net/logs.py
+++ b/badgerroad/net/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs on structlog: one event a line with its fields, as `key=value` text or as JSON lines.
+"""Structured logging with structlog: one event per line with its fields, as `key=value` text or as JSON.
 
-Event names are snake_case and stable; all that varies is a field. Records of the standard library go the
-same way, with `logger` naming the library.
+Event names are snake_case and stable; everything that varies is a field. Records of the standard library's loggers are
+logged as events too, with the name of their logger in the field `logger`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 
 _rich = sys.modules.get("rich")
 if _rich is None:
-    # structlog.dev imports rich if it is installed: 2 MB and a tenth of the start time for tracebacks in colour.
+    # structlog.dev imports rich if it is installed, which takes 2 MB and a tenth of the start time for coloured
+    # tracebacks that are not used here.
     sys.modules["rich"] = None  # type: ignore[assignment]
 import structlog  # noqa: E402 - must follow the lines above
 
@@ -25,14 +26,14 @@
 
 
 class LogSettings(NamedTuple):
-    """`format`: console or json; `level`: debug, info, warning or error."""
+    """Settings of the log: `format` is console or json, `level` is debug, info, warning or error."""
 
     format: str = "console"
     level: str = "info"
 
 
 class _TimeOfDay:
-    """The local time of a line. Most lines share the text of their second with the one before."""
+    """Adds the local time to events. The text of a second is cached, since consecutive lines mostly share it."""
 
     __slots__ = ("_second", "_text")
 
@@ -41,7 +42,7 @@
         self._text = ""
 
     def add(self, _logger: Any, _name: str, event: structlog.typing.EventDict) -> structlog.typing.EventDict:
-        """Add the field `at`; a processor of structlog."""
+        """Add the field `at`; this is a structlog processor."""
         now = time.time()
         second = int(now)
         if second != self._second:
@@ -52,7 +53,10 @@
 
 
 def _text_line(_logger: Any, _name: str, event: structlog.typing.EventDict) -> str:
-    """`12:00:00.123 info event key=value ...`; structlog's console renderer takes seven times as long."""
+    """Format an event as `12:00:00.123 info event key=value ...`.
+
+    structlog's console renderer takes seven times as long.
+    """
     line = f"{event.pop('at')} {event.pop('level')} {event.pop('event')}"
     trace = event.pop("exception", None)
     for key, value in event.items():
@@ -68,10 +72,10 @@
 
 
 class _ForwardingHandler(logging.Handler):
-    """Turns the standard library's records into events."""
+    """Logs records of the standard library's loggers as events."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """See logging.Handler."""
+        """Log `record` as an event; overrides logging.Handler.emit."""
         fields = {"logger": record.name}
         if record.exc_info:
             fields["exception"] = logging.Formatter().formatException(record.exc_info)
@@ -79,10 +83,10 @@
 
 
 class _StandardError:
-    """Writes to the present standard error. A log that is no longer read must not end the program."""
+    """Writes lines to the current `sys.stderr`. Errors are ignored: a closed log must not end the program."""
 
     def msg(self, message: str) -> None:
-        """Write the line."""
+        """Write `message` as a line."""
         with contextlib.suppress(OSError, ValueError):
             sys.stderr.write(message + "\n")
             sys.stderr.flush()
@@ -94,9 +98,9 @@
 
 
 def configure(settings: Any = _DEFAULT_SETTINGS, debug: bool = False, **fields: Any) -> None:
-    """Set format and level for the whole process; may be called again, on a reload.
+    """Set format and level for the whole process; called again on a reload.
 
-    `settings`: a LogSettings, or an object with the same attributes; `fields` go with each line.
+    `settings` is a LogSettings or an object with the same attributes; `fields` are added to each line.
     """
     level = logging.DEBUG if debug else LEVELS[settings.level]
     json = settings.format == "json"
@@ -117,10 +121,10 @@
 
 
 class Log:
-    """Forwards to the logger of the present configuration.
+    """Forwards to the logger of the current configuration.
 
-    structlog's own lazy proxy binds anew for every line, even one that is not written, and its cache would not see a
-    reload.
+    structlog's own lazy proxy binds a new logger for every line, even one below the log level, and its cache would not
+    follow a reload.
     """
 
     current: Any = structlog.get_logger()
@@ -142,10 +146,10 @@
         self.current.error(event, **fields)
 
     def exception(self, event: str, **fields: Any) -> None:
-        """Log a fault with the traceback of the present exception."""
+        """Log a fault with the traceback of the current exception."""
         self.current.exception(event, **fields)
 
 
 def get(name: str) -> Log:
-    """The logger of a module; event names are snake_case, everything that varies is a field."""
+    """Return a logger. All loggers share the process-wide configuration, whatever their name."""
     return Log()
--- a/badgerroad/net/ring_buffer.py
+++ b/badgerroad/net/ring_buffer.py
@@ -1,7 +1,7 @@
-"""A byte ring buffer that starts small, grows to a limit and shrinks when it is empty.
+"""A byte ring buffer that starts small, grows up to a limit and shrinks when it is empty.
 
-Two full-size buffers for each connection would not fit in the dispatcher's memory, and nearly all connections
-are idle or carry a few hundred bytes.
+Two full-size buffers per connection would not fit in the dispatcher's memory, and nearly all connections are idle or
+carry a few hundred bytes.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 
 class RingBuffer:
-    """Bytes in the order in which they were put; `limit` and the initial capacity are in bytes."""
+    """A FIFO of bytes; `limit` and the capacities are in bytes."""
 
     def __init__(self, limit: int, initial_capacity: int = INITIAL_CAPACITY) -> None:
-        """An empty buffer."""
+        """Create an empty buffer that can hold up to `limit` bytes."""
         self.limit = limit
         self.initial_capacity = min(initial_capacity, limit)
         self._data = bytearray(self.initial_capacity)
@@ -21,12 +21,12 @@
         self._count = 0
 
     def __len__(self) -> int:
-        """Bytes that are in the buffer."""
+        """The number of bytes in the buffer."""
         return self._count
 
     @property
     def capacity(self) -> int:
-        """Bytes that fit without growing."""
+        """The number of bytes that fit without growing."""
         return len(self._data)
 
     @property
@@ -35,7 +35,7 @@
         return self._count >= self.limit
 
     def writable(self) -> memoryview:
-        """The next free bytes, contiguous; grows a full buffer. Empty once the limit is reached."""
+        """Return the next contiguous free memory, growing a full buffer. Empty once the limit is reached."""
         if self._count == len(self._data) < self.limit:
             self._resize(min(len(self._data) * 2, self.limit))
         size = len(self._data)
@@ -44,11 +44,11 @@
         return memoryview(self._data)[start : min(end, start + size - self._count)]
 
     def commit(self, count: int) -> None:
-        """`count` bytes were written to the memory that `writable` gave."""
+        """Append the first `count` bytes of the memory that `writable` returned, after they have been written."""
         self._count += count
 
     def put(self, data: bytes) -> None:
-        """Append `data`. Raises ValueError beyond the limit."""
+        """Append `data`. Raises ValueError if the limit would be exceeded."""
         needed = self._count + len(data)
         if needed > self.limit:
             raise ValueError(f"{needed} bytes do not fit in a ring buffer of {self.limit}")
@@ -66,17 +66,17 @@
             offset += len(part)
 
     def readable(self) -> memoryview:
-        """The first bytes, contiguous, without a copy."""
+        """Return the first contiguous bytes without copying them."""
         return memoryview(self._data)[self._head : min(self._head + self._count, len(self._data))]
 
     def peek(self) -> bytes:
-        """A copy of all bytes, which stay."""
+        """Return a copy of all bytes without removing them."""
         return self._copy(self._count)
 
     def _copy(self, count: int) -> bytes:
         end = self._head + count
         size = len(self._data)
-        if end <= size:  # contiguous, as nearly always: one copy
+        if end <= size:  # contiguous in nearly all cases
             return bytes(memoryview(self._data)[self._head : end])
         return bytes(memoryview(self._data)[self._head :]) + bytes(memoryview(self._data)[: end - size])
 
@@ -88,19 +88,19 @@
         return data
 
     def skip(self, count: int) -> None:
-        """Remove the first `count` bytes without a copy."""
+        """Remove the first `count` bytes."""
         count = min(count, self._count)
         self._count -= count
         self._head = (self._head + count) % len(self._data) if self._count else 0
 
     def shrink(self) -> None:
-        """Free the memory of a large message, if empty. Not allowed while a read into the buffer is pending."""
+        """Reduce an empty buffer to its initial capacity. Must not be called while a read into it is pending."""
         if not self._count and len(self._data) > self.initial_capacity:
             self._data = bytearray(self.initial_capacity)
             self._head = 0
 
     def _resize(self, size: int) -> None:
-        # A new block, as a pending write may still refer to the old one.
+        # Allocate a new block, as a pending write may still refer to the old one.
         data = bytearray(size)
         data[: self._count] = self.peek()
         self._data = data
--- a/badgerroad/net/timer_wheel.py
+++ b/badgerroad/net/timer_wheel.py
@@ -1,4 +1,4 @@
-"""The clock, and a timer wheel of coarse ticks on which all timers of the program lie."""
+"""The clock, and the timer wheel with coarse ticks that runs all timers of the program."""
 
 from __future__ import annotations
 
@@ -10,47 +10,50 @@
 
 TICK_US = 1_000
 SLOT_COUNT = 1_024
-# An event loop that wakes this late was not running: process stopped, core taken, or one callback took as long.
+# An event loop that wakes this late has stalled: the process was stopped or had no CPU, or a callback took that long.
 STALL_TICKS = 100
-# After a stall, what peers sent meanwhile is read first, which takes several loop iterations.
+# Time after a stall for reading what peers sent during it, which takes several loop iterations.
 PEER_GRACE_TICKS = 25
 log = logs.get("badgerroad")
 
 
 class Clock:
-    """Microseconds since the Unix epoch that never go back.
+    """A monotonic clock in microseconds since the Unix epoch.
 
-    Workers report their start in Unix time, so the monotonic clock is anchored to it once.
+    Workers report their start in Unix time, so the monotonic clock is anchored to Unix time once.
     """
 
     def __init__(self) -> None:
-        """Anchor the clock to the present Unix time."""
+        """Anchor the clock to the current Unix time."""
         self._anchor = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now(self) -> int:
-        """The present time in microseconds."""
+        """Return the current time in microseconds."""
         return self._anchor + time.monotonic_ns() // 1000
 
 
 class Loop(Protocol):
-    """What the timer wheel needs of the event loop."""
+    """The interface through which the timer wheel uses the event loop."""
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> object:
-        """Call back after `delay` seconds; returns a handle for `remove_timeout`."""
+        """Call `callback` after `delay` seconds; returns a handle for `remove_timeout`."""
 
     def remove_timeout(self, timeout: object) -> None:
-        """Cancel a call."""
+        """Cancel the call with the handle `timeout`."""
 
 
 class Timer:
-    """One entry, owned by whoever asked for it; it ends by `cancel` or by firing. `due_at` is in microseconds."""
+    """A timer, owned by the caller of `TimerWheel.after` until it fires or is cancelled.
+
+    `due_at` is in microseconds, `tick` is the wheel's tick at which it fires.
+    """
 
     __slots__ = ("due_at", "tick", "awaits_peer", "_callback", "_timers")
 
     def __init__(
         self, due_at: int, tick: int, callback: Callable[[], None], timers: TimerWheel, awaits_peer: bool = False
     ) -> None:
-        """Made by `TimerWheel.after` only."""
+        """Create a timer; only `TimerWheel.after` does so."""
         self.due_at = due_at
         self.tick = tick
         self.awaits_peer = awaits_peer
@@ -58,13 +61,13 @@
         self._timers = timers
 
     def cancel(self) -> None:
-        """Remove the entry; no effect once it has fired."""
+        """Cancel the timer; no effect once it has fired."""
         if self._callback is not None:
             self._callback = None
             self._timers.remove(self)
 
     def fire(self) -> None:
-        """Call back, once."""
+        """Run the callback, unless it has run or the timer is cancelled."""
         callback = self._callback
         self._callback = None
         if callback is not None:
@@ -72,37 +75,37 @@
 
 
 class TimerWheel:
-    """Timers by the tick at which they are due, modulo the number of slots (Varghese and Lauck, 1987, scheme 6)."""
+    """Timers in slots by the tick at which they are due (hashed wheel, Varghese and Lauck 1987, scheme 6)."""
 
     def __init__(self, clock: Clock, loop: Loop) -> None:
-        """An empty wheel, which wakes `loop` only while it has timers."""
+        """Create an empty wheel. It schedules wakeups on `loop` only while it has timers."""
         self.clock = clock
         self._loop = loop
         self._slots: list[dict[Timer, None]] = [{} for _ in range(SLOT_COUNT)]
-        self._done_tick = clock.now() // TICK_US  # all ticks up to this one are done
+        self._last_fired_tick = clock.now() // TICK_US  # the timers of all ticks up to this one have been fired
         self._count = 0
         self._wakeup: object = None
         self._wakeup_tick = 0
         self._firing = False
-        self._peer_grace_until = 0  # a tick: until then timers that await a peer are put off
+        self._peer_grace_end_tick = 0  # timers that await a peer are postponed to this tick after a stall
         self.stall_count = 0
 
     def after(self, delay: int, callback: Callable[[], None], awaits_peer: bool = False) -> Timer:
-        """Call back after `delay` microseconds.
+        """Call `callback` after `delay` microseconds.
 
-        `awaits_peer`: the callback concludes that a peer has sent nothing. This is known only once the process has had
-        time to read from its sockets, so such a timer is put off after a stall of the event loop.
+        `awaits_peer` means that the callback concludes that a peer has sent nothing. This is certain only once the
+        process has had time to read its sockets, so such a timer is postponed after a stall of the event loop.
         """
         due_at = self.clock.now() + max(delay, 0)
-        # Rounded up: a timer may be late by a tick, never early.
-        timer = Timer(due_at, max(-(-due_at // TICK_US), self._done_tick + 1), callback, self, awaits_peer)
+        # The tick is rounded up: a timer may fire up to one tick late, but never early.
+        timer = Timer(due_at, max(-(-due_at // TICK_US), self._last_fired_tick + 1), callback, self, awaits_peer)
         self._insert(timer)
         if not self._firing and (self._wakeup is None or timer.tick < self._wakeup_tick):
             self._schedule_wakeup(timer.tick)
         return timer
 
     def remove(self, timer: Timer) -> None:
-        """Take an entry out, if it is there."""
+        """Remove a timer if it is in the wheel."""
         if self._slots[timer.tick % SLOT_COUNT].pop(timer, 0) is None:
             self._count -= 1
 
@@ -117,17 +120,17 @@
         self._wakeup = self._loop.call_later(max(tick * TICK_US - self.clock.now(), 0) / 1e6, self.fire_due)
 
     def fire_due(self) -> None:
-        """Fire the timers that are due and sleep until the next one, for one revolution at most."""
+        """Fire the timers that are due and schedule the next wakeup, one revolution ahead at most."""
         self._wakeup = None
         self._firing = True
         now = self.clock.now() // TICK_US
         if now - self._wakeup_tick > STALL_TICKS:
             self.stall_count += 1
-            self._peer_grace_until = now + PEER_GRACE_TICKS
+            self._peer_grace_end_tick = now + PEER_GRACE_TICKS
             log.warning("event_loop_stalled", ms=(now - self._wakeup_tick) * TICK_US // 1000)
         due = self._take_due(now)
-        if now < self._peer_grace_until:
-            due = self._put_off_awaiting(due)
+        if now < self._peer_grace_end_tick:
+            due = self._postpone_peer_timers(due)
         for timer in due:
             _fire_safely(timer)
         self._firing = False
@@ -136,32 +139,32 @@
 
     def _take_due(self, now: int) -> list[Timer]:
         due: list[Timer] = []
-        for tick in range(max(self._done_tick + 1, now - SLOT_COUNT + 1), now + 1):
+        for tick in range(max(self._last_fired_tick + 1, now - SLOT_COUNT + 1), now + 1):
             due += [timer for timer in self._slots[tick % SLOT_COUNT] if timer.tick <= now]
-        self._done_tick = max(now, self._done_tick)
+        self._last_fired_tick = max(now, self._last_fired_tick)
         due.sort(key=lambda timer: timer.due_at)
         for timer in due:
             self.remove(timer)
         return due
 
-    def _put_off_awaiting(self, due: list[Timer]) -> list[Timer]:
-        """Put off the timers that await a peer; returns the others."""
+    def _postpone_peer_timers(self, due: list[Timer]) -> list[Timer]:
+        """Postpone the timers that await a peer to the end of the grace period; returns the others."""
         ready = []
         for timer in due:
             if timer.awaits_peer:
-                timer.tick = self._peer_grace_until
+                timer.tick = self._peer_grace_end_tick
                 self._insert(timer)
             else:
                 ready.append(timer)
         return ready
 
     def _next_tick(self) -> int:
-        ahead = range(self._done_tick + 1, self._done_tick + SLOT_COUNT)
-        return next((tick for tick in ahead if self._slots[tick % SLOT_COUNT]), self._done_tick + SLOT_COUNT)
+        ahead = range(self._last_fired_tick + 1, self._last_fired_tick + SLOT_COUNT)
+        return next((tick for tick in ahead if self._slots[tick % SLOT_COUNT]), self._last_fired_tick + SLOT_COUNT)
 
 
 def _fire_safely(timer: Timer) -> None:
-    """A callback that raises must not take the other timers with it."""
+    """Fire `timer` and log an exception of its callback, so that the other timers still fire."""
     try:
         timer.fire()
     except Exception:
--- a/badgerroad/net/unix_channel.py
+++ b/badgerroad/net/unix_channel.py
@@ -1,6 +1,6 @@
-"""A Unix socket between two processes of one dispatcher: messages in order, with descriptors.
+"""A channel over a Unix socket that carries messages and file descriptors between processes of one dispatcher.
 
-SOCK_SEQPACKET keeps the bounds of packets, so a packet arrives complete or not at all, also when its sender dies.
+SOCK_SEQPACKET preserves packet boundaries, so a packet arrives complete or not at all, even if its sender dies.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 log = logs.get("badgerroad")
 
-MAX_QUEUED_PACKETS = 20_000  # for a peer that does not read; with more the channel is closed
-PACKETS_PER_TURN = 32  # read before the loop serves others
-BACKLOG = 4  # processes that wait to be accepted
+MAX_QUEUED_PACKETS = 20_000  # if a peer does not read and more are queued, the channel is closed
+PACKETS_PER_TURN = 32  # most packets read before the event loop serves other sockets
+BACKLOG = 4  # connections that wait to be accepted
 PEER_BUSY_ERRORS = (errno.EAGAIN, errno.EINTR, errno.ETOOMANYREFS, errno.EMSGSIZE)
 
 OnMessage: TypeAlias = Callable[[str, dict[str, Any], bytes, "int | None"], None]
@@ -31,30 +31,30 @@
 
 
 class QueuedPacket(NamedTuple):
-    """A packet that waits until the peer reads."""
+    """A packet in the send queue."""
 
     data: bytes
-    descriptor: int | None  # sent along
-    owned: socket.socket | None  # closed once the packet is sent, or cannot be
+    descriptor: int | None  # sent with the packet
+    owned_socket: socket.socket | None  # closed when the packet has been sent or dropped
 
 
 class ReceivedPacket(NamedTuple):
-    """A packet as it arrived; empty data is the end of the channel."""
+    """A received packet; empty data means that the channel has ended."""
 
     data: bytes
-    descriptors: list[int]  # the receiver's, to be closed if it does not use them
+    descriptors: list[int]  # owned by the receiver, which must close those that it does not use
     truncated: bool
 
 
 def descriptor_data(descriptor: int | None) -> AncillaryData:
-    """The ancillary data that carries a descriptor."""
+    """Return the ancillary data that carries `descriptor`; empty for None."""
     if descriptor is None:
         return []
     return [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [descriptor]))]
 
 
 def received_descriptors(ancillary: AncillaryData) -> list[int]:
-    """The descriptors in the ancillary data of a packet."""
+    """Return the descriptors in the ancillary data of a packet."""
     return [
         descriptor
         for level, kind, data in ancillary
@@ -64,11 +64,14 @@
 
 
 class UnixChannel:
-    """One end of a channel. It owns the socket, and the packets and sockets that are queued on it."""
+    """One end of a channel. It owns its socket, its send queue and the sockets in that queue."""
 
     def __init__(self, sock: socket.socket, on_message: OnMessage, on_closed: Callable[[], None]) -> None:
-        """`on_message` is given kind, head, payload and a descriptor, which is the receiver's from then on. `on_closed`
-        is called once, from the loop, whichever side closed."""
+        """Take ownership of `sock`.
+
+        `on_message` is called with kind, head, payload and a descriptor or None; it takes ownership of the descriptor.
+        `on_closed` is called once, from the event loop, whichever side has closed.
+        """
         self.sock = sock
         self.closed = False
         self._on_message = on_message
@@ -76,16 +79,16 @@
         self._queue: deque[QueuedPacket] = deque()
         self._reader = framing.Reader()
         self._loop = IOLoop.current()
-        self._write_closed = False  # the peer takes nothing any more; what it has sent is still read
+        self._write_closed = False  # the peer no longer receives; what it has sent is still read
         sock.setblocking(False)
         self._loop.add_handler(sock, self._on_ready, IOLoop.READ)
 
     def send(self, kind: str, head: dict[str, Any], descriptor: int | None = None) -> None:
-        """Queue a message. `descriptor` goes with its last packet and must stay open until that is sent."""
+        """Queue a message. `descriptor` is sent with its last packet and must stay open until then."""
         self.send_packed(framing.pack(kind, head), descriptor)
 
     def send_packed(self, packets: list[bytes], descriptor: int | None = None) -> None:
-        """Queue the packets of one message that `framing.pack` made, once for several channels."""
+        """Queue the packets that `framing.pack` returned; a message for several channels is packed only once."""
         if self.closed or self._write_closed:
             return
         for packet in packets:
@@ -93,21 +96,21 @@
         self._flush()
 
     def send_socket(self, kind: str, head: dict[str, Any], sock: socket.socket) -> None:
-        """Queue a message with a socket, which the channel owns from now on and closes once it is sent or cannot be."""
+        """Queue a message with a socket. The channel takes ownership and closes it once it is sent or dropped."""
         if self.closed or self._write_closed:
             sock.close()
             return
-        self._queue.append(QueuedPacket(framing.one(kind, head), sock.fileno(), sock))
+        self._queue.append(QueuedPacket(framing.pack_single(kind, head), sock.fileno(), sock))
         self._flush()
 
     @property
     def busy(self) -> bool:
-        """Whether `try_send` cannot succeed now."""
+        """Whether `try_send` would fail now, because the channel is closed or packets are queued."""
         return self.closed or self._write_closed or bool(self._queue)
 
     def try_send(self, kind: str, head: dict[str, Any], payload: bytes, descriptor: int) -> bool:
-        """Send now or not at all. What is not sent stays the caller's, descriptor and bytes."""
-        packet = framing.one(kind, head, payload)
+        """Send a message immediately, or return False without sending. The caller keeps ownership of `descriptor`."""
+        packet = framing.pack_single(kind, head, payload)
         if self.busy or len(packet) > framing.MAX_PACKET_BYTES:
             return False
         try:
@@ -126,14 +129,14 @@
             except (BlockingIOError, InterruptedError):
                 break
             except OSError as error:
-                # The peer has gone; what it sent last, clients' connections among it, is still unread here.
+                # The peer has closed. Its last messages, which may carry connections of clients, are still unread.
                 log.info("channel_peer_gone", error=str(error))
                 self._write_closed = True
                 self._drop_queue()
                 break
             self._queue.popleft()
-            if packet.owned is not None:
-                packet.owned.close()
+            if packet.owned_socket is not None:
+                packet.owned_socket.close()
         if self.closed:
             return
         if len(self._queue) > MAX_QUEUED_PACKETS:
@@ -153,14 +156,17 @@
             except (BlockingIOError, InterruptedError):
                 return
             except ConnectionResetError:
-                continue  # the peer closed with packets unread: reported once, before what it had sent and the end
+                continue  # the peer closed with unread packets; reported once, before its last packets and the end
             if not packet.data:
                 self.close()
                 return
             self._deliver(packet)
 
     def _receive(self) -> ReceivedPacket:
-        """Raises BlockingIOError, InterruptedError or ConnectionResetError; any other error is the end."""
+        """Receive one packet; other errors than those raised are returned as the end of the channel.
+
+        Raises BlockingIOError, InterruptedError or ConnectionResetError.
+        """
         try:
             data, ancillary, flags, _ = self.sock.recvmsg(framing.RECEIVE_BYTES, socket.CMSG_SPACE(4))
         except (BlockingIOError, InterruptedError, ConnectionResetError):
@@ -174,7 +180,7 @@
         descriptors = packet.descriptors
         try:
             if packet.truncated:
-                raise framing.BadPacketError("cut off")
+                raise framing.BadPacketError("the packet or its ancillary data is truncated")
             message = self._reader.read(packet.data)
             if message is not None:
                 kind, head, payload = message
@@ -188,12 +194,12 @@
 
     def _drop_queue(self) -> None:
         for packet in self._queue:
-            if packet.owned is not None:
-                packet.owned.close()
+            if packet.owned_socket is not None:
+                packet.owned_socket.close()
         self._queue.clear()
 
     def close(self) -> None:
-        """Close the socket and drop what is queued; `on_closed` follows from the loop."""
+        """Close the socket and drop the send queue; `on_closed` is then called from the event loop."""
         if not self.closed:
             self.closed = True
             self._loop.remove_handler(self.sock)
@@ -203,38 +209,44 @@
 
 
 class FileId(NamedTuple):
-    """Which file a name leads to."""
+    """The identity of a file, independent of its path."""
 
     device: int
     inode: int
 
 
 class UnixSocketPath:
-    """The name of a Unix socket in a folder, reached through a descriptor of the folder: socket names are short."""
+    """A Unix socket in a folder, addressed through a descriptor of the folder.
+
+    The length of a Unix socket's path is limited, so the folder's full path could be too long.
+    """
 
     def __init__(self, folder: str, name: str) -> None:
-        """Nothing is opened or bound yet."""
+        """Store folder and name without opening or binding anything."""
         self.folder = folder
         self.name = name
         self._listener: socket.socket | None = None
         self._bound: FileId | None = None
 
     def connect(self) -> socket.socket | None:
-        """A connection to the process that listens there, or None if there is none. Raises OSError without folder."""
+        """Connect to the process that listens at the path; returns None if there is none.
+
+        Raises OSError if the folder cannot be opened.
+        """
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.setblocking(False)
             sock.connect(self._path_in(folder))
             return sock
-        except OSError:  # no such file, a stale one, or a backlog that is full
+        except OSError:  # no such file, a stale socket, or a full backlog
             sock.close()
             return None
         finally:
             os.close(folder)
 
     def listen(self, on_connection: Callable[[socket.socket], None]) -> None:
-        """Be found from now on, in place of whichever process was before, this one included. Raises OSError."""
+        """Listen at the path, replacing any process that listened there before. Raises OSError."""
         self.close()
         folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -256,7 +268,7 @@
         IOLoop.current().add_handler(listener, lambda sock, events: self._accept(sock, on_connection), IOLoop.READ)
 
     def close(self) -> None:
-        """Stop listening. The name goes too, unless another process has taken it."""
+        """Stop listening and remove the socket file, unless another process has replaced it."""
         if self._listener is None:
             return
         IOLoop.current().remove_handler(self._listener)
@@ -282,7 +294,7 @@
 
 @contextmanager
 def _owner_only() -> Iterator[None]:
-    """Files made meanwhile are readable and writable by their owner only."""
+    """Set the umask so that files created in this context are accessible to their owner only."""
     previous = os.umask(0o177)
     try:
         yield
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -131,21 +131,21 @@
     monkeypatch.setattr(admin_listener, "MIN_CLOSE_AGE_US", 1_000_000)
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        crowd = [await asyncio.open_connection("127.0.0.1", w.ops_port) for _ in range(2 * admin_listener.MAX_CALLERS)]
-        reader, asks = crowd[admin_listener.MAX_CALLERS - 1]
-        await until(lambda: len(w.second.callers) == admin_listener.MAX_CALLERS)
+        crowd = [await asyncio.open_connection("127.0.0.1", w.ops_port) for _ in range(2 * admin_listener.MAX_CONNECTIONS)]
+        reader, asks = crowd[admin_listener.MAX_CONNECTIONS - 1]
+        await until(lambda: len(w.second.connections) == admin_listener.MAX_CONNECTIONS)
         asks.write(b"GET /ready HTTP/1.1\r\n\r\n")  # as many more wait, but it has had no time to speak yet
         assert b" 200 " in (await read_message(reader))[0]
         monkeypatch.setattr(admin_listener, "MIN_CLOSE_AGE_US", 0)
-        monkeypatch.setattr(admin_listener, "CALL_TIMEOUT_US", 300_000)
+        monkeypatch.setattr(admin_listener, "REQUEST_TIMEOUT_US", 300_000)
         free = w.dispatcher.descriptors.used
         idle = [await asyncio.open_connection("127.0.0.1", w.ops_port) for _ in range(500)]
         for _, writer in idle[::2]:
             writer.write(b"GET /metr")
         assert (await call(w, b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
-        assert len(w.second.callers) <= admin_listener.MAX_CALLERS
+        assert len(w.second.connections) <= admin_listener.MAX_CONNECTIONS
         assert w.dispatcher.descriptors.used == free
-        await until(lambda: not w.second.callers)  # out of time
+        await until(lambda: not w.second.connections)  # out of time
 
 
 @async_test
--- a/tests/frontend/test_eviction.py
+++ b/tests/frontend/test_eviction.py
@@ -8,7 +8,7 @@
 
 @async_test
 async def test_connections_without_a_complete_request_are_evicted_first(monkeypatch):
-    for name, time in (("FRESH_TIME_US", 60_000_000), ("REQUEST_TIMEOUT_US", 60_000_000), ("EVICTION_GRACE_US", 0)):
+    for name, time in (("MIN_IDLE_BEFORE_EVICTION_US", 60_000_000), ("REQUEST_TIMEOUT_US", 60_000_000), ("EVICTION_GRACE_US", 0)):
         monkeypatch.setattr(frontend_client, name, time)  # nothing ends by itself
     async with World(serve, limits=224, ops=True) as w:
         side, descriptors = w.dispatcher.frontend, w.dispatcher.descriptors
--- a/tests/net/test_unix_channel.py
+++ b/tests/net/test_unix_channel.py
@@ -40,7 +40,7 @@
     channel.send("held", {})  # it ends with this unread
     for _ in "12":
         theirs.sendmsg(
-            [framing.one("client", {})], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [passed.fileno()]))]
+            [framing.pack_single("client", {})], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [passed.fileno()]))]
         )
     theirs.close()
     if sends:
