--- a/tests/compatibility/test_recorded_messages.py
+++ b/tests/compatibility/test_recorded_messages.py
@@ -57,7 +57,7 @@
 def test_a_recorded_packet_is_read_and_written_as_the_same_bytes(packet):
     kind, head, payload = framing.Reader().read(packet)
     content = {name: value for name, value in head.items() if name != "kind"}
-    assert framing.one(kind, content, payload) == packet
+    assert framing.pack_single(kind, content, payload) == packet
     if not payload:
         assert framing.pack(kind, content) == [packet]
 
@@ -66,7 +66,7 @@
 def test_a_recorded_message_of_an_upgrade_is_decoded_and_encoded_as_the_same_bytes(packet):
     kind, head, payload = framing.Reader().read(packet)
     message = hot_restart_messages.decode(kind, head)
-    assert framing.one(message.kind, message.to_head(), payload) == packet
+    assert framing.pack_single(message.kind, message.to_head(), payload) == packet
 
 
 MULTIPROCESS_MESSAGES = {
@@ -80,7 +80,7 @@
 def test_a_recorded_message_of_server_processes_is_decoded_and_encoded_as_the_same_bytes(packet):
     kind, head, payload = framing.Reader().read(packet)
     message = MULTIPROCESS_MESSAGES[kind].from_head(head)
-    assert framing.one(message.kind, message.to_head(), payload) == packet
+    assert framing.pack_single(message.kind, message.to_head(), payload) == packet
 
 
 def test_a_long_head_is_sent_in_the_parts_that_the_version_before_wrote():
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("ends", ["drain", "shed", "patience"])
 @async_test
 async def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on(ends, monkeypatch):
-    monkeypatch.setattr("badgerroad.frontend.client.FRESH_TIME_US", 0)
+    monkeypatch.setattr("badgerroad.frontend.client.MIN_IDLE_BEFORE_EVICTION_US", 0)
     async with World(serve) as w:
         sock = socket.create_connection(("127.0.0.1", w.port))
         sock.sendall(b"GET /-/ready HTTP/1.1\r\n\r\n")
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -167,7 +167,7 @@
 
 @async_test
 async def test_near_the_descriptor_limit_the_least_useful_connections_go_first(monkeypatch):
-    monkeypatch.setattr(frontend_client, "FRESH_TIME_US", 0)
+    monkeypatch.setattr(frontend_client, "MIN_IDLE_BEFORE_EVICTION_US", 0)
     async with World(silent, limits=64) as w:
         served = [await w.connect() for _ in range(5)]
         for connection in served:
@@ -183,7 +183,7 @@
         idle = [await w.connect() for _ in range(34)]
         for connection in idle:
             await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", connection)
-        await asyncio.sleep(frontend_client.FRESH_TIME_US / 1e6 + 0.1)  # they have rested
+        await asyncio.sleep(frontend_client.MIN_IDLE_BEFORE_EVICTION_US / 1e6 + 0.1)  # they have rested
         idle += [await w.connect() for _ in range(3)]  # each may have a request on its way
         await until(lambda: any(reader.at_eof() for reader, _ in idle))
         assert not any(reader.at_eof() for reader, _ in idle[34:])
