--- a/tests/backend/test_cancels.py
+++ b/tests/backend/test_cancels.py
@@ -1,4 +1,4 @@
-"""Cancels of attempts, before and after the worker has accepted them."""
+"""Cancels of attempts before and after the worker has accepted them."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 from tests.support.loopback import SETTINGS, World, accept_only, async_test, id_of, job, reply, until
 
 
-async def never(_world, _head, _body):
+async def never_responds(_world, _head, _body):
     await asyncio.sleep(60)
 
 
 @async_test
 async def test_cancel_sends_delete_after_the_202_and_closes_the_connection_before_it():
-    async with World(accept_only, never, permissions={**SETTINGS["permissions"], "tryLimit": 1}) as w:
+    async with World(accept_only, never_responds, permissions={**SETTINGS["permissions"], "tryLimit": 1}) as w:
         for n in (1, 2):
             w.begin(w.ask(job(f"r{n}")))
         hosts = w.hosts
@@ -22,30 +22,30 @@
             await until(lambda attempt=attempt: attempt.accepted or attempt.worker == "h1")
             w.dispatcher.backend.cancel_attempt(attempt)
         await until(lambda: len(hosts[0].got) == 2)
-        name = id_of(hosts[0].got[0][0]).encode()
-        assert hosts[0].got[1][0].startswith(b"DELETE /jobs/" + name + b" HTTP/1.1\r\n")
+        request_id = id_of(hosts[0].got[0][0]).encode()
+        assert hosts[0].got[1][0].startswith(b"DELETE /jobs/" + request_id + b" HTTP/1.1\r\n")
         assert len(hosts[1].got) == 1
         assert not w.dispatcher.backend.attempts
-        await until(lambda: w.dispatcher.descriptors.used <= 4)  # the attempt's connection to h1 is gone
+        await until(lambda: w.dispatcher.descriptors.used <= 4)  # the connection of the attempt to h1 is closed
 
 
 @async_test
 async def test_late_event_of_a_cancelled_attempt_does_not_end_the_next_one():
-    gate = asyncio.Event()
+    delete_may_be_answered = asyncio.Event()
 
     async def script(_world, head, _body):
         if head.startswith(b"DELETE"):
-            await gate.wait()
+            await delete_may_be_answered.wait()
         return reply(200 if head.startswith(b"DELETE") else 202)
 
     async with World(script) as w:
-        answer = w.begin(w.ask(job()))
+        response = w.begin(w.ask(job()))
         await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
         w.dispatcher.backend.cancel_attempt(w.dispatcher.open_requests[1].attempts[0])
-        w.dispatcher.decisions.may_begin = lambda *_: True  # the scenario decides in the module's place
-        w.dispatcher.perform_actions([interface.Send(1, "h0")])  # waits until the host has answered the cancel
+        w.dispatcher.decisions.may_begin = lambda *_: True  # in place of the policy's decision
+        w.dispatcher.perform_actions([interface.Send(1, "h0")])  # waits until the worker has responded to the cancel
         assert await w.call_back("r1", "done", result="of the first") == 200
-        gate.set()
+        delete_may_be_answered.set()
         await until(lambda: w.dispatcher.open_requests[1].attempts[1].accepted)
         assert await w.call_back("r1", "done", result="of the second") == 200
-        assert (await answer)[2] == b"of the second"
+        assert (await response)[2] == b"of the second"
--- a/tests/backend/test_job_events.py
+++ b/tests/backend/test_job_events.py
@@ -1,4 +1,4 @@
-"""Job events that workers report to the dispatcher."""
+"""Job events that workers report to the dispatcher: order, repetitions and invalid events."""
 
 import asyncio
 
@@ -42,14 +42,14 @@
 
 
 @async_test
-async def test_worker_that_sends_an_event_before_the_202_is_not_given_up(monkeypatch):
+async def test_accept_timeout_does_not_end_an_attempt_whose_worker_has_sent_an_event(monkeypatch):
     monkeypatch.setattr(dispatcher_attempts, "ACCEPT_TIMEOUT_US", 100_000)
 
-    async def slow_to_answer(world, head, body):
+    async def slow_to_respond(world, head, body):
         assert await world.call_back(id_of(head), "started", world.name_of(head)) == 200
         await asyncio.sleep(0.3)
         return await serve(world, head, body)
 
-    async with World(slow_to_answer) as w:
+    async with World(slow_to_respond) as w:
         assert (await w.ask(job()))[2] == b"made"
         assert len(w.hosts[0].got) == 1
--- a/tests/backend/test_worker_addresses.py
+++ b/tests/backend/test_worker_addresses.py
@@ -1,4 +1,4 @@
-"""A worker that is listed at a new address."""
+"""Workers whose address changes on the endpoint list."""
 
 from tests.support.loopback import World, async_test, job, reply, serve, until
 from tests.support.policy_driver import SEC
@@ -7,7 +7,7 @@
 
 
 @async_test
-async def test_a_new_address_of_a_host_is_not_reached_by_connections_to_the_old_one():
+async def test_connection_to_the_old_address_of_a_worker_is_not_reused():
     async with World(serve, serve) as w:
         await until(lambda: w.dispatcher.ready)
         w.dispatcher.decisions.workers["h1"].ejected_until = w.dispatcher.clock.now() + 60 * SEC
@@ -16,7 +16,7 @@
         ((connection, timer),) = worker.idle
         worker.idle = []
         timer.cancel()
-        w.dispatcher.backend.set_address("h0", ("127.0.0.1", w.hosts[1].port))  # while it was in use
+        w.dispatcher.backend.set_address("h0", ("127.0.0.1", w.hosts[1].port))  # while the connection is in use
         w.dispatcher.backend.pools.checkin(worker, connection)
         assert not worker.idle
         assert connection.closed
--- a/tests/backend/test_worker_connections.py
+++ b/tests/backend/test_worker_connections.py
@@ -1,4 +1,4 @@
-"""Connections to workers: reuse, and workers that cannot be reached."""
+"""Reuse of connections to workers, and workers that cannot be reached."""
 
 from tests.support.loopback import World, async_test, job, serve
 
@@ -11,7 +11,7 @@
             assert (await w.ask(job(f"r{n}"), client))[0] == 200
         assert len(w.hosts[0].writers) == 1
         w.hosts[0].writers[0].close()
-        assert (await w.ask(job("r9"), client))[0] == 200  # a write to the old one would have been a reset
+        assert (await w.ask(job("r9"), client))[0] == 200  # writing to the closed connection would cause a reset
         assert len(w.hosts[0].writers) == 2
 
 
--- a/tests/frontend/test_bad_requests.py
+++ b/tests/frontend/test_bad_requests.py
@@ -1,4 +1,4 @@
-"""Bad and incomplete requests, and what is sent behind them."""
+"""Invalid and incomplete requests, and bytes sent after them."""
 
 import asyncio
 import contextlib
@@ -50,17 +50,17 @@
                     writer.write(b"y")
                     await asyncio.sleep(0.01)
 
-        served, (silence, _) = await w.connect(), await w.connect()
+        served, (silent_reader, _) = await w.connect(), await w.connect()
         assert (await w.ask(job(), served))[0] == 200
-        for start, more in ((job()[:40], False), (b"GET /-/ready HTTP/1.1\r\nX: ", True)):
+        for start, keeps_sending in ((job()[:40], False), (b"GET /-/ready HTTP/1.1\r\nX: ", True)):
             reader, writer = await w.connect()
             writer.write(start)
-            if more:
+            if keeps_sending:
                 w.begin(trickle(writer))
             assert (await read_message(reader))[0].startswith(b"HTTP/1.1 408 ")
         await until(lambda: not w.dispatcher.has_pending_responses)
-        assert await silence.read() == b""
-        assert (await w.ask(job("r2"), served))[0] == 200  # between requests a client may rest
+        assert await silent_reader.read() == b""
+        assert (await w.ask(job("r2"), served))[0] == 200  # a client may stay idle between requests
 
 
 @pytest.mark.parametrize(
@@ -72,12 +72,12 @@
     ],
 )
 @async_test
-async def test_rejected_request_gets_its_response_whatever_is_sent_behind_it(monkeypatch, bad, status):
+async def test_rejected_request_gets_its_response_whatever_is_sent_after_it(monkeypatch, bad, status):
     monkeypatch.setattr(frontend_client, "LINGER_TIME_US", 60_000_000)
     async with World(serve) as w:
         reader, writer = await w.connect()
         writer.write(bad + b"z" * 32_000_000)
-        await writer.drain()  # all of it is read, or this would wait for ever
+        await writer.drain()  # completes only if the dispatcher reads everything
         assert (await read_message(reader))[0].startswith(b"HTTP/1.1 %d " % status)
         assert await reader.read() == b""
         writer.close()
@@ -86,7 +86,7 @@
 
 
 @async_test
-async def test_garbage_behind_an_open_request_ends_it_with_400():
+async def test_invalid_bytes_after_an_open_request_end_it_with_400():
     async with World(accept_only) as w:
         reader, writer = await w.connect()
         writer.write(job() + b"garbage\r\n\r\n")
--- a/tests/frontend/test_client_requests.py
+++ b/tests/frontend/test_client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients and their responses."""
+"""Requests of clients: disconnects, deadlines, duplicate IDs, pipelining and `Expect`."""
 
 from tests.support.loopback import SETTINGS, World, accept_only, async_test, job, read_message, serve, until
 
--- a/tests/frontend/test_eviction.py
+++ b/tests/frontend/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connections of clients are ended when descriptors are scarce."""
+"""Eviction of client connections when descriptors are scarce."""
 
 import socket
 
@@ -8,34 +8,39 @@
 
 @async_test
 async def test_connections_without_a_complete_request_are_evicted_first(monkeypatch):
-    for name, time in (("MIN_IDLE_BEFORE_EVICTION_US", 60_000_000), ("REQUEST_TIMEOUT_US", 60_000_000), ("EVICTION_GRACE_US", 0)):
-        monkeypatch.setattr(frontend_client, name, time)  # nothing ends by itself
+    for name, value in (
+        ("MIN_IDLE_BEFORE_EVICTION_US", 60_000_000),
+        ("REQUEST_TIMEOUT_US", 60_000_000),
+        ("EVICTION_GRACE_US", 0),
+    ):
+        monkeypatch.setattr(frontend_client, name, value)  # no timeout ends a connection
     async with World(serve, limits=224, ops=True) as w:
-        side, descriptors = w.dispatcher.frontend, w.dispatcher.descriptors
+        frontend, descriptors = w.dispatcher.frontend, w.dispatcher.descriptors
         await until(lambda: w.dispatcher.ready)
-        mine = await w.connect()
-        assert (await w.ask(job("r0"), mine))[0] == 200
-        crowd = [await w.connect() for _ in range(60)]
-        for _, writer in crowd:
+        busy_client = await w.connect()
+        assert (await w.ask(job("r0"), busy_client))[0] == 200
+        incomplete = [await w.connect() for _ in range(60)]
+        for _, writer in incomplete:
             writer.write(b"POST /preview/x HTT")
-        await until(lambda: len(side.connections) >= 61)
-        descriptors.used += int(0.96 * descriptors.limit) - descriptors.used  # too few for one more job
-        assert (await w.ask(job("r1"), mine))[0] == 200
-        descriptors.used += descriptors.limit - descriptors.used  # not one left
+        await until(lambda: len(frontend.connections) >= 61)
+        descriptors.used += int(0.96 * descriptors.limit) - descriptors.used  # too few for an attempt of a new request
+        assert (await w.ask(job("r1"), busy_client))[0] == 200
+        descriptors.used += descriptors.limit - descriptors.used  # exhausted
         assert (await w.ask(job("r2")))[0] == 200
-        assert (await w.ask(job("r3"), mine))[0] == 200  # one with job after job goes last
+        assert (await w.ask(job("r3"), busy_client))[0] == 200  # a client with frequent requests is evicted last
 
 
 @async_test
 async def test_connections_are_searched_for_eviction_once_per_accepted_batch():
-    """Every connection was, for each that came: with 900 of them the loop stood for 0.4 s."""
+    """Searching all connections for each accepted one blocked the event loop for 0.4 s with 900 connections."""
     async with World(serve) as w:
         await until(lambda: w.dispatcher.ready)
-        looks = []
-        w.dispatcher.intake.shed_idle_connections = lambda: looks.append(1)
+        searches = []
+        w.dispatcher.intake.shed_idle_connections = lambda: searches.append(1)
         w.dispatcher.descriptors.used += int(0.92 * w.dispatcher.descriptors.limit)
-        crowd = [socket.create_connection(("127.0.0.1", w.port)) for _ in range(40)]  # the loop stands meanwhile
+        # Connecting blocks the event loop, so the connections are then accepted in batches.
+        clients = [socket.create_connection(("127.0.0.1", w.port)) for _ in range(40)]
         await until(lambda: len(w.dispatcher.frontend.connections) == 40)
-        assert 0 < len(looks) < 10
-        for sock in crowd:
+        assert 0 < len(searches) < 10
+        for sock in clients:
             sock.close()
--- a/tests/net/test_http1_parser.py
+++ b/tests/net/test_http1_parser.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 parser: messages cut anywhere, and strictness."""
+"""The HTTP/1.1 parser: messages split at any byte, and rejection of ambiguous ones."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def parse(data, step, responses=False):
-    """All messages in `data`, which arrives `step` bytes at a time."""
+    """Return all messages in `data`, which is parsed `step` bytes at a time."""
     ring_buffer = RingBuffer(http1.MESSAGE_LIMIT)
     parser, messages = http1.Parser(ring_buffer, responses), []
     for offset in range(0, len(data), step):
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 1000])
-def test_messages_are_complete_however_they_are_cut(step):
+def test_messages_are_parsed_however_they_are_split(step):
     requests = (
         b"POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
         b"POST /b HTTP/1.1\r\ntransfer-encoding: Chunked\r\n\r\n2;x=y\r\nde\r\n1\r\nf\r\n0\r\nT: v\r\n\r\n"
--- a/tests/net/test_timer_wheel.py
+++ b/tests/net/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel, on a clock and an event loop that the test moves."""
+"""The timer wheel on a simulated clock and event loop."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class ManualLoop:
-    """A clock in microseconds and an event loop in one; both move by `run_to` only."""
+    """Both a clock in microseconds and an event loop, which advance only in `run_to`."""
 
     def __init__(self):
         self.time = 10_500
