--- a/badgerroad/admin/counters.py
+++ b/badgerroad/admin/counters.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 STATUS_OK = 200
-REJECTED_STATUSES = (429, 503)  # the protocol's refusals, whether of the dispatcher or of a worker
+REJECTED_STATUSES = (429, 503)  # refusals by the protocol, whether the dispatcher or a worker sent them
 CLIENT_DISCONNECTED = 0  # stands for a status if the client disconnected before its response
 
 
--- a/badgerroad/admin/listener.py
+++ b/badgerroad/admin/listener.py
@@ -49,7 +49,7 @@
 
     def on_message(self, message: http1.Message) -> None:
         """Respond to the request."""
-        self._respond(*self.listener.answer(message))
+        self._respond(*self.listener.response_to(message))
 
     def on_bad_message(self, error: http1.BadMessageError) -> None:
         """Respond to bytes that are not a valid request."""
@@ -153,7 +153,7 @@
                 return True
         return False
 
-    def answer(self, message: http1.Message) -> tuple[int, bytes, http1.Headers]:
+    def response_to(self, message: http1.Message) -> tuple[int, bytes, http1.Headers]:
         """Return status, body and headers of the response to a request."""
         path = message.path
         if path not in (b"/ready", b"/metrics"):
--- a/badgerroad/backend/cancels.py
+++ b/badgerroad/backend/cancels.py
@@ -22,16 +22,18 @@
         """Send cancels on connections from `pools`."""
         self._pools = pools
 
-    def start(self, worker: WorkerConnections, request_id: bytes, confirmed: Callable[[], None] | None) -> None:
-        """Cancel a request at a worker; `confirmed` is called once the worker responds, but not if the cancel fails."""
+    def start(self, worker: WorkerConnections, request_id: bytes, on_confirmed: Callable[[], None] | None) -> None:
+        """Cancel a request at a worker; `on_confirmed` is called when the worker responds, not if the cancel fails."""
         worker.cancelling[request_id] = asyncio.get_event_loop().create_future()
-        spawn(self._cancel(worker, request_id, confirmed))
+        spawn(self._cancel(worker, request_id, on_confirmed))
 
-    async def _cancel(self, worker: WorkerConnections, request_id: bytes, confirmed: Callable[[], None] | None) -> None:
+    async def _cancel(
+        self, worker: WorkerConnections, request_id: bytes, on_confirmed: Callable[[], None] | None
+    ) -> None:
         try:
             await self._pools.call(worker, b"DELETE", b"/jobs/" + request_id, CANCEL_TIMEOUT_US)
-            if confirmed is not None:
-                confirmed()
+            if on_confirmed is not None:
+                on_confirmed()
         except ConnectionBrokenError as error:
             log.info(
                 "cancel_failed",
--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -214,8 +214,10 @@
         if (attempt.accepted or accept_unread) and worker is not None and attempt.forwarded.id not in worker.cancelling:
             # Without hedging, two attempts must never run at once, so this one ends only when its worker has confirmed.
             awaits_confirmation = result == interface.AttemptResult.CANCELLED and not self.settings.hedging_allowed
-            confirmed = (lambda: self._end(attempt, interface.AttemptResult.CANCELLED)) if awaits_confirmation else None
-            self._cancels.start(worker, attempt.forwarded.id, confirmed)
+            on_confirmed = (
+                (lambda: self._end(attempt, interface.AttemptResult.CANCELLED)) if awaits_confirmation else None
+            )
+            self._cancels.start(worker, attempt.forwarded.id, on_confirmed)
             if awaits_confirmation:
                 return
         self._end(attempt, result)
@@ -230,7 +232,7 @@
         worker.close_idle()  # probably dead too; a new connection shows sooner whether the worker is reachable
         self._give_up(attempt, interface.AttemptResult.TIMEOUT)
 
-    def handle_job_event(self, request_id: bytes, name: str, state: str, item: dict[str, Any]) -> bool:
+    def handle_job_event(self, request_id: bytes, name: str, state: str, event: dict[str, Any]) -> bool:
         """Apply a job event of worker `name` to its attempt.
 
         Returns False if the attempt is not open in this process: the event is a duplicate, the attempt has ended, or
@@ -239,7 +241,7 @@
         attempt = self.attempts.get((request_id, name))
         if attempt is None or not attempt.written:
             return False  # the worker cannot know of an attempt that is not written yet
-        self._job_events.apply(attempt, state, item)
+        self._job_events.apply(attempt, state, event)
         return True
 
     def check_health(self, name: str) -> None:
@@ -250,7 +252,7 @@
 
     @property
     def workers(self) -> dict[str, WorkerConnections]:
-        """The known workers by name."""
+        """The workers by name."""
         return self.pools.workers
 
     @property
@@ -275,25 +277,25 @@
         """Transfer the idle connections to the successor."""
         self.pools.pass_connections_on()
 
-    def adopt_connection(self, sock: socket.socket, name: str, address: Address, idle: int) -> None:
-        """Take over an idle connection from another process and keep it for `idle` microseconds."""
-        self.pools.adopt_connection(sock, name, address, idle)
+    def adopt_connection(self, sock: socket.socket, name: str, address: Address, idle_us: int) -> None:
+        """Take over an idle connection from another process and keep it for `idle_us` at most."""
+        self.pools.adopt_connection(sock, name, address, idle_us)
 
     def close_idle(self, name: str) -> None:
-        """Close the idle connections to one worker."""
+        """Close the idle connections to worker `name`."""
         self.pools.close_idle(name)
 
     def shed_idle_connections(self) -> None:
         """Close all idle connections to workers to free their descriptors."""
         self.pools.shed_idle_connections()
 
-    def forget_unlisted(self, listed: Callable[[str], bool]) -> None:
+    def forget_unlisted(self, is_listed: Callable[[str], bool]) -> None:
         """Remove the workers that are not on the endpoint list and have no open attempt."""
-        self.pools.forget_unlisted(listed, {worker for _, worker in self.attempts})
+        self.pools.forget_unlisted(is_listed, {worker for _, worker in self.attempts})
 
 
 def _result_for(response: http1.Message) -> interface.AttemptResult:
-    """Return the result of an attempt whose worker responded with another status than 202."""
+    """Return the result of an attempt whose worker responded with a status other than 202."""
     if response.status in (503, 504) and (response.header(b"not-started") or b"").strip() == b"1":
         return interface.AttemptResult.QUEUE_FULL
     # Other 4xx statuses are the request's fault. Counted as errors, they would let one client eject healthy workers.
--- a/badgerroad/backend/job_events.py
+++ b/badgerroad/backend/job_events.py
@@ -50,15 +50,15 @@
         self._raise_event = raise_event
         self._end_attempt = end_attempt
 
-    def apply(self, attempt: Attempt, state: str, item: dict[str, Any]) -> None:
+    def apply(self, attempt: Attempt, state: str, event: dict[str, Any]) -> None:
         """Apply an event with a valid `state` to an attempt whose request has been written."""
         attempt.event_received = True
         if state == "started":
             self._started(attempt)
         elif state == "running":
-            self._progressed(attempt, float(item.get("share") or 0.0))
+            self._progressed(attempt, float(event.get("share") or 0.0))
         else:
-            self._ended(attempt, state, item)
+            self._ended(attempt, state, event)
 
     def _started(self, attempt: Attempt) -> None:
         if attempt.started:
@@ -70,9 +70,9 @@
     def _progressed(self, attempt: Attempt, share: float) -> None:
         self._raise_event(interface.AttemptProgressed(attempt.request, attempt.number, attempt.worker, share))
 
-    def _ended(self, attempt: Attempt, state: str, item: dict[str, Any]) -> None:
-        load = self.reports.from_fields(item["load"]) if isinstance(item.get("load"), dict) else None
-        body = _result_body(item.get("result", "")) if state == "done" else b""
+    def _ended(self, attempt: Attempt, state: str, event: dict[str, Any]) -> None:
+        load = self.reports.from_fields(event["load"]) if isinstance(event.get("load"), dict) else None
+        body = _result_body(event.get("result", "")) if state == "done" else b""
         connection = attempt.connection
         self._end_attempt(attempt, _RESULTS[state], load, body)
         if connection is not None:
--- a/badgerroad/backend/worker_connections.py
+++ b/badgerroad/backend/worker_connections.py
@@ -132,16 +132,16 @@
         allowed = self.settings.connection_idle_timeout or DEFAULT_IDLE_TIMEOUT_US
         self._add_idle(worker, connection, int(allowed * IDLE_TIME_FRACTION))
 
-    def _add_idle(self, worker: WorkerConnections, connection: CallConnection, idle: int) -> None:
+    def _add_idle(self, worker: WorkerConnections, connection: CallConnection, idle_us: int) -> None:
         if (
             self.successor is not None
             and connection.no_read_in_progress
             and not connection.peer_has_sent()
-            and self.successor(connection.stream.socket.fileno(), worker.name, worker.address, idle)
+            and self.successor(connection.stream.socket.fileno(), worker.name, worker.address, idle_us)
         ):
             connection.close()  # the successor has a copy of the descriptor
             return
-        worker.idle.append((connection, self.timers.after(idle, lambda: worker.retire(connection))))
+        worker.idle.append((connection, self.timers.after(idle_us, lambda: worker.retire(connection))))
 
     async def call(self, worker: WorkerConnections, method: bytes, target: bytes, timeout: int) -> http1.Message:
         """Send a request without a body and return the response.
@@ -161,20 +161,20 @@
         """Transfer the idle connections to the successor, so that it need not open new ones."""
         now = self.timers.clock.now()
         for worker in self.workers.values():
-            idle = worker.idle
+            connections = worker.idle
             worker.idle = []
-            for connection, timer in idle:
+            for connection, timer in connections:
                 timer.cancel()
                 self._add_idle(worker, connection, max(timer.due_at - now, 0))
 
-    def adopt_connection(self, sock: socket.socket, name: str, address: Address, idle: int) -> None:
-        """Take over an idle connection from another process and keep it for `idle` microseconds."""
+    def adopt_connection(self, sock: socket.socket, name: str, address: Address, idle_us: int) -> None:
+        """Take over an idle connection from another process and keep it for `idle_us` at most."""
         worker = self.workers.get(name)
         if worker is None or worker.address != address or self.descriptors.exhausted:
             sock.close()
             return
         sock.setblocking(False)
-        self._add_idle(worker, CallConnection(self.descriptors, sock=sock, address=address), idle)
+        self._add_idle(worker, CallConnection(self.descriptors, sock=sock, address=address), idle_us)
 
     def close_idle(self, name: str) -> None:
         """Close the idle connections to worker `name`."""
@@ -187,13 +187,13 @@
         for worker in self.workers.values():
             worker.close_idle()
 
-    def forget_unlisted(self, listed: Callable[[str], bool], busy: set[str]) -> None:
-        """Remove the workers that are not on the endpoint list, except those with a cancel or in `busy`.
+    def forget_unlisted(self, is_listed: Callable[[str], bool], busy_workers: set[str]) -> None:
+        """Remove the workers that are not on the endpoint list, except those with a cancel or in `busy_workers`.
 
-        `busy` holds the names of the workers with an open attempt.
+        `busy_workers` holds the names of the workers with an open attempt.
         """
-        for name in [name for name in self.workers if not listed(name)]:
+        for name in [name for name in self.workers if not is_listed(name)]:
             worker = self.workers[name]
             worker.close_idle()
-            if name not in busy and not worker.cancelling:
+            if name not in busy_workers and not worker.cancelling:
                 del self.workers[name]
--- a/badgerroad/frontend/eviction.py
+++ b/badgerroad/frontend/eviction.py
@@ -30,9 +30,9 @@
 
 
 def close_while_needed(
-    connections: Iterable[ClientConnection], needed: Callable[[], bool], min_inactive_us: int, now: int
+    connections: Iterable[ClientConnection], is_needed: Callable[[], bool], min_inactive_us: int, now: int
 ) -> None:
-    """Close connections without a complete request immediately, as long as `needed` returns True.
+    """Close connections without a complete request immediately, as long as `is_needed` returns True.
 
     Only clients inactive for at least `min_inactive_us` are closed; those with a request, or likely to be sending one,
     take precedence.
@@ -43,7 +43,7 @@
         if not connection.has_pending_response and now - connection.last_activity_at >= min_inactive_us
     ]
     for connection in sorted(candidates, key=lambda connection: connection.eviction_sort_key):
-        if not needed():
+        if not is_needed():
             break
         if connection.lingering:
             connection.close()
--- a/badgerroad/frontend/exchange.py
+++ b/badgerroad/frontend/exchange.py
@@ -59,7 +59,7 @@
         """Handle the disconnect of the client of an open request."""
 
     def handle_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """Handle a job event reported by worker `host`; `item` is the complete decoded event."""
+        """Handle a job event reported by worker `host`; `item` is the decoded event with all its fields."""
 
     @property
     def ready(self) -> bool:
--- a/badgerroad/frontend/http.py
+++ b/badgerroad/frontend/http.py
@@ -36,7 +36,7 @@
         self.serving = False  # this process serves new connections, even while the listener is paused
         self._shutdown_started_at: int | None = None
         self._listener = Listener(
-            timers, self._before_accepting, self._has_descriptor, self._connect, self._accept_after_pause
+            timers, self._before_batch, self._has_descriptor, self._on_accepted, self._accept_after_pause
         )
 
     # The listener.
@@ -72,7 +72,7 @@
         if self.successor is None:
             self.start_accepting()
 
-    def _before_accepting(self) -> None:
+    def _before_batch(self) -> None:
         """Free descriptors; called once for each batch, since it searches all connections."""
         if self.descriptors.scarce:
             self.shed_idle_connections()
@@ -84,7 +84,7 @@
             self._close_while_needed(lambda: self.descriptors.scarce, client.EVICTION_GRACE_US)
         return not self.descriptors.reserved_for_attempts
 
-    def _connect(self, sock: socket.socket) -> None:
+    def _on_accepted(self, sock: socket.socket) -> None:
         connection = self._add_connection(sock)
         if connection is not None:
             spawn(connection.read())
@@ -109,8 +109,8 @@
         """Close connections without a complete request to make room for an attempt of a complete one."""
         self._close_while_needed(lambda: self.descriptors.nearly_exhausted, 0)
 
-    def _close_while_needed(self, needed: Callable[[], bool], min_inactive_us: int) -> None:
-        eviction.close_while_needed(self.connections, needed, min_inactive_us, self.timers.clock.now())
+    def _close_while_needed(self, is_needed: Callable[[], bool], min_inactive_us: int) -> None:
+        eviction.close_while_needed(self.connections, is_needed, min_inactive_us, self.timers.clock.now())
 
     # Requests.
 
--- a/badgerroad/frontend/job_events.py
+++ b/badgerroad/frontend/job_events.py
@@ -27,21 +27,21 @@
 def handle_job_event(message: http1.Message, exchange: Exchange, handler: RequestHandler) -> None:
     """Respond with 200 to a valid job event and pass it to `handler`; respond with 400 to anything else."""
     try:
-        item = _decode(message.body)
+        event = _decode(message.body)
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         exchange.answer(400, f"not a call-back: {type(error).__name__}\n".encode())
         return
     # Respond first: if handling the event delayed the response, the worker could repeat the event.
     exchange.answer(200)
-    handler.handle_job_event(item["id"].encode("utf-8", "replace"), item["from"], item["state"], item)
+    handler.handle_job_event(event["id"].encode("utf-8", "replace"), event["from"], event["state"], event)
 
 
 def _decode(body: bytes) -> dict[str, Any]:
     """Decode a job event. Raises ValueError, KeyError, TypeError or RecursionError if it is not valid."""
-    item: dict[str, Any] = json.loads(body)
-    request_id, worker, state = item["id"], item["from"], item["state"]
+    event: dict[str, Any] = json.loads(body)
+    request_id, worker, state = event["id"], event["from"], event["state"]
     if not (isinstance(request_id, str) and isinstance(worker, str) and state in _STATES):
         raise ValueError("id and from must be strings, and state a known state")
     if state == JobEventState.RUNNING:
-        float(item.get("share") or 0.0)
-    return item
+        float(event.get("share") or 0.0)
+    return event
--- a/badgerroad/net/framing.py
+++ b/badgerroad/net/framing.py
@@ -63,7 +63,7 @@
     def read(self, packet: bytes) -> Packet | None:
         """Decode one packet and return its message, or None if parts are missing. Raises BadPacketError."""
         line, line_feed, payload = packet.partition(b"\n")
-        head = self._head(line)
+        head = self._decode_head(line)
         if not line_feed:
             raise BadPacketError("no line feed after the head")
         if head["kind"] != PART_KIND:
@@ -75,11 +75,11 @@
             return None
         text = bytes(self._parts)
         self._parts = bytearray()
-        head = self._head(text)
+        head = self._decode_head(text)
         return Packet(head["kind"], head, b"")
 
     @staticmethod
-    def _head(text: bytes) -> dict[str, Any]:
+    def _decode_head(text: bytes) -> dict[str, Any]:
         try:
             head = json.loads(text)
         except (ValueError, RecursionError) as error:
--- a/badgerroad/net/timer_wheel.py
+++ b/badgerroad/net/timer_wheel.py
@@ -123,13 +123,13 @@
         """Fire the timers that are due and schedule the next wakeup, one revolution ahead at most."""
         self._wakeup = None
         self._firing = True
-        now = self.clock.now() // TICK_US
-        if now - self._wakeup_tick > STALL_TICKS:
+        now_tick = self.clock.now() // TICK_US
+        if now_tick - self._wakeup_tick > STALL_TICKS:
             self.stall_count += 1
-            self._peer_grace_end_tick = now + PEER_GRACE_TICKS
-            log.warning("event_loop_stalled", ms=(now - self._wakeup_tick) * TICK_US // 1000)
-        due = self._take_due(now)
-        if now < self._peer_grace_end_tick:
+            self._peer_grace_end_tick = now_tick + PEER_GRACE_TICKS
+            log.warning("event_loop_stalled", ms=(now_tick - self._wakeup_tick) * TICK_US // 1000)
+        due = self._take_due(now_tick)
+        if now_tick < self._peer_grace_end_tick:
             due = self._postpone_peer_timers(due)
         for timer in due:
             _fire_safely(timer)
@@ -137,11 +137,11 @@
         if self._count:
             self._schedule_wakeup(self._next_tick())
 
-    def _take_due(self, now: int) -> list[Timer]:
+    def _take_due(self, now_tick: int) -> list[Timer]:
         due: list[Timer] = []
-        for tick in range(max(self._last_fired_tick + 1, now - SLOT_COUNT + 1), now + 1):
-            due += [timer for timer in self._slots[tick % SLOT_COUNT] if timer.tick <= now]
-        self._last_fired_tick = max(now, self._last_fired_tick)
+        for tick in range(max(self._last_fired_tick + 1, now_tick - SLOT_COUNT + 1), now_tick + 1):
+            due += [timer for timer in self._slots[tick % SLOT_COUNT] if timer.tick <= now_tick]
+        self._last_fired_tick = max(now_tick, self._last_fired_tick)
         due.sort(key=lambda timer: timer.due_at)
         for timer in due:
             self.remove(timer)
--- a/badgerroad/net/unix_channel.py
+++ b/badgerroad/net/unix_channel.py
@@ -24,6 +24,7 @@
 MAX_QUEUED_PACKETS = 20_000  # if a peer does not read and more are queued, the channel is closed
 PACKETS_PER_TURN = 32  # most packets read before the event loop serves other sockets
 BACKLOG = 4  # connections that wait to be accepted
+# Errors of sendmsg after which the channel still works: a full buffer, an interrupt, or too large a packet.
 PEER_BUSY_ERRORS = (errno.EAGAIN, errno.EINTR, errno.ETOOMANYREFS, errno.EMSGSIZE)
 
 OnMessage: TypeAlias = Callable[[str, dict[str, Any], bytes, "int | None"], None]
@@ -233,37 +234,37 @@
 
         Raises OSError if the folder cannot be opened.
         """
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        folder_descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.setblocking(False)
-            sock.connect(self._path_in(folder))
+            sock.connect(self._path_in(folder_descriptor))
             return sock
         except OSError:  # no such file, a stale socket, or a full backlog
             sock.close()
             return None
         finally:
-            os.close(folder)
+            os.close(folder_descriptor)
 
     def listen(self, on_connection: Callable[[socket.socket], None]) -> None:
         """Listen at the path, replacing any process that listened there before. Raises OSError."""
         self.close()
-        folder = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        folder_descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             with suppress(FileNotFoundError):
-                os.unlink(self.name, dir_fd=folder)
+                os.unlink(self.name, dir_fd=folder_descriptor)
             with _owner_only():
-                listener.bind(self._path_in(folder))
+                listener.bind(self._path_in(folder_descriptor))
             listener.listen(BACKLOG)
             listener.setblocking(False)
-            found = os.stat(self.name, dir_fd=folder)
+            found = os.stat(self.name, dir_fd=folder_descriptor)
             self._bound = FileId(found.st_dev, found.st_ino)
         except OSError:
             listener.close()
             raise
         finally:
-            os.close(folder)
+            os.close(folder_descriptor)
         self._listener = listener
         IOLoop.current().add_handler(listener, lambda sock, events: self._accept(sock, on_connection), IOLoop.READ)
 
@@ -280,8 +281,8 @@
             if stat.S_ISSOCK(found.st_mode) and (found.st_dev, found.st_ino) == self._bound:
                 os.unlink(path)
 
-    def _path_in(self, folder: int) -> str:
-        return f"/proc/self/fd/{folder}/{self.name}"
+    def _path_in(self, folder_descriptor: int) -> str:
+        return f"/proc/self/fd/{folder_descriptor}/{self.name}"
 
     @staticmethod
     def _accept(listener: socket.socket, on_connection: Callable[[socket.socket], None]) -> None:
