--- a/badgerroad/admin/counters.py
+++ b/badgerroad/admin/counters.py
@@ -10,7 +10,7 @@
 
 STATUS_OK = 200
 REJECTED_STATUSES = (429, 503)  # refusals by the protocol, whether the dispatcher or a worker sent them
-CLIENT_DISCONNECTED = 0  # stands for a status if the client disconnected before its response
+CLIENT_DISCONNECTED = 0  # in place of a status, if the client disconnected before its response
 
 
 class Counters:
--- a/badgerroad/admin/listener.py
+++ b/badgerroad/admin/listener.py
@@ -90,7 +90,7 @@
     def __init__(self, timers: TimerWheel, ready: Callable[[], bool], metrics: Callable[[], dict[str, Any]]) -> None:
         """Create a listener that does not listen yet.
 
-        `ready` tells whether this process accepts clients; `metrics` is called for each request of `/metrics`.
+        `ready` returns whether this process accepts clients; `metrics` is called for each request of `/metrics`.
         """
         self.timers = timers
         self._ready = ready
--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -51,7 +51,7 @@
     ) -> None:
         """Create a backend without workers.
 
-        `may_begin` tells whether an attempt may still be sent. `free_descriptors` closes connections of clients.
+        `may_begin` returns whether an attempt may still be sent. `free_descriptors` closes connections of clients.
         `on_sent` is called for each attempt once its last byte is written.
         """
         self.timers = timers
--- a/badgerroad/frontend/listener.py
+++ b/badgerroad/frontend/listener.py
@@ -45,8 +45,8 @@
     ) -> None:
         """Create a listener without a socket.
 
-        `before_batch` is called before a batch of connections is accepted, `has_descriptor` tells whether one more may
-        be accepted, `on_accepted` receives each, and `on_pause_ended` is called after a pause caused by a lack of
+        `before_batch` is called before a batch of connections is accepted, `has_descriptor` returns whether one more
+        may be accepted, `on_accepted` receives each, and `on_pause_ended` is called after a pause caused by a lack of
         descriptors.
         """
         self.socket: socket.socket | None = None
--- a/badgerroad/net/call_connection.py
+++ b/badgerroad/net/call_connection.py
@@ -18,7 +18,7 @@
 class ConnectionBrokenError(BadgerroadError):
     """The connection ended before the response.
 
-    `sent` tells whether the last byte of the request had been written.
+    `sent` is true if the last byte of the request had been written.
     """
 
     code = "broken"
--- a/badgerroad/net/connection.py
+++ b/badgerroad/net/connection.py
@@ -32,7 +32,7 @@
     ) -> None:
         """Take ownership of `sock`.
 
-        `responses` tells whether the peer sends responses rather than requests; `body_limit` is in bytes.
+        `responses` is true if the peer sends responses rather than requests; `body_limit` is in bytes.
         """
         self.descriptors = descriptors
         descriptors.used += 1
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -36,7 +36,7 @@
 
 
 async def ends_as_id_says(world, head, _body):
-    """A worker that ends each job as the prefix of its request ID says."""
+    """A worker that ends each job in the way that the prefix of its request ID names."""
     request_id = id_of(head) if b"Request-Id: " in head else ""
     if head.startswith(b"DELETE"):
         return reply(200)
--- a/tests/frontend/test_bad_requests.py
+++ b/tests/frontend/test_bad_requests.py
@@ -40,7 +40,7 @@
 
 
 @async_test
-async def test_incomplete_request_gets_408_and_silent_connection_is_closed(monkeypatch):
+async def test_incomplete_request_gets_408_and_idle_connection_is_closed(monkeypatch):
     monkeypatch.setattr(frontend_client, "REQUEST_TIMEOUT_US", 300_000)
     async with World(serve) as w:
 
