--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -168,7 +168,7 @@
 
 @async_test
 async def test_near_the_descriptor_limit_connections_without_a_request_yet_are_closed_first(monkeypatch):
-    monkeypatch.setattr(frontend_client, "FRESH_TIME_US", 0)
+    monkeypatch.setattr(frontend_client, "MIN_IDLE_BEFORE_EVICTION_US", 0)
     async with World(accept_without_events, limits=64) as w:
         served = [await w.connect() for _ in range(5)]
         for connection in served:
@@ -184,7 +184,7 @@
         idle = [await w.connect() for _ in range(34)]
         for connection in idle:
             await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", connection)
-        await asyncio.sleep(frontend_client.FRESH_TIME_US / 1e6 + 0.1)  # until they count as idle
+        await asyncio.sleep(frontend_client.MIN_IDLE_BEFORE_EVICTION_US / 1e6 + 0.1)  # until they count as idle
         idle += [await w.connect() for _ in range(3)]  # fresh: a request may be on its way
         await until(lambda: any(reader.at_eof() for reader, _ in idle))
         assert not any(reader.at_eof() for reader, _ in idle[34:])
