--- a/badgerroad/emulator/__init__.py
+++ b/badgerroad/emulator/__init__.py
@@ -1,5 +1,6 @@
-"""The project's own model of all that a dispatcher meets, in virtual time and behind loopback sockets.
+"""Simulation of the environment of dispatchers: clients, nodes, network and discovery.
 
-`model` is pure: time comes from its kernel, chance from its draws, and what happens goes out through callables.
-`virtual` hosts decision modules on it without sockets; `live` puts unchanged dispatcher processes round it.
+`model` has no side effects outside the simulation: time comes from its kernel, random numbers from its draws, and
+events are reported through callables. `virtual` runs decision modules on it in virtual time, without sockets; `live`
+connects it to unchanged dispatcher processes over loopback sockets.
 """
--- a/badgerroad/emulator/counts.py
+++ b/badgerroad/emulator/counts.py
@@ -1,4 +1,4 @@
-"""What all dispatchers of a virtual run did together: to discovery, to nodes, and with connections."""
+"""Counts of discovery calls, health checks, connections and node overload over all dispatchers of a virtual run."""
 
 from __future__ import annotations
 
@@ -9,75 +9,75 @@
 from badgerroad.emulator import scenario as sc
 from badgerroad.emulator import virtual
 from badgerroad.emulator.model.kernel import SEC
-from badgerroad.emulator.report import of as report_of
+from badgerroad.emulator.report import create as create_report
 
 
 class Counts(NamedTuple):
-    """Counts of one virtual run over all dispatchers."""
+    """Counts of one virtual run, over all dispatchers."""
 
-    calls: int  # at discovery
-    failed: int  # of them
-    untold: int  # dispatchers whose last call before the end of the arrivals was not answered
-    slowest: float  # seconds from a kill to the first list after it, the longest of all
-    probes: float  # for each try
-    probed: float  # probes of one node a second, of the node with most
-    connects: float  # connections opened, for each try
-    falls: int  # cold nodes pushed over
-    cold_peak: float  # of what a cold node bears in a window, the most that any was sent
-    cold_load: float  # work that nodes did while cold, as a part of what they could have done
-    warm_load: float  # while warm
-    broken: int  # rules
+    calls: int  # calls to discovery
+    failed: int  # failed calls to discovery
+    untold: int  # dispatchers whose last call to discovery before the end of arrivals got no answer
+    slowest: float  # longest time from the kill of a dispatcher to its next list, in seconds
+    probes: float  # per try
+    probed: float  # highest number of health checks that one node got within a second
+    connects: float  # connections opened, per try
+    falls: int  # nodes that collapsed during warm-up
+    cold_peak: float  # highest share of the overload limit reached by a node during warm-up
+    cold_load: float  # utilisation of nodes during warm-up: work done over work possible
+    warm_load: float  # the same for warm nodes
+    broken: int  # rule violations
 
 
-def of(scenario: sc.Scenario, seed: int, folder: Path) -> Counts:
-    """Plays the scenario in virtual time."""
-    seen: list[tuple[int, str, dict[str, Any]]] = []
-    kept = ("discovery", "discovery failed", "listed", "probe", "connect", "dispatcher")
-    loads: list[float] = []
+def count(scenario: sc.Scenario, seed: int, folder: Path) -> Counts:
+    """Run the scenario in virtual time and return the counts."""
+    events: list[tuple[int, str, dict[str, Any]]] = []
+    event_names = ("discovery", "discovery failed", "listed", "probe", "connect", "dispatcher")
+    utilisations: list[float] = []
 
-    def loads_of(world: virtual.VirtualWorld) -> None:
-        """Note the load of the nodes at the end of the arrivals."""
+    def record_utilisations(world: virtual.VirtualWorld) -> None:
+        """Record the utilisation of the nodes at the end of arrivals."""
         for warm in (False, True):
-            could = sum(node.could_do[warm] for node in world.nodes)
-            loads.append(sum(node.work_done[warm] for node in world.nodes) / could if could else 0.0)
+            possible = sum(node.work_possible[warm] for node in world.nodes)
+            utilisations.append(sum(node.work_done[warm] for node in world.nodes) / possible if possible else 0.0)
 
-    world = virtual.played(
+    world = virtual.simulate(
         scenario,
         seed,
         folder,
-        trace=lambda now, what, more: (seen.append((now, what, more)) if what in kept else None),
-        arrived=loads_of,
+        trace=lambda now, name, fields: (events.append((now, name, fields)) if name in event_names else None),
+        at_arrivals_end=record_utilisations,
     )
-    report = report_of(world, 0.0)
-    end = int(scenario.length_s * SEC)
-    killed: dict[int, int] = {}
-    last: dict[int, str] = {}
-    waits = [0]
-    per_node: Counter[tuple[str, int]] = Counter()
-    for now, what, more in seen:
-        number = more.get("number", more.get("dispatcher", -1))
-        if what == "dispatcher" and more["state"] == "killed":
-            killed[number] = now
-        elif what == "listed" and number in killed:
-            waits.append(now - killed.pop(number))
-        elif what == "probe":
-            per_node[more["node"], now // SEC] += 1
-        if what in ("listed", "discovery failed") and now <= end:
-            last[number] = what
-    waits += [end - at for at in killed.values()]
-    count = Counter(what for _, what, _ in seen)
+    report = create_report(world, 0.0)
+    arrivals_end = int(scenario.length_s * SEC)
+    killed_at: dict[int, int] = {}
+    last_results: dict[int, str] = {}
+    list_delays = [0]
+    probes_per_node: Counter[tuple[str, int]] = Counter()
+    for now, name, fields in events:
+        number = fields.get("number", fields.get("dispatcher", -1))
+        if name == "dispatcher" and fields["state"] == "killed":
+            killed_at[number] = now
+        elif name == "listed" and number in killed_at:
+            list_delays.append(now - killed_at.pop(number))
+        elif name == "probe":
+            probes_per_node[fields["node"], now // SEC] += 1
+        if name in ("listed", "discovery failed") and now <= arrivals_end:
+            last_results[number] = name
+    list_delays += [arrivals_end - at for at in killed_at.values()]
+    event_counts = Counter(name for _, name, _ in events)
     tries = max(report.tries, 1)
     return Counts(
-        count["discovery"],
-        count["discovery failed"],
-        sum(last.get(n) != "listed" for n in range(scenario.dispatchers)),
-        max(waits) / SEC,
-        count["probe"] / tries,
-        max(per_node.values(), default=0),
-        count["connect"] / tries,
+        event_counts["discovery"],
+        event_counts["discovery failed"],
+        sum(last_results.get(n) != "listed" for n in range(scenario.dispatchers)),
+        max(list_delays) / SEC,
+        event_counts["probe"] / tries,
+        max(probes_per_node.values(), default=0),
+        event_counts["connect"] / tries,
         report.falls,
-        max(node.cold_peak for node in world.nodes),
-        loads[0],
-        loads[1],
+        max(node.peak_overload_share for node in world.nodes),
+        utilisations[0],
+        utilisations[1],
         len(report.breaches),
     )
--- a/badgerroad/emulator/discovery_call.py
+++ b/badgerroad/emulator/discovery_call.py
@@ -1,4 +1,4 @@
-"""One call of a virtual dispatcher at discovery."""
+"""A call from a virtual dispatcher to discovery."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class CallingMachine(Protocol):
-    """What a call needs of its machine."""
+    """The part of a machine that a discovery call uses."""
 
     @property
     def world(self) -> MachineWorld[Any]:
-        """The world that the machine is in."""
+        """The simulation environment of the machine."""
 
     @property
     def kernel(self) -> Kernel:
@@ -25,54 +25,54 @@
     schedule: WatchSchedule
     number: int
     zone: int
-    life: int
+    incarnation: int
     up: bool
     version: int
 
-    def later(self, delay: int | None, call: Callable[..., None], *args: Any) -> None:
-        """Play something in the machine's present life."""
+    def call_later(self, delay: int | None, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call that is dropped if the machine has been restarted by then."""
 
     def call_discovery(self) -> None:
-        """Call again."""
+        """Start the next call to discovery."""
 
-    def take_list(self, answer: Answer) -> None:
-        """The answer has been read."""
+    def apply_list(self, answer: Answer) -> None:
+        """Apply an answer of discovery."""
 
     def discovery_failed(self) -> None:
-        """Discovery counts as unavailable."""
+        """Handle that discovery counts as unavailable."""
 
 
 class DiscoveryCall:
-    """One call of a machine at discovery, until it is answered, fails or is given up."""
+    """One call to discovery, until it is answered, fails or times out."""
 
     def __init__(self, machine: CallingMachine) -> None:
-        """For the life that the machine has now."""
+        """Create a call for the machine's current incarnation; a restart of the machine voids it."""
         self._machine = machine
         self._call = machine.schedule.call()
-        self._begun = machine.kernel.now
-        self._life = machine.life
+        self._started_at = machine.kernel.now
+        self._incarnation = machine.incarnation
         self._done = False
 
     def start(self) -> None:
-        """Send it; the answer comes a trip later, or never."""
+        """Send the call and start its timeout."""
         machine = self._machine
-        machine.world.note("discovery", dispatcher=machine.number, wait=self._call.wait)
-        machine.later(self._call.patience, self._give_up)
+        machine.world.trace_event("discovery", dispatcher=machine.number, wait=self._call.wait)
+        machine.call_later(self._call.patience, self._time_out)
         delay = machine.world.network.delay(machine.zone, machine.zone)
         if delay is not None:
             machine.kernel.after(delay, self._arrive)
 
     def _arrive(self) -> None:
         machine = self._machine
-        if self._life == machine.life:
+        if self._incarnation == machine.incarnation:
             machine.world.registry.call(machine.number, machine.version, self._call.wait, self._reply)
 
     def _reply(self, answer: Answer | None) -> None:
-        """It is written now, and read one trip later."""
+        """Send the answer; the machine reads it after the network delay."""
         machine = self._machine
         if answer is not None and machine.up:
-            machine.world.told(machine.number, answer)
-        machine.later(machine.world.network.delay(machine.zone, machine.zone), self._read, answer)
+            machine.world.list_sent(machine.number, answer)
+        machine.call_later(machine.world.network.delay(machine.zone, machine.zone), self._read, answer)
 
     def _read(self, answer: Answer | None) -> None:
         if self._done:
@@ -82,17 +82,17 @@
             self._fail()
             return
         self._machine.schedule.answered()
-        self._machine.take_list(answer)
+        self._machine.apply_list(answer)
         self._machine.call_discovery()
 
-    def _give_up(self) -> None:
+    def _time_out(self) -> None:
         if not self._done:
             self._done = True
             self._fail()
 
     def _fail(self) -> None:
         machine = self._machine
-        pause = machine.schedule.failed(self._call, machine.kernel.now - self._begun)
+        pause = machine.schedule.failed(self._call, machine.kernel.now - self._started_at)
         if machine.schedule.out:
             machine.discovery_failed()
-        machine.later(pause, machine.call_discovery)
+        machine.call_later(pause, machine.call_discovery)
--- a/badgerroad/emulator/errors.py
+++ b/badgerroad/emulator/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the emulator that its user can meet."""
+"""Errors that the emulator reports to its user."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ScenarioError(BadgerroadError):
-    """One line that names file, field and reason."""
+    """The scenario is invalid; the message names file, field and reason in one line."""
 
     code = "scenario"
-    remedy = "mend the file; docs/operate/rehearsal.md lists the fields"
+    remedy = "correct the file; docs/operate/rehearsal.md lists the fields"
--- a/badgerroad/emulator/machine_world.py
+++ b/badgerroad/emulator/machine_world.py
@@ -1,4 +1,4 @@
-"""The world as virtual dispatchers need it."""
+"""Interface of the simulation environment that virtual dispatchers use."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 from badgerroad.emulator.model.clients import Try
 from badgerroad.emulator.model.registry import Answer
-from badgerroad.emulator.open_requests import Attempt, Open
+from badgerroad.emulator.open_requests import Attempt, OpenRequest
 from badgerroad.emulator.world import World
 
-M = TypeVar("M")  # a machine
+M = TypeVar("M")  # type of the virtual dispatcher
 
 
 class MachineWorld(World, Generic[M]):
-    """The world as a machine needs it: `virtual.VirtualWorld` is the one there is."""
+    """Simulation environment of virtual dispatchers; `virtual.VirtualWorld` implements it."""
 
     @abstractmethod
-    def answered(self, client_try: Try, kind: str, wait: int) -> None:
-        """A machine has written an answer."""
+    def send_answer(self, client_try: Try, outcome: str, retry_after: int) -> None:
+        """Send a dispatcher's answer to the client."""
 
     @abstractmethod
-    def attempt_arrives(self, machine: M, request: Open, attempt: Attempt) -> None:
-        """The last byte of an attempt is at its node."""
+    def attempt_arrives(self, machine: M, request: OpenRequest, attempt: Attempt) -> None:
+        """Handle the arrival of a complete attempt at its node."""
 
     @abstractmethod
     def attempt_cancelled(self, machine: M, request_id: str, attempt: Attempt) -> None:
-        """A cancel has reached the attempt's node."""
+        """Handle the arrival of a cancel at the attempt's node."""
 
     @abstractmethod
-    def told(self, dispatcher: int, answer: Answer) -> None:
-        """Discovery's answer has reached a machine."""
+    def list_sent(self, dispatcher: int, answer: Answer) -> None:
+        """Record that discovery has sent an answer to a dispatcher."""
--- a/badgerroad/emulator/model/__init__.py
+++ b/badgerroad/emulator/model/__init__.py
@@ -1,1 +1,1 @@
-"""The model itself: no sockets, files, threads, wall clocks or global randomness."""
+"""The simulation model; uses no sockets, files, threads, wall clocks or global random state."""
--- a/badgerroad/emulator/model/clients.py
+++ b/badgerroad/emulator/model/clients.py
@@ -1,4 +1,4 @@
-"""Open-loop clients, and the plain front that spreads them over the dispatchers of their zone."""
+"""Open-loop clients, and the front-end load balancer that spreads them over the dispatchers of their zone."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from math import pi, sin
 from typing import NamedTuple, Protocol
 
-from badgerroad.emulator.model.kernel import SEC, Draws, Entry, Kernel
+from badgerroad.emulator.model.kernel import SEC, Draws, Kernel, ScheduledCall
 from badgerroad.emulator.model.rule_checker import FAILED, REFUSED, SERVED
 
 UNREACHABLE, BROKEN, GAVE_UP = "unreachable", "broken", "gave up"
-WINDOW = 10 * SEC  # the worst of these counts in the figure
+WINDOW_US = 10 * SEC  # the worst window is part of the report's score
 
 
-class JobKind(NamedTuple):
-    """One class as clients use it: times in microseconds, work a mean at speed 1."""
+class RequestClass(NamedTuple):
+    """A request class as seen by clients: times in microseconds, `work` is the mean at speed 1."""
 
     name: str
     share: float
@@ -22,22 +22,22 @@
     cv: float
     slots: tuple[float, ...]  # shares of jobs with 1, 2, 4, ... slots
     memory: tuple[float, float]
-    aim: int
-    stretch: float
+    latency_objective: int
+    objective_per_work: float
     deadline: int
-    worth: float
+    priority_weight: float
     semantics: str
     group: str
-    window: int
+    dedup_window: int
 
     @property
     def mean_slots(self) -> float:
         """The mean number of slots of a job."""
-        return sum(s * (1 << n) for n, s in enumerate(self.slots)) / sum(self.slots)
+        return sum(share * (1 << index) for index, share in enumerate(self.slots)) / sum(self.slots)
 
 
 class ClientJob:
-    """What one client wants, over all its tries."""
+    """One job of a client, over all its tries."""
 
     __slots__ = (
         "number",
@@ -48,243 +48,269 @@
         "memory",
         "hint",
         "key",
-        "begun",
+        "arrived_at",
         "tries",
-        "ended",
-        "took",
+        "outcome",
+        "duration",
         "attempts",
     )
 
     def __init__(
-        self, number: int, class_index: int, zone: int, work: float, slots: int, memory: float, hint: int, begun: int
+        self,
+        number: int,
+        class_index: int,
+        zone: int,
+        work: float,
+        slots: int,
+        memory: float,
+        hint: int,
+        arrived_at: int,
     ) -> None:
-        """`work` in core-microseconds, `begun` in microseconds of the run."""
+        """`work` is in core-microseconds at speed 1; `arrived_at` is in microseconds of the run."""
         self.number, self.class_index, self.zone, self.work = number, class_index, zone, work
-        self.slots, self.memory, self.hint, self.begun = slots, memory, hint, begun
+        self.slots, self.memory, self.hint, self.arrived_at = slots, memory, hint, arrived_at
         self.key = f"k{number}"
-        self.tries, self.ended, self.took = 0, "", 0
+        self.tries, self.outcome, self.duration = 0, "", 0
 
 
 class Try:
-    """One request on the wire: `id` is fresh, `until` is when its client gives it up (microseconds)."""
+    """One HTTP request for a job, with an id of its own."""
 
     __slots__ = ("id", "job", "dispatcher", "sent", "until", "timer", "over", "deadline")
 
     def __init__(self, request_id: str, job: ClientJob, dispatcher: int, sent: int, until: int, deadline: int) -> None:
-        """Times in microseconds: `until` the client waits, its class gives up at `deadline`."""
+        """Times are in microseconds; the client stops waiting at `until`, the deadline of the class is `deadline`."""
         self.id, self.job, self.dispatcher, self.sent, self.until = request_id, job, dispatcher, sent, until
-        self.deadline = deadline  # what its Request-Timeout-Ms says; an impatient client leaves before
-        self.timer: Entry | None = None
+        self.deadline = deadline  # sent as Request-Timeout-Ms; an impatient client stops waiting earlier
+        self.timer: ScheduledCall | None = None
         self.over = False
 
 
 class Transport(Protocol):
-    """What carries a client's requests to the dispatchers."""
+    """Delivers requests of clients to the dispatchers."""
 
     def submit(self, client_try: Try) -> None:
-        """Carry a try to its dispatcher; `Clients.ended` hears what became of it."""
+        """Send a try to its dispatcher; `Clients.try_ended` is called with the outcome."""
 
     def abandon(self, client_try: Try) -> None:
-        """Its client leaves."""
+        """Close the connection of a try whose client has stopped waiting."""
 
 
-class Front:
-    """One per zone: spreads requests in turn over the dispatchers that it believes to be up."""
+class FrontEnd:
+    """Front-end load balancer of one zone: round robin over the dispatchers that it considers up."""
 
-    def __init__(self, kernel: Kernel, draws: Draws, dispatchers: Sequence[int], notice: tuple[float, float]) -> None:
-        """`notice`: seconds after which the front notices a dead dispatcher, a range."""
-        self.kernel, self.draws, self.notice = kernel, draws, notice
-        self.believed: dict[int, bool] = {d: False for d in dispatchers}
-        self._turn = 0
+    def __init__(
+        self, kernel: Kernel, draws: Draws, dispatchers: Sequence[int], detection_delay: tuple[float, float]
+    ) -> None:
+        """`detection_delay`: range of the seconds after which the load balancer detects a dead dispatcher."""
+        self.kernel, self.draws, self.detection_delay = kernel, draws, detection_delay
+        self.considered_up: dict[int, bool] = {dispatcher: False for dispatcher in dispatchers}
+        self._next_index = 0
 
     def pick(self) -> int | None:
-        """The dispatcher of the next connection, or None if all are known to be down."""
-        up = [d for d, ok in self.believed.items() if ok]
-        self._turn += 1
-        return up[self._turn % len(up)] if up else None
+        """Return the dispatcher for the next connection, or None if all are considered down."""
+        available = [dispatcher for dispatcher, is_up in self.considered_up.items() if is_up]
+        self._next_index += 1
+        return available[self._next_index % len(available)] if available else None
 
-    def admit(self, dispatcher: int) -> None:
-        """A dispatcher has said that it is ready."""
-        if dispatcher in self.believed:
-            self.believed[dispatcher] = True
+    def dispatcher_ready(self, dispatcher: int) -> None:
+        """Add a dispatcher that has reported ready."""
+        if dispatcher in self.considered_up:
+            self.considered_up[dispatcher] = True
 
-    def died(self, dispatcher: int, is_up: Callable[[int], bool]) -> None:
-        """It takes some seconds to notice that; one that is back by then was never missed."""
+    def dispatcher_died(self, dispatcher: int, is_up: Callable[[int], bool]) -> None:
+        """Remove a dead dispatcher after the detection delay, unless it is up again by then."""
 
-        def noticed() -> None:
-            """The front has noticed that the dispatcher is down."""
-            if dispatcher in self.believed and not is_up(dispatcher):
-                self.believed[dispatcher] = False
+        def detected() -> None:
+            """Mark the dispatcher as down if it still is."""
+            if dispatcher in self.considered_up and not is_up(dispatcher):
+                self.considered_up[dispatcher] = False
 
-        self.kernel.after(self.draws.uniform(*self.notice) * SEC, noticed)
+        self.kernel.after(self.draws.uniform(*self.detection_delay) * SEC, detected)
 
-    def stops(self, dispatcher: int) -> None:
-        """A planned stop is noticed sooner: for 0.2 to 0.4 s connections still arrive."""
-        if dispatcher in self.believed:
-            self.kernel.after(self.draws.uniform(0.2, 0.4) * SEC, self.believed.__setitem__, dispatcher, False)
+    def dispatcher_stopping(self, dispatcher: int) -> None:
+        """Remove a dispatcher that stops as planned; new connections still arrive for 0.2 to 0.4 s."""
+        if dispatcher in self.considered_up:
+            self.kernel.after(self.draws.uniform(0.2, 0.4) * SEC, self.considered_up.__setitem__, dispatcher, False)
 
 
-class Tally:
-    """Counts of one class."""
+class ClassCounts:
+    """Result counts of one request class."""
 
     def __init__(self) -> None:
-        """All counts are zero."""
+        """Start with all counts at zero."""
         self.asked = self.served = self.in_time = self.refused = self.failed = self.lost = 0
-        self.worth = self.worth_served = 0.0
-        self.took: list[int] = []
+        self.weight_requested = self.weight_served = 0.0
+        self.latencies: list[int] = []
 
 
 class Clients:
-    """All clients: arrivals, retries, and what became of each request."""
+    """Simulates all clients: arrivals, retries and the outcome of each job."""
 
     def __init__(
         self,
         kernel: Kernel,
         draws: Callable[[str], Draws],
-        kinds: list[JobKind],
+        classes: list[RequestClass],
         traffic: list[float],
         rate: float,
         length: int,
-        fronts: list[Front],
+        front_ends: list[FrontEnd],
         transport: Transport,
         retries: int,
         backoff: int,
-        honour: float,
-        impatient: float,
+        retry_after_share: float,
+        impatient_share: float,
         hint_noise: float,
     ) -> None:
-        """`rate`: jobs a second. `traffic`: each zone's part of them."""
-        self.kernel, self.kinds, self.traffic, self.rate, self.length = kernel, kinds, traffic, rate, length
-        self.fronts, self.transport = fronts, transport
-        self.retries, self.backoff, self.honour, self.impatient = retries, backoff, honour, impatient
+        """`rate`: jobs per second. `traffic`: relative share of each zone."""
+        self.kernel, self.classes, self.traffic, self.rate, self.length = kernel, classes, traffic, rate, length
+        self.front_ends, self.transport = front_ends, transport
+        self.retries, self.backoff, self.retry_after_share, self.impatient_share = (
+            retries,
+            backoff,
+            retry_after_share,
+            impatient_share,
+        )
         self.hint_noise = hint_noise
-        self.arrivals, self.sizes, self.habits = draws("arrivals"), draws("sizes"), draws("habits")
+        self.arrival_draws, self.size_draws, self.behaviour_draws = draws("arrivals"), draws("sizes"), draws("habits")
         self.swing, self.period, self.surge = 0.0, 20 * SEC, 1.0
-        self.heavy: dict[int, tuple[float, float]] = {}  # class: (share, times the work)
-        self.tallies = [Tally() for _ in kinds]
-        self.windows: dict[int, list[float]] = {}  # by time of arrival: worth asked, worth served
+        self.heavy_tails: dict[int, tuple[float, float]] = {}  # class index: (share of jobs, work multiplier)
+        self.class_counts = [ClassCounts() for _ in classes]
+        self.windows: dict[int, list[float]] = {}  # by arrival window: [weight requested, weight served in time]
         self.jobs = self.tries = self.retried = 0
-        self.open = 0
-        self._due = 0.0
-        self.finished: Callable[[ClientJob, str], None] = lambda job, kind: None
+        self.open_jobs = 0
+        self._next_arrival = 0.0
+        self.on_finish: Callable[[ClientJob, str], None] = lambda job, outcome: None
 
     # Arrivals.
 
     def begin(self) -> None:
-        """Start the arrivals."""
+        """Schedule the first arrival."""
         if self.rate > 0:
-            self._next()
+            self._schedule_arrival()
 
     def begin_trace(self, rows: list[tuple[int, int, float, int, int]]) -> None:
-        """(time, class, work, slots, zone or -1)."""
+        """Schedule arrivals from a trace; each row is (time, class, work, slots, zone or -1 for a random one)."""
         for at, cls, work, slots, zone in rows:
             if at < self.length:
                 self.kernel.at(at, self._arrive, cls, work, slots, zone)
 
-    def _next(self) -> None:
-        # Thinning of a Poisson process at the highest rate (Lewis and Shedler 1979).
-        top = self.rate * (1 + self.swing) * max(self.surge, 1.0)
-        self._due += self.arrivals.exponential(SEC / top)  # from the last one's time, not from when it was played
-        self.kernel.at(int(self._due), self._maybe, top)
+    def _schedule_arrival(self) -> None:
+        # Non-homogeneous Poisson arrivals by thinning at the highest rate (Lewis and Shedler 1979).
+        max_rate = self.rate * (1 + self.swing) * max(self.surge, 1.0)
+        self._next_arrival += self.arrival_draws.exponential(
+            SEC / max_rate
+        )  # from the exact previous time, not from the rounded event time
+        self.kernel.at(int(self._next_arrival), self._consider_arrival, max_rate)
 
-    def _maybe(self, top: float) -> None:
-        if self._due >= self.length:
+    def _consider_arrival(self, max_rate: float) -> None:
+        if self._next_arrival >= self.length:
             return
-        rate = self.rate * (1 + self.swing * sin(2 * pi * self._due / self.period)) * self.surge
-        if self.arrivals.random() * top < rate:
-            self._arrive(self.sizes.index([k.share for k in self.kinds]), 0.0, 0, -1)
-        self._next()
+        rate = self.rate * (1 + self.swing * sin(2 * pi * self._next_arrival / self.period)) * self.surge
+        if self.arrival_draws.random() * max_rate < rate:
+            self._arrive(self.size_draws.index([k.share for k in self.classes]), 0.0, 0, -1)
+        self._schedule_arrival()
 
     def _arrive(self, cls: int, work: float, slots: int, zone: int) -> None:
-        kind, draw = self.kinds[cls], self.sizes
-        zone = draw.index(self.traffic) if zone < 0 else zone
-        drawn, share = draw.lognormal(kind.work, kind.cv), draw.random()
-        places = 1 << draw.index(list(kind.slots))
-        memory = draw.uniform(*kind.memory)
-        noise = draw.lognormal(1.0, abs(self.hint_noise))
-        work, slots = work or max(drawn, 1000.0), slots or places
+        request_class, draws = self.classes[cls], self.size_draws
+        zone = draws.index(self.traffic) if zone < 0 else zone
+        drawn_work, share = draws.lognormal(request_class.work, request_class.cv), draws.random()
+        drawn_slots = 1 << draws.index(list(request_class.slots))
+        memory = draws.uniform(*request_class.memory)
+        noise = draws.lognormal(1.0, abs(self.hint_noise))
+        work, slots = work or max(drawn_work, 1000.0), slots or drawn_slots
         hint = max(int(work * noise), 1) if self.hint_noise >= 0 else 0
-        if cls in self.heavy and share < self.heavy[cls][0]:
-            work *= self.heavy[cls][1]  # the hint knows nothing of it
+        if cls in self.heavy_tails and share < self.heavy_tails[cls][0]:
+            work *= self.heavy_tails[cls][1]  # after the hint is computed: the hint does not include it
         self.jobs += 1
         job = ClientJob(self.jobs, cls, zone, work, slots, round(memory * slots, 3), hint, self.kernel.now)
-        self.open += 1
-        tally = self.tallies[cls]
-        tally.asked += 1
-        tally.worth += kind.worth * work
-        self.windows.setdefault(job.begun // WINDOW, [0.0, 0.0])[0] += kind.worth * work
-        self._try(job)
+        self.open_jobs += 1
+        counts = self.class_counts[cls]
+        counts.asked += 1
+        counts.weight_requested += request_class.priority_weight * work
+        self.windows.setdefault(job.arrived_at // WINDOW_US, [0.0, 0.0])[0] += request_class.priority_weight * work
+        self._send_try(job)
 
     # Tries.
 
-    def _try(self, job: ClientJob) -> None:
-        kind, now = self.kinds[job.class_index], self.kernel.now
-        deadline = job.begun + kind.deadline
+    def _send_try(self, job: ClientJob) -> None:
+        request_class, now = self.classes[job.class_index], self.kernel.now
+        deadline = job.arrived_at + request_class.deadline
         if now >= deadline - 1000:
             self._finish(job, FAILED)
             return
         job.tries += 1
         self.tries += 1
         self.retried += job.tries > 1
-        dispatcher = self.fronts[job.zone].pick()
+        dispatcher = self.front_ends[job.zone].pick()
         client_try = Try(
             f"{job.number:x}t{job.tries}", job, -1 if dispatcher is None else dispatcher, now, deadline, deadline
         )
-        if self.habits.random() < self.impatient:
+        if self.behaviour_draws.random() < self.impatient_share:
             client_try.until = now + (deadline - now) // 2
         client_try.timer = self.kernel.at(client_try.until, self._give_up, client_try)
         if dispatcher is None:
-            self.ended(client_try, UNREACHABLE)
+            self.try_ended(client_try, UNREACHABLE)
         else:
             self.transport.submit(client_try)
 
     def _give_up(self, client_try: Try) -> None:
         if not client_try.over:
             self.transport.abandon(client_try)
-            self.ended(client_try, GAVE_UP)
+            self.try_ended(client_try, GAVE_UP)
+
+    def try_ended(self, client_try: Try, outcome: str, retry_after: int = 0) -> None:
+        """Record the outcome of a try, and retry the job or finish it.
 
-    def ended(self, client_try: Try, kind: str, retry_after: int = 0) -> None:
-        """What became of a try. `retry_after` in microseconds, 0 for no advice."""
+        `retry_after` is in microseconds; 0 if the response had none.
+        """
         if client_try.over:
             return
         client_try.over = True
         if client_try.timer is not None:
             client_try.timer.cancel()
         job = client_try.job
-        cls = self.kinds[job.class_index]
-        if kind == SERVED:
+        request_class = self.classes[job.class_index]
+        if outcome == SERVED:
             self._finish(job, SERVED)
             return
-        again = (
-            kind in (REFUSED, UNREACHABLE)
-            or cls.semantics == "retryable"
-            or cls.semantics == "dedup"
-            and cls.group == "all"
-            and self.kernel.now < job.begun + cls.window
+        may_retry = (
+            outcome in (REFUSED, UNREACHABLE)
+            or request_class.semantics == "retryable"
+            or request_class.semantics == "dedup"
+            and request_class.group == "all"
+            and self.kernel.now < job.arrived_at + request_class.dedup_window
         )
-        if kind == GAVE_UP or not again or job.tries > self.retries:
-            self._finish(job, kind)
+        if outcome == GAVE_UP or not may_retry or job.tries > self.retries:
+            self._finish(job, outcome)
             return
-        wait = self.backoff
-        if retry_after and self.habits.random() < self.honour:
-            wait = max(wait, retry_after)
-        self.kernel.after(wait, self._try, job)
-
-    def _finish(self, job: ClientJob, kind: str) -> None:
-        cls, tally, took = self.kinds[job.class_index], self.tallies[job.class_index], self.kernel.now - job.begun
-        job.ended, job.took = kind, took
-        self.open -= 1
-        if kind == SERVED:
-            tally.served += 1
-            tally.took.append(took)
-            if took <= min(cls.aim + cls.stretch * job.work, cls.deadline):
-                tally.in_time += 1
-                tally.worth_served += cls.worth * job.work
-                self.windows[job.begun // WINDOW][1] += cls.worth * job.work
-        elif kind == REFUSED:
-            tally.refused += 1
-        elif kind in (UNREACHABLE, BROKEN):
-            tally.lost += 1
+        delay = self.backoff
+        if retry_after and self.behaviour_draws.random() < self.retry_after_share:
+            delay = max(delay, retry_after)
+        self.kernel.after(delay, self._send_try, job)
+
+    def _finish(self, job: ClientJob, outcome: str) -> None:
+        request_class, counts, duration = (
+            self.classes[job.class_index],
+            self.class_counts[job.class_index],
+            self.kernel.now - job.arrived_at,
+        )
+        job.outcome, job.duration = outcome, duration
+        self.open_jobs -= 1
+        if outcome == SERVED:
+            counts.served += 1
+            counts.latencies.append(duration)
+            if duration <= min(
+                request_class.latency_objective + request_class.objective_per_work * job.work, request_class.deadline
+            ):
+                counts.in_time += 1
+                counts.weight_served += request_class.priority_weight * job.work
+                self.windows[job.arrived_at // WINDOW_US][1] += request_class.priority_weight * job.work
+        elif outcome == REFUSED:
+            counts.refused += 1
+        elif outcome in (UNREACHABLE, BROKEN):
+            counts.lost += 1
         else:
-            tally.failed += 1
-        self.finished(job, kind)
+            counts.failed += 1
+        self.on_finish(job, outcome)
--- a/badgerroad/emulator/model/kernel.py
+++ b/badgerroad/emulator/model/kernel.py
@@ -1,4 +1,4 @@
-"""Time and chance of a run: an event queue over whole microseconds, and named streams of random numbers."""
+"""Event queue in whole microseconds, and named random number streams."""
 
 from __future__ import annotations
 
@@ -11,105 +11,110 @@
 import numpy as np
 
 SEC = 1_000_000
-BLOCK = 512  # numbers drawn at once: a scalar draw costs numpy more than all the rest of an event
+BLOCK_SIZE = 512  # numbers drawn at once: a scalar numpy draw costs more than the rest of an event
 
 
-class Entry:
-    """One event to come. `cancel` makes it void; it stays in the queue until its time."""
+class ScheduledCall:
+    """A call scheduled in the event queue; a cancelled one stays in the queue until its time but does nothing."""
 
     __slots__ = ("when", "call", "args")
 
     def __init__(self, when: int, call: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        """Play `call(*args)` at `when` (microseconds)."""
+        """Schedule `call(*args)` at `when` (microseconds)."""
         self.when, self.call, self.args = when, call, args
 
     def cancel(self) -> None:
-        """It is not played."""
-        self.call = _nothing
+        """Prevent the call."""
+        self.call = _do_nothing
         self.args = ()
 
 
-def _nothing() -> None:
-    """Stands in for a cancelled event."""
+def _do_nothing() -> None:
+    """Replaces the call of a cancelled entry."""
 
 
 class Kernel:
-    """Events in the order of their time and, at one time, of their making: the order does not depend on hashes."""
+    """Runs events by time, and in order of scheduling for equal times, so that runs are reproducible."""
 
     def __init__(self, now: int = 0) -> None:
-        """`now`: the time at the start, in microseconds."""
-        self.now, self.played = now, 0
-        self._queue: list[tuple[int, int, Entry]] = []
-        self._made = 0
-
-    def at(self, when: int, call: Callable[..., Any], *args: Any) -> Entry:
-        """Play `call(*args)` at `when` (microseconds), now at the earliest."""
-        entry = Entry(when if when > self.now else self.now, call, args)
-        self._made += 1
-        heappush(self._queue, (entry.when, self._made, entry))
+        """`now`: start time in microseconds."""
+        self.now, self.executed = now, 0
+        self._queue: list[tuple[int, int, ScheduledCall]] = []
+        self._scheduled = 0
+
+    def at(self, when: int, call: Callable[..., Any], *args: Any) -> ScheduledCall:
+        """Schedule `call(*args)` at `when` (microseconds); a time in the past means now."""
+        entry = ScheduledCall(when if when > self.now else self.now, call, args)
+        self._scheduled += 1
+        heappush(self._queue, (entry.when, self._scheduled, entry))
         return entry
 
-    def after(self, delay: float, call: Callable[..., Any], *args: Any) -> Entry:
-        """Play `call(*args)` after `delay` microseconds."""
+    def after(self, delay: float, call: Callable[..., Any], *args: Any) -> ScheduledCall:
+        """Schedule `call(*args)` after `delay` microseconds."""
         return self.at(self.now + int(delay), call, *args)
 
     @property
     def next(self) -> int:
-        """When the next event is due, or -1 if there is none."""
+        """Time of the next event, or -1 if there is none."""
         return self._queue[0][0] if self._queue else -1
 
     def run(self, until: int) -> None:
-        """Play all that is due up to `until`, which is then the time."""
+        """Run all events due up to `until` and set the time to it."""
         queue = self._queue
         while queue and queue[0][0] <= until:
             when, _, entry = heappop(queue)
             self.now = when
-            if entry.call is not _nothing:
-                self.played += 1
+            if entry.call is not _do_nothing:
+                self.executed += 1
                 entry.call(*entry.args)
         self.now = max(self.now, until)
 
 
 class Draws:
-    """One named stream of a run's seed. Streams are independent: a scenario that draws more of one kind of thing
-    leaves all others as they were, which is what makes paired comparisons sharp (numpy SeedSequence, spawn keys)."""
+    """A named random number stream of a run, derived from the seed by numpy SeedSequence spawn keys.
+
+    Streams are independent: additional draws from one do not change the others. Paired comparisons of runs therefore
+    differ only in what was changed.
+    """
 
     def __init__(self, seed: int, name: str) -> None:
-        """The stream called `name` of a run with this seed."""
+        """Create the stream `name` of a run with this seed."""
         sequence = np.random.SeedSequence(seed, spawn_key=(crc32(name.encode()),))
         self.generator = np.random.Generator(np.random.PCG64(sequence))
         self._block: list[float] = []
 
     def random(self) -> float:
-        """Uniform in [0, 1)."""
+        """Draw uniformly from [0, 1)."""
         if not self._block:
-            self._block = self.generator.random(BLOCK).tolist()
+            self._block = self.generator.random(BLOCK_SIZE).tolist()
         return self._block.pop()
 
     def uniform(self, low: float, high: float) -> float:
-        """Uniform from `low` to `high`."""
+        """Draw uniformly from `low` to `high`."""
         return low + (high - low) * self.random()
 
     def exponential(self, mean: float) -> float:
-        """Exponential with this mean."""
+        """Draw from the exponential distribution with this mean."""
         return -mean * log(1.0 - self.random())
 
     def lognormal(self, mean: float, cv: float) -> float:
-        """Lognormal with this mean and coefficient of variation (standard deviation over mean)."""
+        """Draw from the lognormal distribution; `cv` is the coefficient of variation (standard deviation / mean)."""
         if cv <= 0:
             return mean
         variance = log(1 + cv * cv)
         return mean * exp(float(self.generator.normal(-variance / 2, variance**0.5)))
 
     def index(self, weights: list[float]) -> int:
-        """A place in the list, with these odds."""
-        mark = self.random() * sum(weights)
-        for n, weight in enumerate(weights):
-            mark -= weight
-            if mark < 0:
-                return n
+        """Draw a list index with probability proportional to its weight."""
+        position = self.random() * sum(weights)
+        for index, weight in enumerate(weights):
+            position -= weight
+            if position < 0:
+                return index
         return len(weights) - 1
 
-    def choose(self, count: int, of: int) -> list[int]:
-        """`count` different places out of `of`, in rising order."""
-        return sorted(int(n) for n in self.generator.choice(of, size=min(count, of), replace=False))
+    def choose(self, count: int, population: int) -> list[int]:
+        """Draw `count` distinct indices below `population`, sorted."""
+        return sorted(
+            int(index) for index in self.generator.choice(population, size=min(count, population), replace=False)
+        )
--- a/badgerroad/emulator/model/network.py
+++ b/badgerroad/emulator/model/network.py
@@ -1,14 +1,14 @@
-"""The network between zones: one-way delays with jitter, slow spells, and cuts on which messages vanish."""
+"""Simulation of the network between zones: one-way delays with jitter, slow links and cut links."""
 
 from __future__ import annotations
 
 from badgerroad.emulator.model.kernel import Draws, Kernel
 
-CLIENTS = -1  # the place of clients: next to every zone, never cut off by a cut between zones
+CLIENTS = -1  # zone number of clients: close to every zone, not affected by cuts between zones
 
 
 class Network:
-    """One-way times in microseconds. A cut is one-way too: (from, to)."""
+    """One-way delays in microseconds. A cut affects one direction: (source, target)."""
 
     def __init__(
         self,
@@ -20,30 +20,30 @@
         client: tuple[float, float],
         jitter: float,
     ) -> None:
-        """One-way times in milliseconds or microseconds alike, as ranges: within a zone, between zones, to clients."""
+        """Ranges of the one-way delay in microseconds: `same` zone, `cross` zone, to and from a `client`."""
         self.kernel, self.draws, self.jitter = kernel, draws, jitter
-        self.base: dict[tuple[int, int], float] = {}
+        self.base_delays: dict[tuple[int, int], float] = {}
         for a in range(zones):
-            self.base[CLIENTS, a] = self.base[a, CLIENTS] = draws.uniform(*client)
+            self.base_delays[CLIENTS, a] = self.base_delays[a, CLIENTS] = draws.uniform(*client)
             for b in range(a, zones):
-                self.base[a, b] = self.base[b, a] = draws.uniform(*(same if a == b else cross))
-        self.slowed: dict[frozenset[int], float] = {}
+                self.base_delays[a, b] = self.base_delays[b, a] = draws.uniform(*(same if a == b else cross))
+        self.slowdown: dict[frozenset[int], float] = {}
         self.cuts: list[tuple[int, int]] = []
 
     def delay(self, source: int, target: int) -> int | None:
-        """How long a message sent now takes; None if it vanishes."""
+        """Return the delay of a message sent now, or None if it is lost."""
         if (source, target) in self.cuts:
             return None
-        base = self.base[source, target] * self.slowed.get(frozenset((source, target)), 1.0)
-        return int(base * (1 + self.jitter * self.draws.random()))
+        base_delay = self.base_delays[source, target] * self.slowdown.get(frozenset((source, target)), 1.0)
+        return int(base_delay * (1 + self.jitter * self.draws.random()))
 
     def slow(self, a: int, b: int, factor: float) -> None:
-        """Messages between two zones take `factor` times as long."""
-        self.slowed[frozenset((a, b))] = factor
+        """Multiply the delay between two zones by `factor`."""
+        self.slowdown[frozenset((a, b))] = factor
 
-    def cut(self, source: int, target: int, on: bool) -> None:
-        """Cut the way from one zone to another, or mend it."""
-        if on:
+    def cut(self, source: int, target: int, is_cut: bool) -> None:
+        """Cut the link from one zone to another, or restore it."""
+        if is_cut:
             self.cuts.append((source, target))
         elif (source, target) in self.cuts:
             self.cuts.remove((source, target))
--- a/badgerroad/emulator/model/rule_checker.py
+++ b/badgerroad/emulator/model/rule_checker.py
@@ -1,9 +1,13 @@
-"""The referee: what crosses the wire, held against the platform's four rules. It never asks a dispatcher.
+"""Checks the traffic between clients, dispatchers and nodes against the platform's four rules.
 
-1. Every request that a dispatcher took ends once, in time, and what is served was made by a node for it.
-2. What may have run is sent again, or refused, only where its class permits; a key has one effect at most.
-3. Nothing new to a node later than the grace after a dispatcher was told that it drains or is gone.
-4. A cold node is not pushed over: when one falls, two thirds of the window's work must not have come from those told.
+The rule checker sees only what is sent over the network; it uses no internal state of a dispatcher.
+
+1. Each request that a dispatcher received ends exactly once and in time; a served result was made by a node for it.
+2. A job that may have run is retried or rejected only if its class permits this; a key takes effect at most once.
+3. A dispatcher sends no new job to a node once the drain grace has passed since it was notified that the node is
+   draining or gone.
+4. Dispatchers do not overload a node that is warming up: if one collapses, less than two thirds of the work in the
+   overload window came from dispatchers that had been notified of its start.
 """
 
 from __future__ import annotations
@@ -12,51 +16,51 @@
 
 from badgerroad.emulator.model.kernel import Kernel
 
-SERVED, REFUSED, FAILED, LEFT, DIED = "served", "refused", "failed", "left", "died"
+SERVED, REFUSED, FAILED, CLIENT_LEFT, DISPATCHER_ENDED = "served", "refused", "failed", "left", "died"
 
 
 class ClassRule(NamedTuple):
-    """What the rules depend on in one class; times in microseconds."""
+    """Properties of a request class that the rules depend on; times in microseconds."""
 
     name: str
     semantics: str  # retryable, dedup or fragile
     group: str  # all, zone or cell
-    window: int
+    dedup_window: int
 
 
-class Breach(NamedTuple):
-    """One broken rule. `at` in microseconds of the run."""
+class Violation(NamedTuple):
+    """One violation of a rule; `at` is in microseconds of the run."""
 
     at: int
     rule: int
-    what: str
+    message: str
 
 
 class Attempt:
-    """One attempt as it arrived at a node. `ran`: None while it may, or may yet, have run."""
+    """One attempt that arrived at a node; `never_ran` is set once it is known not to have run."""
 
-    __slots__ = ("node", "zone", "rack", "at", "over", "never")
+    __slots__ = ("node", "zone", "cell", "at", "ended", "never_ran")
 
-    def __init__(self, node: str, zone: int, rack: int, at: int) -> None:
-        """`at`: when it arrived, in microseconds of the run."""
-        self.node, self.zone, self.rack, self.at, self.over, self.never = node, zone, rack, at, False, False
+    def __init__(self, node: str, zone: int, cell: int, at: int) -> None:
+        """`at`: time at which its first byte was sent, in microseconds of the run."""
+        self.node, self.zone, self.cell, self.at, self.ended, self.never_ran = node, zone, cell, at, False, False
 
 
-class Taken:
-    """One try of a client, from the moment its dispatcher has it whole."""
+class ReceivedRequest:
+    """One request that a dispatcher has received completely."""
 
-    __slots__ = ("id", "key", "cls", "dispatcher", "due", "attempts", "end", "results")
+    __slots__ = ("id", "key", "cls", "dispatcher", "due", "attempts", "outcome", "results")
 
     def __init__(self, request_id: str, key: str, cls: ClassRule, dispatcher: int, due: int) -> None:
-        """`due`: until when its answer may come, in microseconds of the run."""
+        """`due`: deadline of the answer, in microseconds of the run."""
         self.id, self.key, self.cls, self.dispatcher, self.due = request_id, key, cls, dispatcher, due
         self.attempts: list[Attempt] = []
-        self.end = ""
+        self.outcome = ""
         self.results: list[str] = []
 
 
-class Referee:
-    """Checks the platform's four rules on what crosses the wire."""
+class RuleChecker:
+    """Checks the platform's four rules and records violations."""
 
     def __init__(
         self,
@@ -66,194 +70,227 @@
         slack: int,
         ask_within: int,
         max_attempts: int,
-        second_copies: bool,
-        extra: int = 0,
+        hedging_permitted: bool,
+        extra_time: int = 0,
     ) -> None:
-        """`extra`: what every time limit is longer by on real sockets."""
+        """Time limits are in microseconds; `extra_time` is added to each, to allow for real sockets in live runs."""
         self.kernel, self.classes = kernel, classes
-        self.grace, self.slack, self.ask_within, self.extra = grace + extra, slack + extra, ask_within, extra
-        self.max_attempts, self.second_copies = max_attempts, second_copies
-        self.breaches: list[Breach] = []
-        self.open: dict[str, Taken] = {}
-        self.taken = self.attempts = self.crossings = self.handshakes = self.probes = 0
-        self.ended: dict[str, int] = {}
-        self.told: dict[tuple[int, str], int] = {}  # (dispatcher, node): since when not ready, by its own list
-        self.known: dict[tuple[int, str], int] = {}  # (dispatcher, node): the start it was told of
-        self.effects: dict[tuple[str, str], int] = {}  # (class, key): effects
-        self._dropped: dict[tuple[str, str, object], int] = {}  # seen by a group of nodes: until when
-        self.falls = 0
-
-    def _break(self, rule: int, what: str) -> None:
-        self.breaches.append(Breach(self.kernel.now, rule, what))
+        self.grace, self.slack, self.ask_within, self.extra_time = (
+            grace + extra_time,
+            slack + extra_time,
+            ask_within,
+            extra_time,
+        )
+        self.max_attempts, self.hedging_permitted = max_attempts, hedging_permitted
+        self.violations: list[Violation] = []
+        self.open: dict[str, ReceivedRequest] = {}
+        self.received_count = self.attempts = self.cross_zone_attempts = self.handshakes = self.probes = 0
+        self.outcome_counts: dict[str, int] = {}
+        self.notified_not_ready: dict[tuple[int, str], int] = {}  # (dispatcher, node): when it was sent "not ready"
+        self.notified_starts: dict[tuple[int, str], int] = {}  # (dispatcher, node): last start time sent
+        self.effect_counts: dict[tuple[str, str], int] = {}  # (class, key): number of effects
+        self._dedup_until: dict[tuple[str, str, object], int] = {}  # (class, key, group): end of the window
+        self.collapses = 0
+
+    def report_violation(self, rule: int, message: str) -> None:
+        """Record a violation of a rule at the current time."""
+        self.violations.append(Violation(self.kernel.now, rule, message))
 
     # Rule 1.
 
-    def took(self, request_id: str, key: str, class_index: int, dispatcher: int, due: int) -> None:
-        """The last byte of a request is with a dispatcher; it owes an answer until `due` plus the slack."""
-        self.taken += 1
-        self.open[request_id] = Taken(request_id, key, self.classes[class_index], dispatcher, due)
-        self.kernel.at(due + self.slack + 1, self._overdue, request_id)
-
-    def _overdue(self, request_id: str) -> None:
-        taken = self.open.get(request_id)
-        if taken is not None and not taken.end:
-            self._break(1, f"{taken.cls.name} {request_id} of dispatcher {taken.dispatcher} has no answer in time")
-            self._end(taken, FAILED)
+    def request_received(self, request_id: str, key: str, class_index: int, dispatcher: int, due: int) -> None:
+        """A dispatcher has received a complete request; its answer is due at `due` plus the slack."""
+        self.received_count += 1
+        self.open[request_id] = ReceivedRequest(request_id, key, self.classes[class_index], dispatcher, due)
+        self.kernel.at(due + self.slack + 1, self._check_deadline, request_id)
+
+    def _check_deadline(self, request_id: str) -> None:
+        request = self.open.get(request_id)
+        if request is not None and not request.outcome:
+            self.report_violation(
+                1, f"{request.cls.name} {request_id} of dispatcher {request.dispatcher} was not answered in time"
+            )
+            self._finish(request, FAILED)
         self.kernel.after(
             self.slack + 60_000_000, self.open.pop, request_id, None
-        )  # second answers and attempts still count
+        )  # kept for a while, to detect second answers and late attempts
 
-    def answered(self, request_id: str, kind: str, result: str = "") -> None:
-        """A final answer has reached the client whole."""
-        taken = self.open.get(request_id)
-        if taken is None:
-            self._break(1, f"an answer to {request_id}, which nobody asked")
+    def answer_received(self, request_id: str, outcome: str, result: str = "") -> None:
+        """A client has received a complete final answer."""
+        request = self.open.get(request_id)
+        if request is None:
+            self.report_violation(1, f"an answer to {request_id}, which no client requested")
             return
-        if taken.end in (LEFT, DIED):
-            return  # on its way to nobody
-        if taken.end:
-            self._break(1, f"{taken.cls.name} {request_id} is answered twice: {taken.end}, then {kind}")
+        if request.outcome in (CLIENT_LEFT, DISPATCHER_ENDED):
+            return  # the answer was in transit when the client left or the dispatcher ended
+        if request.outcome:
+            self.report_violation(
+                1, f"{request.cls.name} {request_id} was answered twice: {request.outcome}, then {outcome}"
+            )
             return
-        if kind == SERVED and result not in taken.results:
-            self._break(1, f"{taken.cls.name} {request_id} is served with what no node made for it")
-        if kind == REFUSED:
-            self._refusal(taken)
-        self._end(taken, kind)
-
-    def _end(self, taken: Taken, kind: str) -> None:
-        taken.end = kind
-        self.ended[kind] = self.ended.get(kind, 0) + 1
-
-    def left(self, request_id: str) -> None:
-        """The client has gone: nothing is owed any more."""
-        taken = self.open.get(request_id)
-        if taken is not None and not taken.end:
-            self._end(taken, LEFT)
-
-    def broken_off(self, request_id: str) -> None:
-        """A dispatcher that runs has ended the connection without a whole answer."""
-        taken = self.open.get(request_id)
-        if taken is not None and not taken.end:
-            self._break(
-                1, f"{taken.cls.name} {request_id}: dispatcher {taken.dispatcher} ended the connection unanswered"
+        if outcome == SERVED and result not in request.results:
+            self.report_violation(
+                1, f"{request.cls.name} {request_id} was served with a result that no node made for it"
             )
-            self._end(taken, FAILED)
+        if outcome == REFUSED:
+            self._check_rejection(request)
+        self._finish(request, outcome)
+
+    def _finish(self, request: ReceivedRequest, outcome: str) -> None:
+        request.outcome = outcome
+        self.outcome_counts[outcome] = self.outcome_counts.get(outcome, 0) + 1
+
+    def client_disconnected(self, request_id: str) -> None:
+        """The client has disconnected; the request needs no answer any more."""
+        request = self.open.get(request_id)
+        if request is not None and not request.outcome:
+            self._finish(request, CLIENT_LEFT)
+
+    def connection_broken(self, request_id: str) -> None:
+        """A running dispatcher has closed the connection before a complete answer."""
+        request = self.open.get(request_id)
+        if request is not None and not request.outcome:
+            self.report_violation(
+                1,
+                f"{request.cls.name} {request_id}: dispatcher {request.dispatcher} closed the connection unanswered",
+            )
+            self._finish(request, FAILED)
 
-    def died(self, dispatcher: int, planned: bool) -> None:
-        """Killed: what it held is the clients' to repeat. After a planned stop it must have held nothing that came in
-        time, which `planned` asks to be checked."""
-        for taken in self.open.values():
-            if taken.dispatcher == dispatcher and not taken.end:
-                if planned:
-                    self._break(1, f"{taken.cls.name} {taken.id} is lost in the planned stop of {dispatcher}")
-                self._end(taken, DIED)
-        for at in [k for k in self.told if k[0] == dispatcher]:
-            del self.told[at]
+    def dispatcher_ended(self, dispatcher: int, planned: bool) -> None:
+        """A dispatcher process has ended; its open requests are left to the clients' retries.
 
-    def crashed(self, dispatcher: int, why: str) -> None:
-        """A dispatcher has ended by itself."""
-        self._break(1, f"dispatcher {dispatcher} crashed: {why}")
-        self.died(dispatcher, False)
+        With `planned`, each open request is a violation: a planned stop must answer all of them first.
+        """
+        for request in self.open.values():
+            if request.dispatcher == dispatcher and not request.outcome:
+                if planned:
+                    self.report_violation(
+                        1, f"{request.cls.name} {request.id} was lost in the planned stop of dispatcher {dispatcher}"
+                    )
+                self._finish(request, DISPATCHER_ENDED)
+        for notified in [key for key in self.notified_not_ready if key[0] == dispatcher]:
+            del self.notified_not_ready[notified]
+
+    def dispatcher_crashed(self, dispatcher: int, reason: str) -> None:
+        """A dispatcher process has ended unexpectedly."""
+        self.report_violation(1, f"dispatcher {dispatcher} crashed: {reason}")
+        self.dispatcher_ended(dispatcher, False)
 
     # Rules 2 and 3.
 
-    def attempt(
+    def attempt_arrived(
         self,
         request_id: str,
         dispatcher: int,
         node: str,
         zone: int,
-        rack: int,
-        begun: int,
-        home: int,
-        counts_as_told: int | None = None,
+        cell: int,
+        sent_at: int,
+        dispatcher_zone: int,
+        presumed_notified_at: int | None = None,
     ) -> Attempt | None:
-        """An attempt has arrived whole at a node; its first byte was sent at `begun`."""
-        now, taken = self.kernel.now, self.open.get(request_id)
+        """A complete attempt has arrived at a node; its first byte was sent at `sent_at`.
+
+        `dispatcher_zone` is the zone of the dispatcher. `presumed_notified_at` is the time from which the dispatcher
+        counts as notified that the node is not ready, if no list sent to it has said so.
+        """
+        now, request = self.kernel.now, self.open.get(request_id)
         self.attempts += 1
-        self.crossings += zone != home
-        told = self.told.get((dispatcher, node), counts_as_told)
-        if told is not None and begun > told + self.grace:
-            self._break(
-                3, f"{request_id} sent to {node} {(begun - told) // 1000} ms after dispatcher {dispatcher} was told"
+        self.cross_zone_attempts += zone != dispatcher_zone
+        notified_at = self.notified_not_ready.get((dispatcher, node), presumed_notified_at)
+        if notified_at is not None and sent_at > notified_at + self.grace:
+            self.report_violation(
+                3,
+                f"{request_id} sent to {node} {(sent_at - notified_at) // 1000} ms after {dispatcher} was notified",
             )
-        if taken is None:
-            self._break(2, f"{node} was sent {request_id}, which no client sent in this form")
+        if request is None:
+            self.report_violation(2, f"{node} was sent {request_id}, which no dispatcher has received from a client")
             return None
-        before = [attempt for attempt in taken.attempts if not attempt.never]
-        name = f"{taken.cls.name} {request_id}"
-        if taken.end in (SERVED, REFUSED, FAILED) and begun > now - 1000:
-            self._break(1, f"{name} sent to {node} after its end")
-        if len(taken.attempts) >= self.max_attempts:
-            self._break(2, f"{name} has more than {self.max_attempts} attempts")
-        if not self.second_copies and any(not attempt.over for attempt in before):
-            self._break(2, f"{name}: a second copy to {node}")
-        if before and taken.cls.semantics == "fragile":
-            self._break(2, f"{name} may have run at {before[0].node} and is sent to {node}")
-        elif before and taken.cls.semantics == "dedup":
-            first = before[0]
-            if taken.cls.group == "zone" and first.zone != zone or taken.cls.group == "cell" and first.rack != rack:
-                self._break(2, f"{name} may have run at {first.node} and left its {taken.cls.group} for {node}")
-            if now > first.at + taken.cls.window + self.extra:
-                self._break(2, f"{name} is repeated after its window")
-        attempt = Attempt(node, zone, rack, begun)
-        taken.attempts.append(attempt)
+        possible_runs = [attempt for attempt in request.attempts if not attempt.never_ran]
+        name = f"{request.cls.name} {request_id}"
+        if request.outcome in (SERVED, REFUSED, FAILED) and sent_at > now - 1000:
+            self.report_violation(1, f"{name} was sent to {node} after it was answered")
+        if len(request.attempts) >= self.max_attempts:
+            self.report_violation(2, f"{name} has more than {self.max_attempts} attempts")
+        if not self.hedging_permitted and any(not attempt.ended for attempt in possible_runs):
+            self.report_violation(2, f"{name}: hedged attempt at {node}, which is not permitted")
+        if possible_runs and request.cls.semantics == "fragile":
+            self.report_violation(2, f"{name} may have run at {possible_runs[0].node} and was sent to {node}")
+        elif possible_runs and request.cls.semantics == "dedup":
+            first = possible_runs[0]
+            if request.cls.group == "zone" and first.zone != zone or request.cls.group == "cell" and first.cell != cell:
+                self.report_violation(
+                    2, f"{name} may have run at {first.node} and left its {request.cls.group} for {node}"
+                )
+            if now > first.at + request.cls.dedup_window + self.extra_time:
+                self.report_violation(2, f"{name} was retried after its deduplication window")
+        attempt = Attempt(node, zone, cell, sent_at)
+        request.attempts.append(attempt)
         return attempt
 
-    def _refusal(self, taken: Taken) -> None:
-        ran = [attempt for attempt in taken.attempts if not attempt.never]
-        cls = taken.cls
-        if ran and (cls.semantics == "fragile" or cls.semantics == "dedup" and cls.group != "all"):
-            self._break(2, f"{cls.name} {taken.id} may have run at {ran[0].node} and is refused")
+    def _check_rejection(self, request: ReceivedRequest) -> None:
+        possible_runs = [attempt for attempt in request.attempts if not attempt.never_ran]
+        cls = request.cls
+        if possible_runs and (cls.semantics == "fragile" or cls.semantics == "dedup" and cls.group != "all"):
+            self.report_violation(2, f"{cls.name} {request.id} may have run at {possible_runs[0].node} and was refused")
 
-    def attempt_over(self, attempt: Attempt | None, never: bool) -> None:
-        """A node has ended an attempt, or it was given up. `never`: proved never to have run."""
+    def attempt_ended(self, attempt: Attempt | None, never_ran: bool) -> None:
+        """A node or a dispatcher has ended an attempt; `never_ran`: it is known not to have run."""
         if attempt is not None:
-            attempt.over, attempt.never = True, attempt.never or never
+            attempt.ended, attempt.never_ran = True, attempt.never_ran or never_ran
 
-    def result(self, request_id: str, result: str) -> None:
-        """A node has made this result for a request."""
-        taken = self.open.get(request_id)
-        if taken is not None:
-            taken.results.append(result)
+    def result_produced(self, request_id: str, result: str) -> None:
+        """A node has produced this result for a request."""
+        request = self.open.get(request_id)
+        if request is not None:
+            request.results.append(result)
 
-    def effect(self, class_index: int, key: str, zone: int, rack: int) -> None:
-        """A job has run to its end at a node, whose group may have had its key before."""
+    def job_completed(self, class_index: int, key: str, zone: int, cell: int) -> None:
+        """A node has completed a job.
+
+        A `dedup` job takes no effect if the group of the node has completed the same key within the window.
+        """
         cls = self.classes[class_index]
         if cls.semantics == "retryable":
             return
-        group: object = 0 if cls.group == "all" else zone if cls.group == "zone" else rack
+        group: object = 0 if cls.group == "all" else zone if cls.group == "zone" else cell
         if cls.semantics == "dedup":
-            until = self._dropped.get((cls.name, key, group), -1)
+            until = self._dedup_until.get((cls.name, key, group), -1)
             if self.kernel.now <= until:
                 return
-            self._dropped[cls.name, key, group] = self.kernel.now + cls.window
-        count = self.effects[cls.name, key] = self.effects.get((cls.name, key), 0) + 1
+            self._dedup_until[cls.name, key, group] = self.kernel.now + cls.dedup_window
+        count = self.effect_counts[cls.name, key] = self.effect_counts.get((cls.name, key), 0) + 1
         if count > 1:
-            self._break(2, f"{cls.name}: key {key} has {count} effects")
+            self.report_violation(2, f"{cls.name}: key {key} has {count} effects")
 
-    # What dispatchers are told.
+    # Lists sent to dispatchers.
 
-    def tell(self, dispatcher: int, whole: bool, entries: list[tuple[str, str, int]]) -> None:
-        """Discovery has written (node, state, start) lines to a dispatcher."""
+    def list_sent(self, dispatcher: int, complete: bool, entries: list[tuple[str, str, int]]) -> None:
+        """Discovery has sent list entries (node, state, start time) to a dispatcher."""
         now = self.kernel.now
         named = {node for node, _, _ in entries}
-        for node, state, since in entries:
+        for node, state, started_at in entries:
             if state == "ready":
-                self.told.pop((dispatcher, node), None)
-                self.known[dispatcher, node] = since
+                self.notified_not_ready.pop((dispatcher, node), None)
+                self.notified_starts[dispatcher, node] = started_at
             else:
-                self.told.setdefault((dispatcher, node), now)
-        if whole:
-            for d, node in [k for k in self.known if k[0] == dispatcher and k[1] not in named]:
-                self.told.setdefault((d, node), now)
+                self.notified_not_ready.setdefault((dispatcher, node), now)
+        if complete:
+            for recipient, node in [
+                key for key in self.notified_starts if key[0] == dispatcher and key[1] not in named
+            ]:
+                self.notified_not_ready.setdefault((recipient, node), now)
 
     # Rule 4.
 
-    def fell(self, node: str, since: int, sent: list[tuple[int, float]]) -> None:
-        """A node that warmed up has fallen over from what it was sent."""
-        self.falls += 1
-        informed = sum(w for d, w in sent if self.known.get((d, node), -1) == since)
-        share = informed / max(sum(w for _, w in sent), 1e-9)
+    def node_collapsed(self, node: str, started_at: int, sent: list[tuple[int, float]]) -> None:
+        """A node has collapsed during warm-up; `sent` lists (dispatcher, work) of the overload window."""
+        self.collapses += 1
+        notified_work = sum(
+            work for dispatcher, work in sent if self.notified_starts.get((dispatcher, node), -1) == started_at
+        )
+        share = notified_work / max(sum(work for _, work in sent), 1e-9)
         if share >= 2 / 3:
-            self._break(4, f"cold {node} was pushed over, {share:.0%} of it by dispatchers told of its start")
+            self.report_violation(
+                4, f"{node} collapsed while warming up, {share:.0%} of the work from dispatchers notified of its start"
+            )
--- a/badgerroad/emulator/open_requests.py
+++ b/badgerroad/emulator/open_requests.py
@@ -1,4 +1,4 @@
-"""What a virtual dispatcher keeps of a request while it is open, and whose decisions it takes."""
+"""State of open requests in a virtual dispatcher, and the interface of decision modules."""
 
 from __future__ import annotations
 
@@ -7,59 +7,59 @@
 
 from badgerroad.emulator.model.clients import Try
 from badgerroad.emulator.model.jobs import Job
-from badgerroad.emulator.model.kernel import Entry
+from badgerroad.emulator.model.kernel import ScheduledCall
 from badgerroad.emulator.model.nodes import RenderNode
-from badgerroad.emulator.model.rule_checker import Attempt as SeenAttempt
+from badgerroad.emulator.model.rule_checker import Attempt as CheckedAttempt
 from badgerroad.load_balancing import interface
 
 
-class Decisions(Protocol):
-    """The module's interface, behind which baselines stand too."""
+class DecisionModule(Protocol):
+    """Interface of a decision module; the baseline policies implement it too."""
 
     def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
-        """The actions after an event at `now` (microseconds)."""
+        """Handle an event at `now` (microseconds) and return the actions to perform."""
 
 
-Make = Callable[[interface.Settings, int], Decisions]
+DecisionModuleFactory = Callable[[interface.Settings, int], DecisionModule]
 
 
 class Attempt:
-    """One attempt of a virtual dispatcher."""
+    """An attempt of a virtual dispatcher."""
 
     __slots__ = (
         "number",
         "node",
-        "over",
+        "ended",
         "accepted",
-        "heard",
+        "event_received",
         "started",
         "timer",
-        "accept",
-        "seen",
+        "accept_timer",
+        "checked_attempt",
         "job",
-        "sent",
-        "fresh",
-        "life",
+        "sent_at",
+        "new_connection",
+        "node_started_at",
     )
 
-    def __init__(self, number: int, node: RenderNode, sent: int) -> None:
-        """`sent` in microseconds of the run."""
-        self.number, self.node, self.sent = number, node, sent
-        self.over = self.accepted = self.heard = self.started = self.fresh = False
-        self.timer: Entry | None = None
-        self.accept: Entry | None = None
-        self.seen: SeenAttempt | None = None
+    def __init__(self, number: int, node: RenderNode, sent_at: int) -> None:
+        """`sent_at` is in microseconds of the run."""
+        self.number, self.node, self.sent_at = number, node, sent_at
+        self.ended = self.accepted = self.event_received = self.started = self.new_connection = False
+        self.timer: ScheduledCall | None = None
+        self.accept_timer: ScheduledCall | None = None
+        self.checked_attempt: CheckedAttempt | None = None
         self.job: Job | None = None
-        self.life = 0
+        self.node_started_at = 0
 
 
-class Open:
-    """A request that a virtual dispatcher has open."""
+class OpenRequest:
+    """An open request of a virtual dispatcher."""
 
-    __slots__ = ("number", "client_try", "attempts", "answered", "out", "deadline")
+    __slots__ = ("number", "client_try", "attempts", "answered", "open_attempts", "deadline")
 
     def __init__(self, number: int, client_try: Try, deadline: int) -> None:
         """`deadline` in microseconds of the run."""
         self.number, self.client_try, self.deadline = number, client_try, deadline
         self.attempts: list[Attempt] = []
-        self.answered, self.out = False, 0
+        self.answered, self.open_attempts = False, 0
--- a/badgerroad/emulator/report.py
+++ b/badgerroad/emulator/report.py
@@ -1,19 +1,19 @@
-"""What a run was worth: counts, latencies, rules. The same from virtual and live runs."""
+"""Reports of virtual and live runs: counts, latencies, score and rule violations."""
 
 from __future__ import annotations
 
 import msgspec
 
-from badgerroad.emulator.model.clients import Tally
+from badgerroad.emulator.model.clients import ClassCounts
 from badgerroad.emulator.model.kernel import SEC
 from badgerroad.emulator.world import World
 
-WHOLE, WORST_CLASS, WORST_WINDOW = 0.65, 0.30, 0.05  # weights of the figure, from the operators' brief
-CROSSING, HANDSHAKE, PROBE = 0.029, 0.02, 0.002  # prices for each first try
+SERVED_WEIGHT, WORST_CLASS_WEIGHT, WORST_WINDOW_WEIGHT = 0.65, 0.30, 0.05  # weights of the score, set by the operators
+CROSS_ZONE_DEDUCTION, HANDSHAKE_DEDUCTION, PROBE_DEDUCTION = 0.029, 0.02, 0.002  # deductions per job
 
 
 class ClassReport(msgspec.Struct):
-    """Counts are of jobs, over all tries of their clients; times in milliseconds, of those served."""
+    """Result of one request class: counts of jobs (not of tries), and latencies of served jobs in milliseconds."""
 
     asked: int
     served: int
@@ -28,12 +28,12 @@
 
 
 class Report(msgspec.Struct):
-    """The result of one run, as it is stored and printed."""
+    """Result of one run, as stored and printed."""
 
     scenario: str
     seed: int
-    figure: float  # worth served, the worst class and the worst 10 s, weighed, less the prices
-    worth: float  # part of the worth asked for that was served in time
+    figure: float  # score: weighted sum of `worth`, `worst_class` and `worst_window`, less deductions
+    worth: float  # share of the requested priority weight that was served in time
     worst_class: float
     worst_window: float
     classes: dict[str, ClassReport]
@@ -44,98 +44,111 @@
     handshakes: int
     probes: int
     falls: int
-    little: float  # Little's law: jobs held on average over rate times residence; 1 where it holds
+    little: float  # Little's law: mean number of jobs over arrival rate times residence time; 1 if it holds
     breaches: list[str]
     breaches_by_rule: dict[str, int]
     events: int
     simulated_s: float
-    wall_s: float = 0.0  # the only field that two runs of one seed may differ in
+    wall_s: float = 0.0  # the only field that may differ between two runs with the same seed
 
     @property
     def served(self) -> int:
-        """Jobs served, over all classes."""
-        return sum(c.served for c in self.classes.values())
+        """Number of jobs served, over all classes."""
+        return sum(report.served for report in self.classes.values())
 
     @property
     def refused(self) -> int:
-        """Jobs rejected, over all classes."""
-        return sum(c.refused for c in self.classes.values())
+        """Number of jobs rejected, over all classes."""
+        return sum(report.refused for report in self.classes.values())
 
     @property
     def failed(self) -> int:
-        """Jobs failed or lost, over all classes."""
-        return sum(c.failed + c.lost for c in self.classes.values())
+        """Number of jobs failed or lost, over all classes."""
+        return sum(report.failed + report.lost for report in self.classes.values())
 
     def bytes(self) -> bytes:
-        """All but the wall time, in one order: what two runs of one seed must agree on."""
+        """Encode all fields except the wall time; two virtual runs with the same seed give the same bytes."""
         fields = msgspec.to_builtins(self)
         del fields["wall_s"]
         return msgspec.json.encode(fields, order="deterministic")
 
 
-def _quantile(values: list[int], q: float) -> float:
+def _quantile(values: list[int], quantile: float) -> float:
     if not values:
         return 0.0
-    return round(sorted(values)[min(int(q * len(values)), len(values) - 1)] / 1000, 2)
+    return round(sorted(values)[min(int(quantile * len(values)), len(values) - 1)] / 1000, 2)
 
 
-def _class(tally: Tally) -> ClassReport:
+def _class_report(counts: ClassCounts) -> ClassReport:
     return ClassReport(
-        tally.asked,
-        tally.served,
-        tally.in_time,
-        tally.refused,
-        tally.failed,
-        tally.lost,
-        round(tally.worth_served / tally.worth, 6) if tally.worth else 0.0,
-        *(_quantile(tally.took, q) for q in (0.5, 0.9, 0.99)),
+        counts.asked,
+        counts.served,
+        counts.in_time,
+        counts.refused,
+        counts.failed,
+        counts.lost,
+        round(counts.weight_served / counts.weight_requested, 6) if counts.weight_requested else 0.0,
+        *(_quantile(counts.latencies, quantile) for quantile in (0.5, 0.9, 0.99)),
     )
 
 
-def of(world: World, wall: float) -> Report:
-    """The report of a world at the end of its run; `wall` in seconds."""
-    c, r = world.clients, world.referee
-    classes = {k.name: _class(t) for k, t in zip(world.kinds, c.tallies, strict=False)}
-    asked, served = sum(t.worth for t in c.tallies), sum(t.worth_served for t in c.tallies)
-    whole = served / asked if asked else 0.0
-    worst_class = min((x.worth for x in classes.values() if x.asked), default=0.0)
-    worst_window = min((got / want for want, got in c.windows.values() if want), default=0.0)
-    tries = max(c.jobs, 1)
+def create(world: World, wall: float) -> Report:
+    """Create the report of a finished run; `wall`: wall time in seconds."""
+    clients, checker = world.clients, world.rule_checker
+    classes = {k.name: _class_report(t) for k, t in zip(world.request_classes, clients.class_counts, strict=False)}
+    requested, served = (
+        sum(t.weight_requested for t in clients.class_counts),
+        sum(t.weight_served for t in clients.class_counts),
+    )
+    served_share = served / requested if requested else 0.0
+    worst_class = min((report.worth for report in classes.values() if report.asked), default=0.0)
+    worst_window = min(
+        (
+            served_weight / requested_weight
+            for requested_weight, served_weight in clients.windows.values()
+            if requested_weight
+        ),
+        default=0.0,
+    )
+    tries = max(clients.jobs, 1)
     figure = (
-        WHOLE * whole
-        + WORST_CLASS * worst_class
-        + WORST_WINDOW * worst_window
-        - CROSSING * r.crossings / tries
-        - HANDSHAKE * r.handshakes / tries
-        - PROBE * r.probes / tries
+        SERVED_WEIGHT * served_share
+        + WORST_CLASS_WEIGHT * worst_class
+        + WORST_WINDOW_WEIGHT * worst_window
+        - CROSS_ZONE_DEDUCTION * checker.cross_zone_attempts / tries
+        - HANDSHAKE_DEDUCTION * checker.handshakes / tries
+        - PROBE_DEDUCTION * checker.probes / tries
     )
-    held, residence = 0.0, 0.0
+    job_time, residence_time = 0.0, 0.0
     for node in world.nodes:
         node._advance()
-        held += node.held_time
-        residence += node.residence + sum(world.kernel.now - job.arrived for job in node.jobs.values())
+        job_time += node.job_time
+        residence_time += node.residence_time + sum(world.kernel.now - job.arrived for job in node.jobs.values())
     rules: dict[str, int] = {}
-    for breach in r.breaches:
-        rules[str(breach.rule)] = rules.get(str(breach.rule), 0) + 1
+    for violation in checker.violations:
+        rules[str(violation.rule)] = rules.get(str(violation.rule), 0) + 1
     return Report(
         world.scenario.name,
         world.seed,
         round(figure, 6),
-        round(whole, 6),
+        round(served_share, 6),
         worst_class,
         round(worst_window, 6),
         classes,
-        c.jobs,
-        c.tries,
-        r.attempts,
-        r.crossings,
-        r.handshakes,
-        r.probes,
-        r.falls,
-        round(held / residence, 6) if residence else 1.0,
-        [f"{b.at / SEC:.3f} s rule {b.rule}: {b.what}" for b in r.breaches[:50]],
+        clients.jobs,
+        clients.tries,
+        checker.attempts,
+        checker.cross_zone_attempts,
+        checker.handshakes,
+        checker.probes,
+        checker.collapses,
+        round(job_time / residence_time, 6) if residence_time else 1.0,
+        [
+            f"{violation.at / SEC:.3f} s rule {violation.rule}: {violation.message}"
+            for violation in checker.violations[:50]
+        ],
         rules,
-        world.kernel.played,
+        world.kernel.executed,
         world.kernel.now / SEC,
         round(wall, 3),
     )
--- a/badgerroad/emulator/scenario.py
+++ b/badgerroad/emulator/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: TOML files that say what a run is made of, decoded and checked.
+"""Scenario files: structures of the TOML format, decoding and validation.
 
-Every field has a default, taken from the operators' brief, so a file names only what it is about. Fields in
-`_s` and `_ms` are seconds and milliseconds; a list of two numbers is a range from which each run draws.
+Every field has a default, taken from the operators' specification, so a file sets only what differs. Fields ending in
+`_s` and `_ms` are in seconds and milliseconds; a list of two numbers is a range from which each run draws a value.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 from badgerroad.emulator.traces import TraceRow
 
 Range = tuple[float, float]
-LONGEST = 86_400.0  # seconds; a run is a day at most
-MOST_NODES, MOST_DISPATCHERS = 20_000, 256
+MAX_LENGTH_S = 86_400.0  # seconds; a run may last one day
+MAX_NODES, MAX_DISPATCHERS = 20_000, 256
 
 
 class Base(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What all parts of a scenario share: unknown fields are errors, nothing changes after the load."""
+    """Base of all scenario structures: immutable, and unknown fields are errors."""
 
 
 class Zone(Base, frozen=True, kw_only=True):
-    """`[[zone]]`: its nodes, dispatchers and traffic."""
+    """`[[zone]]`: numbers of nodes and dispatchers in a zone, and its traffic."""
 
     name: str
     nodes: int = 7
     dispatchers: int = 1
-    traffic: float = 0.5  # its part of the arrivals, against the other zones'
+    traffic: float = 0.5  # share of the arrivals, relative to the other zones
 
 
 class Kind(Base, frozen=True, kw_only=True):
-    """`[[kind]]`: nodes of one machine type."""
+    """`[[kind]]`: a machine type of nodes."""
 
     name: str
-    share: float = 1.0  # of the nodes
+    share: float = 1.0  # share of the nodes
     cores: int = 4
     speed: Range = (0.85, 1.1)
     slots_per_core: Range = (1.0, 1.3)
     queue_per_core: float = 12.0
     cold_from: float = 0.2
     cold_s: float = 18.0
-    crowd_at: float = 7.0  # jobs held per core from which efficiency falls
+    crowd_at: float = 7.0  # jobs per core above which efficiency falls
     crowd_loss: float = 0.4
     pause_every_s: float = 8.0
     pause_ms: float = 40.0
@@ -53,14 +53,14 @@
 
 
 class JobClass(Base, frozen=True, kw_only=True):
-    """`[[cls]]`: one class of requests."""
+    """`[[class]]`: a request class."""
 
     name: str
-    share: float = 1.0  # of the arrivals
+    share: float = 1.0  # share of the arrivals
     work_ms: Range = (400, 780)  # mean running time at speed 1
     cv: float = 1.0
     slots: tuple[float, ...] = (1.0,)  # shares of jobs with 1, 2, 4, ... slots
-    memory: Range = (0.2, 0.9)  # units for each slot
+    memory: Range = (0.2, 0.9)  # units per slot
     aim_ms: float = 250
     stretch: float = 2.0
     deadline_ms: float = 7500
@@ -71,30 +71,30 @@
 
 
 class Load(Base, frozen=True, kw_only=True):
-    """`[load]`: how many requests come, and when."""
+    """`[load]`: rate, pattern and work hints of the arrivals."""
 
-    level: float = 0.42  # of what the nodes can do when warm; or:
+    level: float = 0.42  # load as a share of the capacity of the warm nodes; `rate_per_s` overrides it
     rate_per_s: float = 0.0
     shape: Literal["steady", "wave", "trace"] = "steady"
-    swing: float = 0.12  # of a wave
+    swing: float = 0.12  # relative amplitude of a wave
     period_s: float = 20.0
     trace: str = ""  # CSV next to the scenario: at_s, class, work_ms[, slots[, zone]]
-    hint_noise: float = 0.1  # spread of hints round the true work; below 0: no hints
+    hint_noise: float = 0.1  # coefficient of variation of work hints around the true work; below 0: no hints
 
 
 class Clients(Base, frozen=True, kw_only=True):
-    """`[clients]`: how clients retry."""
+    """`[clients]`: retries and timeouts of clients."""
 
     retries: int = 3
-    backoff_ms: float = 60.0  # 0: at once
-    honour: float = 0.2  # part of the clients that heed Retry-After
-    impatient: float = 0.02  # part that gives up after half the time
+    backoff_ms: float = 60.0  # 0: retry at once
+    honour: float = 0.2  # share of clients that respect Retry-After
+    impatient: float = 0.02  # share of tries whose client gives up after half of the time left
     marks_retry: bool = True
-    bad_per_s: float = 0.0  # bad clients, by live runs only
+    bad_per_s: float = 0.0  # misbehaving clients; only in live runs
 
 
 class Network(Base, frozen=True, kw_only=True):
-    """`[network]`: delays and connections."""
+    """`[network]`: delays, handshakes and connection limits."""
 
     same_ms: Range = (0.14, 0.33)
     cross_ms: Range = (1.4, 2.6)
@@ -108,7 +108,7 @@
 
 
 class Reports(Base, frozen=True, kw_only=True):
-    """`[reports]`: how late and how rough load reports are."""
+    """`[reports]`: period, delay, noise and cost of load reports."""
 
     period_ms: float = 900
     delay_ms: float = 340
@@ -117,14 +117,14 @@
 
 
 class Discovery(Base, frozen=True, kw_only=True):
-    """`[discovery]`: how late and how loaded discovery is."""
+    """`[discovery]`: update delay and capacity of discovery."""
 
     notice_s: Range = (2.5, 4.9)
-    capacity: float = 30.0  # calls a second, served in turn; 0: at once
+    capacity: float = 30.0  # calls per second, served one at a time; 0: unlimited
     timeout_ms: float = 1000
-    dead_calls_cost: bool = False  # a call that has failed for waiting still takes its turn
-    lines_per_call: int = 0  # so many lines of a whole list take as long as a call; 0: none
-    watches_go_on: bool = False  # a watch asked for anew within 200 ms takes no turn
+    dead_calls_cost: bool = False  # a call that timed out in the queue still uses capacity
+    lines_per_call: int = 0  # entries of a complete list that cost as much as one call; 0: they cost nothing
+    watches_go_on: bool = False  # a watch renewed within 200 ms of the previous answer uses no capacity
 
 
 class Rules(Base, frozen=True, kw_only=True):
@@ -134,8 +134,8 @@
     ask_within_s: float = 10
     fall_multiple: float = 3.0
     fall_ms: float = 3000
-    cold_from: float = 0.13  # what dispatchers are told: no node starts lower,
-    cold_s: float = 24.0  # or takes longer
+    cold_from: float = 0.13  # lower bound of the initial capacity of nodes, sent to dispatchers
+    cold_s: float = 24.0  # upper bound of the warm-up time, sent to dispatchers
     answer_slack_ms: float = 8
     max_attempts: int = 4
     second_copies: bool = True
@@ -151,7 +151,7 @@
 
 
 class Retries(Base, frozen=True, kw_only=True):
-    """As the operator's file has them in `[limits]`."""
+    """`[retries]`: the retry limits, as in `[limits]` of the operator's file."""
 
     retries: Literal["free", "budget"] = "free"
     retry_share: float = 0.2
@@ -160,13 +160,13 @@
 
 
 class Limits(Base, frozen=True, kw_only=True):
-    """What a live dispatcher process has."""
+    """`[limits]`: resources of a live dispatcher process."""
 
     memory_mb: float = 192
     sockets: int = 1024
 
 
-What = Literal[
+EventName = Literal[
     "slow",
     "quick_failures",
     "neighbour",
@@ -192,8 +192,8 @@
     "reload_dispatcher",
     "surge",
 ]
-# What each kind of event means by `size` and `extra`, and whether it needs `for_s`.
-NEEDS_LENGTH = frozenset(
+# Events that need a duration (`for_s`).
+NEEDS_DURATION = frozenset(
     (
         "slow",
         "quick_failures",
@@ -215,18 +215,21 @@
 
 
 class Event(Base, frozen=True, kw_only=True):
-    """One thing that happens. `nodes` names them; else `part` of all (those of `zone`, if given) are drawn."""
+    """`[[event]]`: a fault or change during the run.
+
+    `nodes` names the nodes affected; without it, a share `part` of the running nodes (of `zone`, if given) is drawn.
+    """
 
     at_s: float
-    what: What
+    what: EventName
     for_s: float = 0.0
-    size: float = 1.0  # times slower; share that fails; share taken; seconds late; times the work; times
-    extra: float = 0.0  # neighbour: seconds on or off; heavy_tail: share of the class; replace: seconds away
+    size: float = 1.0  # by event: slowdown factor; share that fails; share of CPU; delay in seconds; multiplier
+    extra: float = 0.0  # neighbour: seconds on or off; heavy_tail: share of the class; replace_node: delay in s
     part: float = 0.0
     nodes: tuple[str, ...] = ()
     zone: str = ""
     cls: str = msgspec.field(default="", name="class")
-    dispatcher: int = -1  # -1: all of them, one after another where that matters
+    dispatcher: int = -1  # -1: all; a restart takes them one after another
 
 
 ZONES = (
@@ -281,7 +284,7 @@
 
 
 class Scenario(Base, frozen=True, kw_only=True):
-    """A whole scenario file."""
+    """A complete scenario file."""
 
     name: str
     about: str = ""
@@ -300,92 +303,126 @@
     limits: Limits = Limits()
     retries: Retries = Retries()
     front_notice_s: Range = (1.3, 3.9)
-    start_s: float = 0.7  # how long a dispatcher takes to start again
+    start_s: float = 0.7  # time that a dispatcher takes to restart
     event: tuple[Event, ...] = ()
 
     @property
     def nodes(self) -> int:
-        """Nodes in all zones."""
-        return sum(h.nodes for h in self.zone)
+        """Number of nodes in all zones."""
+        return sum(zone.nodes for zone in self.zone)
 
     @property
     def dispatchers(self) -> int:
-        """Dispatchers in all zones."""
-        return sum(h.dispatchers for h in self.zone)
+        """Number of dispatchers in all zones."""
+        return sum(zone.dispatchers for zone in self.zone)
 
 
 def load(path: Path) -> Scenario:
-    """The scenario of a file, checked. Raises ScenarioError."""
+    """Load and validate a scenario file. Raises ScenarioError."""
     scenario = toml_files.decode(path, Scenario, ScenarioError)
     problem = _problem(scenario)
     if problem:
         raise ScenarioError(f"{path}: {problem}")
     if scenario.load.shape == "trace":
-        rows(scenario, path.parent)
+        trace_rows(scenario, path.parent)
     return scenario
 
 
-def _problem(s: Scenario) -> str | None:
-    """What cannot be, as `field: reason`."""
+def _problem(scenario: Scenario) -> str | None:
+    """Return the first invalid field as `field: reason`, or None."""
     checks: list[tuple[bool, str, str]] = [
-        (0 < s.length_s <= LONGEST, "length_s", f"must be above 0 and at most {LONGEST:.0f}"),
-        (s.rack >= 1, "rack", "must be 1 or more"),
-        (0 < s.nodes <= MOST_NODES, "zone", f"nodes together must be 1 to {MOST_NODES}"),
-        (0 < s.dispatchers <= MOST_DISPATCHERS, "zone", f"dispatchers together must be 1 to {MOST_DISPATCHERS}"),
-        (sum(h.traffic for h in s.zone) > 0, "zone", "traffic must be above 0 together"),
-        (sum(k.share for k in s.kind) > 0, "kind", "share must be above 0 together"),
-        (sum(c.share for c in s.cls) > 0, "class", "share must be above 0 together"),
-        (s.load.level >= 0 and s.load.rate_per_s >= 0, "load", "must not be negative"),
-        (s.load.shape != "trace" or bool(s.load.trace), "load.trace", "a trace needs a file"),
-        (0 <= s.load.swing <= 1, "load.swing", "must be 0 to 1"),
-        (s.load.period_s > 0, "load.period_s", "must be above 0"),
-        (0 < s.rules.cold_from <= 1, "rules.cold_from", "must be above 0 and at most 1"),
-        (s.rules.max_attempts >= 1, "rules.max_attempts", "must be 1 or more"),
-        (s.limits.sockets >= 64, "limits.sockets", "must be 64 or more"),
+        (0 < scenario.length_s <= MAX_LENGTH_S, "length_s", f"must be above 0 and at most {MAX_LENGTH_S:.0f}"),
+        (scenario.rack >= 1, "rack", "must be 1 or more"),
+        (0 < scenario.nodes <= MAX_NODES, "zone", f"the total number of nodes must be 1 to {MAX_NODES}"),
+        (
+            0 < scenario.dispatchers <= MAX_DISPATCHERS,
+            "zone",
+            f"the total number of dispatchers must be 1 to {MAX_DISPATCHERS}",
+        ),
+        (sum(zone.traffic for zone in scenario.zone) > 0, "zone", "total traffic must be above 0"),
+        (sum(kind.share for kind in scenario.kind) > 0, "kind", "total share must be above 0"),
+        (sum(cls.share for cls in scenario.cls) > 0, "class", "total share must be above 0"),
+        (scenario.load.level >= 0 and scenario.load.rate_per_s >= 0, "load", "must not be negative"),
+        (
+            scenario.load.shape != "trace" or bool(scenario.load.trace),
+            "load.trace",
+            "must name a file if shape is trace",
+        ),
+        (0 <= scenario.load.swing <= 1, "load.swing", "must be 0 to 1"),
+        (scenario.load.period_s > 0, "load.period_s", "must be above 0"),
+        (0 < scenario.rules.cold_from <= 1, "rules.cold_from", "must be above 0 and at most 1"),
+        (scenario.rules.max_attempts >= 1, "rules.max_attempts", "must be 1 or more"),
+        (scenario.limits.sockets >= 64, "limits.sockets", "must be 64 or more"),
         (
-            s.retries.retry_share >= 0 and s.retries.retry_least >= 0 and s.retries.retry_window_s > 0,
+            scenario.retries.retry_share >= 0
+            and scenario.retries.retry_least >= 0
+            and scenario.retries.retry_window_s > 0,
             "retries",
-            "must not be negative",
+            "shares and counts must not be negative, retry_window_s must be above 0",
         ),
-        (s.clients.retries >= 0, "clients.retries", "must not be negative"),
-        (s.reports.period_ms > 0, "reports.period_ms", "must be above 0"),
+        (scenario.clients.retries >= 0, "clients.retries", "must not be negative"),
+        (scenario.reports.period_ms > 0, "reports.period_ms", "must be above 0"),
     ]
-    for n, h in enumerate(s.zone):
+    for index, zone in enumerate(scenario.zone):
         checks += [
-            (h.nodes >= 0 and h.dispatchers >= 0 and h.traffic >= 0, f"zone[{n}]", "must not be negative"),
-            (not h.traffic or h.dispatchers > 0, f"zone[{n}].dispatchers", "a zone with traffic needs one"),
+            (zone.nodes >= 0 and zone.dispatchers >= 0 and zone.traffic >= 0, f"zone[{index}]", "must not be negative"),
+            (
+                not zone.traffic or zone.dispatchers > 0,
+                f"zone[{index}].dispatchers",
+                "must be above 0 in a zone with traffic",
+            ),
         ]
-    for n, k in enumerate(s.kind):
+    for index, kind in enumerate(scenario.kind):
         checks += [
-            (k.cores >= 1, f"kind[{n}].cores", "must be 1 or more"),
-            (0 < k.speed[0] <= k.speed[1], f"kind[{n}].speed", "must rise from above 0"),
-            (0 < k.cold_from <= 1, f"kind[{n}].cold_from", "must be above 0 and at most 1"),
+            (kind.cores >= 1, f"kind[{index}].cores", "must be 1 or more"),
+            (
+                0 < kind.speed[0] <= kind.speed[1],
+                f"kind[{index}].speed",
+                "must be a range above 0, the lower value first",
+            ),
+            (0 < kind.cold_from <= 1, f"kind[{index}].cold_from", "must be above 0 and at most 1"),
         ]
-    for n, c in enumerate(s.cls):
+    for index, cls in enumerate(scenario.cls):
         checks += [
-            (0 < c.work_ms[0] <= c.work_ms[1], f"class[{n}].work_ms", "must rise from above 0"),
-            (c.deadline_ms > 0, f"class[{n}].deadline_ms", "must be above 0"),
-            (c.aim_ms > 0, f"class[{n}].aim_ms", "must be above 0"),
-            (sum(c.slots) > 0, f"class[{n}].slots", "shares must be above 0 together"),
+            (
+                0 < cls.work_ms[0] <= cls.work_ms[1],
+                f"class[{index}].work_ms",
+                "must be a range above 0, the lower value first",
+            ),
+            (cls.deadline_ms > 0, f"class[{index}].deadline_ms", "must be above 0"),
+            (cls.aim_ms > 0, f"class[{index}].aim_ms", "must be above 0"),
+            (sum(cls.slots) > 0, f"class[{index}].slots", "the sum of the shares must be above 0"),
         ]
-    zones, classes = [h.name for h in s.zone], [c.name for c in s.cls]
-    for n, e in enumerate(s.event):
-        at = f"event[{n}]"
+    zones, classes = [zone.name for zone in scenario.zone], [cls.name for cls in scenario.cls]
+    for index, event in enumerate(scenario.event):
+        field = f"event[{index}]"
         checks += [
-            (0 <= e.at_s <= s.length_s, f"{at}.at_s", "must lie within the run"),
-            (e.what not in NEEDS_LENGTH or e.for_s > 0, f"{at}.for_s", f"{e.what} needs a length"),
-            (not e.zone or e.zone in zones, f"{at}.zone", f"no such zone: {e.zone!r}"),
-            (not e.cls or e.cls in classes, f"{at}.class", f"no such class: {e.cls!r}"),
-            (e.what != "heavy_tail" or e.cls in classes, f"{at}.class", "heavy_tail needs a class"),
-            (e.what != "zone_outage" or e.zone in zones, f"{at}.zone", "zone_outage needs a zone"),
-            (e.what not in ("slow", "heavy_tail", "link_slow", "surge") or e.size > 0, f"{at}.size", "must be above 0"),
-            (0 <= e.part <= 1, f"{at}.part", "must be 0 to 1"),
-            (e.dispatcher < s.dispatchers, f"{at}.dispatcher", "no such dispatcher"),
+            (
+                0 <= event.at_s <= scenario.length_s,
+                f"{field}.at_s",
+                f"must be 0 to {scenario.length_s:g}, the length of the run",
+            ),
+            (
+                event.what not in NEEDS_DURATION or event.for_s > 0,
+                f"{field}.for_s",
+                f"{event.what} needs a duration above 0",
+            ),
+            (not event.zone or event.zone in zones, f"{field}.zone", f"no such zone: {event.zone!r}"),
+            (not event.cls or event.cls in classes, f"{field}.class", f"no such class: {event.cls!r}"),
+            (event.what != "heavy_tail" or event.cls in classes, f"{field}.class", "heavy_tail needs a class"),
+            (event.what != "zone_outage" or event.zone in zones, f"{field}.zone", "zone_outage needs a zone"),
+            (
+                event.what not in ("slow", "heavy_tail", "link_slow", "surge") or event.size > 0,
+                f"{field}.size",
+                "must be above 0",
+            ),
+            (0 <= event.part <= 1, f"{field}.part", "must be 0 to 1"),
+            (event.dispatcher < scenario.dispatchers, f"{field}.dispatcher", "no such dispatcher"),
         ]
-    return next((f"{field}: {why}" for ok, field, why in checks if not ok), None)
+    return next((f"{field}: {reason}" for is_valid, field, reason in checks if not is_valid), None)
 
 
-def rows(scenario: Scenario, folder: Path) -> list[TraceRow]:
-    """The arrivals of a trace, in the order of time. Raises ScenarioError."""
-    classes, zones = {c.name for c in scenario.cls}, {z.name for z in scenario.zone}
+def trace_rows(scenario: Scenario, folder: Path) -> list[TraceRow]:
+    """Read the arrivals of the scenario's trace, sorted by time. Raises ScenarioError."""
+    classes, zones = {cls.name for cls in scenario.cls}, {z.name for z in scenario.zone}
     return traces.read(folder / scenario.load.trace, classes, zones)
--- a/badgerroad/emulator/scenario_events.py
+++ b/badgerroad/emulator/scenario_events.py
@@ -1,4 +1,4 @@
-"""The events of a scenario: what goes wrong with nodes, network, discovery and dispatchers, and when it ends."""
+"""Plays the events of a scenario: faults of nodes, network, discovery and dispatchers, and their ends."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 from badgerroad.emulator.model.registry import Registry
 from badgerroad.emulator.tier import Tier
 
-NEW_RACK = 9_000
-"""The rack of nodes that join while a scenario runs."""
+NEW_NODE_CELL = 9_000
+"""The cell of nodes that join during a run."""
 
 
 class EventWorld(Protocol):
-    """What the events change; `world.World` is the one there is."""
+    """The part of the simulation environment that events use; `world.World` implements it."""
 
     kernel: Kernel
     nodes: list[RenderNode]
     by_name: dict[str, RenderNode]
     zones: list[str]
-    home: list[int]
+    dispatcher_zones: list[int]
     network: Network
     registry: Registry
     clients: Clients
     tier: Tier
     scenario: sc.Scenario
 
-    def note(self, what: str, /, **more: Any) -> None:
-        """Write an event to the trace, if there is one."""
+    def trace_event(self, event_name: str, /, **fields: Any) -> None:
+        """Write an event to the trace, if tracing is on."""
 
-    def add_node(self, zone: int, draw: Draws, rack: int, cold: bool = False) -> RenderNode:
-        """A new node, which is not listed yet."""
+    def add_node(self, zone: int, draws: Draws, cell: int, cold: bool = False) -> RenderNode:
+        """Create a node; one that is `cold` is not listed yet."""
 
-    def dispatcher_dies(self, number: int) -> None:
-        """A dispatcher is killed."""
+    def kill_dispatcher(self, number: int) -> None:
+        """Kill a dispatcher."""
 
     def stop_dispatcher(self, number: int) -> None:
-        """A dispatcher gets SIGTERM."""
+        """Stop a dispatcher with SIGTERM and start it again."""
 
 
 class ScenarioEvents:
-    """Plays the events of a scenario on its world, each by the table of its kind."""
+    """Plays the events of a scenario on the simulation environment."""
 
     def __init__(self, world: EventWorld, draws: Draws) -> None:
-        """`draws`: chooses the nodes that an event meets."""
+        """`draws`: random stream that selects the nodes of an event."""
         self._world = world
         self._draws = draws
         self._node_events: dict[str, Callable[[sc.Event, RenderNode, int], None]] = {
@@ -56,13 +56,13 @@
             "quick_failures": self._quick_failures,
             "neighbour": self._begin_neighbour,
             "late_reports": self._late_reports,
-            "pause": lambda _event, node, length: node.pause(length),
-            "silence": lambda _event, node, length: node.silence(length),
-            "kill_node": lambda _event, node, _length: node.kill(),
-            "restart_node": lambda _event, node, length: self._restart(node, length or SEC),
+            "pause": lambda _event, node, duration: node.pause(duration),
+            "silence": lambda _event, node, duration: node.silence(duration),
+            "kill_node": lambda _event, node, _duration: node.kill(),
+            "restart_node": lambda _event, node, duration: self._restart(node, duration or SEC),
             "drain_node": self._drain_node,
             "replace_node": self._replace_node,
-            "reset": lambda _event, node, _length: self._world.tier.reset(node),
+            "reset": lambda _event, node, _duration: self._world.tier.reset(node),
         }
         self._world_events: dict[str, Callable[[sc.Event, int], None]] = {
             "add_node": self._add_nodes,
@@ -80,133 +80,135 @@
             "reload_dispatcher": self._reload_dispatchers,
         }
 
-    def _picked(self, event: sc.Event) -> list[RenderNode]:
+    def _select_nodes(self, event: sc.Event) -> list[RenderNode]:
         if event.nodes:
             return [self._world.by_name[n] for n in event.nodes if n in self._world.by_name]
-        pool = [
+        candidates = [
             n for n in self._world.nodes if n.up and (not event.zone or n.zone == self._world.zones.index(event.zone))
         ]
-        count = max(round(event.part * len(pool)), 1) if event.part else 1
-        return [pool[k] for k in self._draws.choose(count, len(pool))] if pool else []
+        count = max(round(event.part * len(candidates)), 1) if event.part else 1
+        return [candidates[k] for k in self._draws.choose(count, len(candidates))] if candidates else []
 
     def play(self, event: sc.Event) -> None:
-        """Play one event of the scenario, by the table of its kind."""
-        self._world.note("event", what=event.what, size=event.size)
-        length = int(event.for_s * SEC)
+        """Play one event, once per selected node if it is an event of nodes."""
+        self._world.trace_event("event", what=event.what, size=event.size)
+        duration = int(event.for_s * SEC)
         if event.what in self._node_events:
-            for node in self._picked(event):
-                self._node_events[event.what](event, node, length)
+            for node in self._select_nodes(event):
+                self._node_events[event.what](event, node, duration)
         else:
-            self._world_events[event.what](event, length)
+            self._world_events[event.what](event, duration)
 
-    def _add_nodes(self, event: sc.Event, _length: int) -> None:
+    def _add_nodes(self, event: sc.Event, _duration: int) -> None:
         zone = self._world.zones.index(event.zone) if event.zone else 0
         for _ in range(max(int(event.size), 1)):
-            self._join(zone)
+            self._add_cold_node(zone)
 
-    def _heavy_tail(self, event: sc.Event, length: int) -> None:
+    def _heavy_tail(self, event: sc.Event, duration: int) -> None:
         cls = [c.name for c in self._world.scenario.cls].index(event.cls)
-        self._world.clients.heavy[cls] = (event.extra or 0.01, event.size)
-        self._world.kernel.after(length, self._world.clients.heavy.pop, cls, None)
+        self._world.clients.heavy_tails[cls] = (event.extra or 0.01, event.size)
+        self._world.kernel.after(duration, self._world.clients.heavy_tails.pop, cls, None)
 
-    def _surge(self, event: sc.Event, length: int) -> None:
+    def _surge(self, event: sc.Event, duration: int) -> None:
         self._world.clients.surge = event.size
-        self._world.kernel.after(length, setattr, self._world.clients, "surge", 1.0)
+        self._world.kernel.after(duration, setattr, self._world.clients, "surge", 1.0)
 
-    def _slow_links(self, event: sc.Event, length: int) -> None:
+    def _slow_links(self, event: sc.Event, duration: int) -> None:
         for a, b in self._links(event):
             self._world.network.slow(a, b, event.size)
-            self._world.kernel.after(length, self._world.network.slow, a, b, 1.0)
+            self._world.kernel.after(duration, self._world.network.slow, a, b, 1.0)
 
-    def _one_way_cut(self, event: sc.Event, length: int) -> None:
+    def _one_way_cut(self, event: sc.Event, duration: int) -> None:
         for a, b in self._links(event):
-            self._cut(a, b, length)
+            self._cut(a, b, duration)
 
-    def _partition(self, event: sc.Event, length: int) -> None:
+    def _partition(self, event: sc.Event, duration: int) -> None:
         for a, b in self._links(event):
-            self._cut(a, b, length)
-            self._cut(b, a, length)
+            self._cut(a, b, duration)
+            self._cut(b, a, duration)
 
-    def _zone_outage(self, event: sc.Event, length: int) -> None:
+    def _zone_outage(self, event: sc.Event, duration: int) -> None:
         for node in [n for n in self._world.nodes if n.up and n.zone == self._world.zones.index(event.zone)]:
-            self._restart(node, length)
+            self._restart(node, duration)
 
-    def _discovery_down(self, _event: sc.Event, length: int) -> None:
-        self._world.registry.outage(True)
-        self._world.kernel.after(length, self._world.registry.outage, False)
+    def _discovery_down(self, _event: sc.Event, duration: int) -> None:
+        self._world.registry.set_down(True)
+        self._world.kernel.after(duration, self._world.registry.set_down, False)
 
-    def _discovery_silent(self, _event: sc.Event, length: int) -> None:
-        self._world.registry.mute(True)
-        self._world.kernel.after(length, self._world.registry.mute, False)
+    def _discovery_silent(self, _event: sc.Event, duration: int) -> None:
+        self._world.registry.set_silent(True)
+        self._world.kernel.after(duration, self._world.registry.set_silent, False)
 
     def _links(self, event: sc.Event) -> list[tuple[int, int]]:
         n = len(self._world.zones)
         pairs = [(a, b) for a in range(n) for b in range(a + 1, n)]
         return [p for p in pairs if not event.zone or self._world.zones.index(event.zone) in p]
 
-    def _cut(self, a: int, b: int, length: int) -> None:
+    def _cut(self, a: int, b: int, duration: int) -> None:
         self._world.network.cut(a, b, True)
-        self._world.kernel.after(length, self._world.network.cut, a, b, False)
+        self._world.kernel.after(duration, self._world.network.cut, a, b, False)
 
-    def _slow_node(self, event: sc.Event, node: RenderNode, length: int) -> None:
-        node.trouble(slowness=event.size)
-        self._world.kernel.after(length, node.trouble, 1.0)
+    def _slow_node(self, event: sc.Event, node: RenderNode, duration: int) -> None:
+        node.set_faults(slowdown=event.size)
+        self._world.kernel.after(duration, node.set_faults, 1.0)
 
-    def _quick_failures(self, event: sc.Event, node: RenderNode, length: int) -> None:
-        node.trouble(error_share=min(event.size, 1.0))
-        self._world.kernel.after(length, node.trouble, None, None, 0.0)
+    def _quick_failures(self, event: sc.Event, node: RenderNode, duration: int) -> None:
+        node.set_faults(error_share=min(event.size, 1.0))
+        self._world.kernel.after(duration, node.set_faults, None, None, 0.0)
 
-    def _begin_neighbour(self, event: sc.Event, node: RenderNode, length: int) -> None:
+    def _begin_neighbour(self, event: sc.Event, node: RenderNode, duration: int) -> None:
         period = int((event.extra or 3) * SEC)
-        self._neighbour(node, min(event.size, 0.95), period, self._world.kernel.now + length, True)
+        self._toggle_neighbour(node, min(event.size, 0.95), period, self._world.kernel.now + duration, True)
 
-    def _late_reports(self, event: sc.Event, node: RenderNode, length: int) -> None:
-        node.trouble(late=int(event.size * SEC))
-        self._world.kernel.after(length, node.trouble, None, None, None, 0)
+    def _late_reports(self, event: sc.Event, node: RenderNode, duration: int) -> None:
+        node.set_faults(extra_report_delay=int(event.size * SEC))
+        self._world.kernel.after(duration, node.set_faults, None, None, None, 0)
 
-    def _drain_node(self, _event: sc.Event, node: RenderNode, length: int) -> None:
+    def _drain_node(self, _event: sc.Event, node: RenderNode, duration: int) -> None:
         node.drain()
-        if length:
-            self._world.kernel.after(length, self._restart, node, SEC)
+        if duration:
+            self._world.kernel.after(duration, self._restart, node, SEC)
 
-    def _replace_node(self, event: sc.Event, node: RenderNode, _length: int) -> None:
+    def _replace_node(self, event: sc.Event, node: RenderNode, _duration: int) -> None:
         node.kill()
-        self._world.kernel.after(int((event.extra or 2) * SEC), self._join, node.zone)
+        self._world.kernel.after(int((event.extra or 2) * SEC), self._add_cold_node, node.zone)
 
-    def _neighbour(self, node: RenderNode, size: float, period: int, until: int, on: bool) -> None:
+    def _toggle_neighbour(self, node: RenderNode, size: float, period: int, until: int, active: bool) -> None:
         now = self._world.kernel.now
-        node.trouble(taken=size if on and now < until else 0.0)
+        node.set_faults(cpu_stolen=size if active and now < until else 0.0)
         if now < until:
-            self._world.kernel.at(min(now + period, until), self._neighbour, node, size, period, until, not on)
+            self._world.kernel.at(
+                min(now + period, until), self._toggle_neighbour, node, size, period, until, not active
+            )
 
-    def _restart(self, node: RenderNode, away: int) -> None:
+    def _restart(self, node: RenderNode, downtime: int) -> None:
         node.kill()
-        self._world.kernel.after(away, node.start)
+        self._world.kernel.after(downtime, node.start)
 
-    def _join(self, zone: int) -> None:
-        """A new machine, cold."""
-        node = self._world.add_node(zone, self._draws, NEW_RACK, cold=True)
-        node.up, node.fallen = False, False
+    def _add_cold_node(self, zone: int) -> None:
+        """Add a new node that starts cold."""
+        node = self._world.add_node(zone, self._draws, NEW_NODE_CELL, cold=True)
+        node.up, node.collapsed = False, False
         node.start()
 
-    def _each_dispatcher(self, event: sc.Event) -> list[int]:
-        return [event.dispatcher] if event.dispatcher >= 0 else list(range(len(self._world.home)))
+    def _selected_dispatchers(self, event: sc.Event) -> list[int]:
+        return [event.dispatcher] if event.dispatcher >= 0 else list(range(len(self._world.dispatcher_zones)))
 
-    def _kill_dispatchers(self, event: sc.Event, length: int) -> None:
-        for number in self._each_dispatcher(event):
-            self._world.dispatcher_dies(number)
-            self._world.kernel.after(self._world.scenario.start_s * SEC + length, self._world.tier.start, number)
+    def _kill_dispatchers(self, event: sc.Event, duration: int) -> None:
+        for number in self._selected_dispatchers(event):
+            self._world.kill_dispatcher(number)
+            self._world.kernel.after(self._world.scenario.start_s * SEC + duration, self._world.tier.start, number)
 
-    def _restart_dispatchers(self, event: sc.Event, length: int) -> None:
-        """One after another, as operators roll a change out."""
-        for turn, number in enumerate(self._each_dispatcher(event)):
-            self._world.kernel.after(turn * max(length, 5 * SEC), self._world.stop_dispatcher, number)
+    def _restart_dispatchers(self, event: sc.Event, duration: int) -> None:
+        """Restart the dispatchers one after another, as in a rolling update."""
+        for order, number in enumerate(self._selected_dispatchers(event)):
+            self._world.kernel.after(order * max(duration, 5 * SEC), self._world.stop_dispatcher, number)
 
-    def _freeze_dispatchers(self, event: sc.Event, length: int) -> None:
-        for number in self._each_dispatcher(event):
+    def _freeze_dispatchers(self, event: sc.Event, duration: int) -> None:
+        for number in self._selected_dispatchers(event):
             self._world.tier.freeze(number, True)
-            self._world.kernel.after(length, self._world.tier.freeze, number, False)
+            self._world.kernel.after(duration, self._world.tier.freeze, number, False)
 
-    def _reload_dispatchers(self, event: sc.Event, _length: int) -> None:
-        for number in self._each_dispatcher(event):
+    def _reload_dispatchers(self, event: sc.Event, _duration: int) -> None:
+        for number in self._selected_dispatchers(event):
             self._world.tier.reload(number)
--- a/badgerroad/emulator/tier.py
+++ b/badgerroad/emulator/tier.py
@@ -1,4 +1,4 @@
-"""What a world needs of its dispatchers, however they run: virtual machines, or processes behind sockets."""
+"""Interface between the simulation environment and its dispatchers, virtual or live."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 
 class Tier(Transport, Protocol):
-    """The dispatchers, however they run."""
+    """The dispatchers of a run: virtual machines, or processes reached over sockets."""
 
-    def tell(self, node: RenderNode, job: Job, state: str, share: float) -> None:
-        """Carry a call-back to the dispatcher of the job."""
+    def send_job_event(self, node: RenderNode, job: Job, state: str, share: float) -> None:
+        """Send a job event to the dispatcher of the job."""
 
     def node_gone(self, node: RenderNode) -> None:
-        """A node's process has died: its connections break."""
+        """Break the connections of a node whose process has ended."""
 
     def reset(self, node: RenderNode) -> None:
-        """All connections to a node break, as when a box between them loses its state; the node runs on."""
+        """Break all connections to a node, as a middlebox that loses its state does; the node continues to run."""
 
     def start(self, number: int) -> None:
         """Start a dispatcher."""
 
     def kill(self, number: int) -> None:
-        """SIGKILL."""
+        """Kill a dispatcher (SIGKILL)."""
 
     def stop(self, number: int) -> None:
-        """SIGTERM."""
+        """Stop a dispatcher gracefully (SIGTERM)."""
 
     def freeze(self, number: int, on: bool) -> None:
-        """SIGSTOP, SIGCONT."""
+        """Freeze or resume a dispatcher (SIGSTOP, SIGCONT)."""
 
     def reload(self, number: int) -> None:
-        """SIGHUP."""
+        """Make a dispatcher reload its configuration (SIGHUP)."""
 
     def is_up(self, number: int) -> bool:
-        """Whether the dispatcher runs."""
+        """Whether a dispatcher is running."""
 
 
 Trace = Callable[[int, str, dict[str, Any]], None]
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -1,4 +1,4 @@
-"""The model: discovery, network, referee, scenarios; and the same bytes for one seed."""
+"""The emulator in virtual time: discovery, network faults, rule checker, scenarios and reproducible results."""
 
 import hashlib
 import os
@@ -19,32 +19,32 @@
 MS = 1000
 
 
-def line(node, state="ready", since=0):
-    return Entry(node, state, since, 0, 0, 0, 1.0)
+def list_entry(node, state="ready", started_at=0):
+    return Entry(node, state, started_at, 0, 0, 0, 1.0)
 
 
-def test_watches_end_with_changes_and_far_ones_with_the_whole_list():
+def test_watch_returns_the_changes_or_the_complete_list_if_they_are_no_longer_kept():
     kernel, got = Kernel(), []
     r = Registry(kernel, Draws(1, "d"), (1.0, 1.0), 0, SEC)
-    r.put(line("a"))
+    r.update(list_entry("a"))
     r.call(0, r.version, 5 * SEC, got.append)
-    r.noticed(line("b"))
+    r.update_later(list_entry("b"))
     kernel.run(SEC)
-    assert not got[0].whole
+    assert not got[0].complete
     assert [e.node for e in got[0].entries] == ["b"]
     r.call(0, r.version, 2 * SEC, got.append)
     kernel.run(10 * SEC)
     assert got[1].entries == ()
-    assert not got[1].whole
+    assert not got[1].complete
     for n in range(600):
-        r.put(line(f"n{n}"))
+        r.update(list_entry(f"n{n}"))
     r.call(0, 2, 0, got.append)
     kernel.run(11 * SEC)
-    assert got[2].whole
+    assert got[2].complete
     assert len(got[2].entries) == 602
 
 
-def test_calls_wait_in_turn_fail_when_too_long_and_an_outage_ends_watches():
+def test_discovery_calls_queue_time_out_and_watches_fail_when_discovery_goes_down():
     kernel, got = Kernel(), []
     r = Registry(kernel, Draws(1, "d"), (1, 1), 2.0, SEC)
     for n in range(5):
@@ -53,30 +53,30 @@
     assert got == [(500, 0, True), (1000, 1, True), (1000, 3, False), (1000, 4, False), (1500, 2, True)]
     r.call(0, r.version, 5 * SEC, got.append)
     kernel.run(6 * SEC)
-    r.outage(True)
+    r.set_down(True)
     assert got[-1] is None
-    r.outage(False)
-    r.mute(True)
+    r.set_down(False)
+    r.set_silent(True)
     r.call(0, None, 0, got.append)
     kernel.run(20 * SEC)
     assert len(got) == 6
 
 
-def play(name, seed=1, policy="heathcrank", trace=None):
+def run_example(name, seed=1, policy="heathcrank", trace=None):
     s = sc.load(EXAMPLES / f"{name}.toml")
     return virtual.run(s, seed, EXAMPLES, POLICIES[policy], trace)
 
 
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*.toml")), ids=lambda p: p.stem)
-def test_every_shipped_scenario_keeps_the_rules_and_serves(path):
-    r = play(path.stem)
+def test_every_example_scenario_runs_without_violations(path):
+    r = run_example(path.stem)
     assert r.breaches == []
     assert r.worth > 0.7
     assert r.little == pytest.approx(1.0, abs=1e-3)
     assert sum(c.asked for c in r.classes.values()) == r.served + r.refused + r.failed
 
 
-def test_one_seed_gives_the_same_bytes_whatever_the_hash_seed():
+def test_same_seed_gives_the_same_report_with_any_hash_seed():
     code = (
         "import sys; from pathlib import Path; from badgerroad.emulator import scenario, virtual;"
         "p = Path(sys.argv[1]);"
@@ -93,33 +93,33 @@
     ]
     assert len({hashlib.sha256(o).digest() for o in outs}) == 1
     assert outs[0]
-    assert play("incident", 8).bytes() != outs[0]
+    assert run_example("incident", 8).bytes() != outs[0]
 
 
-def test_a_naive_policy_breaks_the_rules_and_the_referee_sees_each():
+def test_naive_policy_violates_rules_2_3_and_4():
     broken = set()
     for seed in (1, 2, 3):
         for name in ("cold_node", "discovery_outage", "zone_outage"):
-            broken |= set(play(name, seed, "naive").breaches_by_rule)
+            broken |= set(run_example(name, seed, "naive").breaches_by_rule)
     assert broken >= {"2", "3", "4"}
 
 
-def test_a_fresh_node_falls_under_a_policy_that_aims_at_it_and_not_under_ours():
-    falls = {p: sum(play("cold_node", seed, p).falls for seed in (1, 2, 3)) for p in ("naive", "heathcrank")}
+def test_new_node_collapses_under_the_naive_policy_but_not_under_the_default_one():
+    falls = {p: sum(run_example("cold_node", seed, p).falls for seed in (1, 2, 3)) for p in ("naive", "heathcrank")}
     assert falls["heathcrank"] == 0 < falls["naive"]
 
 
-def test_a_replayed_heavy_spell_is_the_same_spell():
+def test_heavy_tail_event_is_reproducible():
     logs = []
     for _ in range(2):
         log = []
-        play("heavy_tail", 3, trace=lambda t, what, more, log=log: log.append((t, what, tuple(more.items()))))
+        run_example("heavy_tail", 3, trace=lambda t, what, more, log=log: log.append((t, what, tuple(more.items()))))
         logs.append(log)
     assert logs[0] == logs[1]
     assert any(what == "event" for _, what, _ in logs[0])
 
 
-def test_a_dispatcher_killed_with_jobs_out_loses_only_its_own_and_no_key_runs_twice():
+def test_killed_dispatcher_with_open_jobs_causes_no_violation():
     s = sc.load(EXAMPLES / "calm.toml")
     import msgspec
 
@@ -129,7 +129,7 @@
     assert sum(c.lost for c in r.classes.values()) + r.tries - r.jobs > 0
 
 
-def test_broken_connections_and_cut_links_break_no_rule_and_cost_little():
+def test_broken_connections_and_cut_links_cause_no_violation_and_little_loss():
     import msgspec
 
     hurt = [sc.Event(at_s=0.5 * n, what="reset", nodes=(f"n{n % 13:04}",)) for n in range(38)]
@@ -151,19 +151,19 @@
     )
     assert r.breaches == []
     assert r.worth > 0.8
-    assert {"reset", "timeout"} & set(log)  # on the links, something was lost
+    assert {"reset", "timeout"} & set(log)  # some messages were lost on the links
 
 
-def test_a_call_back_may_come_before_the_202_and_counts(monkeypatch):
+def test_job_event_that_arrives_before_the_202_is_handled(monkeypatch):
     events_before_the_202 = []
-    was = virtual.Machine.called_back
+    original_on_job_event = virtual.Machine.on_job_event
 
-    def called_back(self, request, attempt, state, share):
-        events_before_the_202.append(not attempt.accepted and not attempt.over)
-        was(self, request, attempt, state, share)
+    def on_job_event(self, request, attempt, state, share):
+        events_before_the_202.append(not attempt.accepted and not attempt.ended)
+        original_on_job_event(self, request, attempt, state, share)
 
-    monkeypatch.setattr(virtual.Machine, "called_back", called_back)
-    r = play("calm")
+    monkeypatch.setattr(virtual.Machine, "on_job_event", on_job_event)
+    r = run_example("calm")
     assert any(events_before_the_202)
     assert r.breaches == []
     assert r.served == r.jobs
@@ -184,7 +184,7 @@
         ("name = 'x'\n[load]\nshape = 'trace'\ntrace = 't.csv'", "t.csv: line 2"),
     ],
 )
-def test_a_wrong_scenario_is_one_line_that_names_file_and_field(tmp_path, text, field):
+def test_invalid_scenario_is_reported_in_one_line_with_file_and_field(tmp_path, text, field):
     path = tmp_path / "s.toml"
     path.write_text(text)
     (tmp_path / "t.csv").write_text("at_s,class,work_ms\n1,nothing,5\n")
@@ -197,7 +197,7 @@
     assert str(path) in done.stderr or "t.csv" in done.stderr
 
 
-def test_a_trace_is_replayed_as_written(tmp_path):
+def test_trace_is_replayed_as_written(tmp_path):
     (tmp_path / "t.csv").write_text("at_s,class,work_ms,slots,zone\n1.5,issue,300,2,barracas\n0.5,preview,100\n")
     (tmp_path / "s.toml").write_text("name = 'x'\nlength_s = 5\n[load]\nshape = 'trace'\ntrace = 't.csv'\n")
     r = virtual.run(sc.load(tmp_path / "s.toml"), 1, tmp_path)
@@ -205,9 +205,12 @@
     assert {n: c.served for n, c in r.classes.items() if c.asked} == {"preview": 1, "issue": 1}
 
 
-def test_a_fleet_killed_at_once_gets_its_lists_again_and_no_host_pays_for_it():
-    """40 dispatchers, 28 killed: with the whole list asked for by all at once, 320 calls failed and 38 of 40 stayed untold."""
-    c = counts.of(sc.load(EXAMPLES / "fleet.toml"), 1, EXAMPLES)
+def test_dispatchers_killed_together_get_their_lists_again_without_overload():
+    """28 of 40 dispatchers are killed at once.
+
+    When all of them requested the complete list at the same time, 320 calls failed and 38 of 40 dispatchers got no list.
+    """
+    c = counts.count(sc.load(EXAMPLES / "fleet.toml"), 1, EXAMPLES)
     assert (c.untold, c.falls, c.broken) == (0, 0, 0)
     assert c.failed <= 10 < c.calls
     assert c.slowest < 9
@@ -216,8 +219,8 @@
     assert c.connects <= 1.2
 
 
-def test_machines_ask_discovery_as_the_program_does():
-    """The same rules, in virtual time."""
+def test_machines_use_the_watch_schedule_of_the_dispatcher():
+    """Virtual dispatchers must call discovery at the same times as real ones."""
     machine = virtual.VirtualWorld(sc.load(EXAMPLES / "calm.toml"), 1, EXAMPLES, virtual.DispatchPolicy).tier.machines[
         0
     ]
@@ -225,34 +228,35 @@
     assert type(machine.schedule) is type(endpoint_watch.EndpointWatch(None, None, None, ("", 1), None).schedule)
 
 
-def test_discoverys_dead_calls_long_lists_and_watches_that_go_on():
-    def failed(asks, **how):
+def test_cost_of_timed_out_calls_long_lists_and_renewed_watches_at_discovery():
+    def failed(calls, **options):
         kernel, out = Kernel(0), []
-        r = Registry(kernel, Draws(1, "d"), (1.0, 1.0), 2.0, SEC, **how)
+        r = Registry(kernel, Draws(1, "d"), (1.0, 1.0), 2.0, SEC, **options)
         r.entries = {f"n{n}": Entry(f"n{n}", "ready", 0, 0, 0, 0, 1.0) for n in range(20)}
-        for at, dispatcher, index in asks:
+        for at, dispatcher, index in calls:
             kernel.at(int(at * SEC), r.call, dispatcher, index, 0, lambda a, d=dispatcher: out.append((d, a is None)))
         kernel.run(60 * SEC)
         return {d for d, none in out if none}
 
-    # Half a second each: of ten at once three are served within their second; a later one waits only for those, or for all.
+    # Calls take 0.5 s each. Of ten calls at once, three are served within the timeout of 1 s. A later call waits for these
+    # three only, or for all ten if timed-out calls use capacity.
     crowd = [(0.0, n, 1) for n in range(10)] + [(2.0, 10, 1)]
     assert failed(crowd) == set(range(3, 10))
     assert failed(crowd, dead_calls_cost=True) == set(range(3, 11))
-    # A whole list of twenty lines as three calls.
+    # A complete list of 20 entries costs as much as three calls.
     lists = [(0.0, 0, None), (0.0, 1, 1)]
     assert failed(lists) == set()
     assert failed(lists, lines_per_call=10) == {1}
-    # The one that had an answer at 0.5 s goes on, though discovery is busy.
+    # The watch that was answered at 0.5 s is renewed although discovery is busy.
     again = [(0.0, 0, 1), *((0.51, n, 1) for n in range(1, 9)), (0.55, 0, 1)]
     assert 0 in failed(again)
     assert 0 not in failed(again, watches_go_on=True)
 
 
-def test_200_dispatchers_use_the_budget_of_cold_hosts_and_push_none_over(tmp_path):
+def test_200_dispatchers_use_the_slow_start_budget_of_new_nodes_without_a_collapse(tmp_path):
     text = (EXAMPLES / "standing_join.toml").read_text().replace("length_s = 25", "length_s = 16")
     (tmp_path / "s.toml").write_text(text)
-    c = counts.of(sc.load(tmp_path / "s.toml"), 1, tmp_path)
+    c = counts.count(sc.load(tmp_path / "s.toml"), 1, tmp_path)
     assert (c.falls, c.broken) == (0, 0)
     assert c.cold_peak < 0.9
-    assert c.cold_load > 0.03  # 0.011 with parts that only small jobs fitted into
+    assert c.cold_load > 0.03  # 0.011 when each dispatcher's share of the budget had room only for small jobs
