--- a/badgerroad/emulator/live/clock.py
+++ b/badgerroad/emulator/live/clock.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from badgerroad.emulator.model.kernel import Entry, Kernel
+from badgerroad.emulator.model.kernel import Kernel, ScheduledCall
 
 
 class LiveKernel(Kernel):
@@ -38,7 +38,7 @@
         self._zero = time.monotonic_ns() // 1000
         self.turn()
 
-    def at(self, when: int, call: Callable[..., Any], *args: Any) -> Entry:
+    def at(self, when: int, call: Callable[..., Any], *args: Any) -> ScheduledCall:
         """Play `call(*args)` at `when` (microseconds of the run)."""
         entry = super().at(when, call, *args)
         if not self._playing and (self._alarm is None or entry.when < self._alarm_at):
--- a/badgerroad/emulator/live/node_servers.py
+++ b/badgerroad/emulator/live/node_servers.py
@@ -57,7 +57,7 @@
     async def open(self, node: RenderNode) -> None:
         """Its doors, one for each dispatcher; those of a node that is down stay shut."""
         self.connections.setdefault(node.name, set())
-        for d in range(len(self.world.home)):
+        for d in range(len(self.world.dispatcher_zones)):
             at = node.name, d
             if at not in self.doors:
                 self.doors[at] = Door(
@@ -85,7 +85,7 @@
     def _met(self, node: RenderNode, connection: Served) -> bool:
         if not node.connect():
             return False
-        self.world.referee.handshakes += 1
+        self.world.rule_checker.handshakes += 1
         self.connections[node.name].add(connection)
         return True
 
@@ -95,14 +95,14 @@
         carried = connection.hand
         if isinstance(carried, Carried) and not carried.answered:
             carried.answered = True
-            self.world.referee.attempt_over(carried.attempt, False)
+            self.world.rule_checker.attempt_ended(carried.attempt, False)
             if carried.job is not None and node.jobs.get(carried.id) is carried.job:
                 node.cancel(carried.id)  # closed before the 202: given up
 
     def _asked(self, node: RenderNode, dispatcher: int, connection: Served, message: http1.Message, begun: int) -> None:
         if node.silent:
             return
-        home = self.world.home[dispatcher]
+        home = self.world.dispatcher_zones[dispatcher]
         delay = self.world.network.delay(home, node.zone)
         if delay is not None:
             self.kernel.after(delay, self._hears, node, dispatcher, connection, message, begun)
@@ -110,7 +110,7 @@
     def _hears(self, node: RenderNode, dispatcher: int, connection: Served, message: http1.Message, begun: int) -> None:
         path = message.path
         if message.method == b"GET" and path in (b"/-/load", b"/-/healthy"):
-            self.world.referee.probes += 1
+            self.world.rule_checker.probes += 1
             load = node.probe()
             self._says(node, dispatcher, connection, 503 if load is None else 200, json.dumps(load).encode())
         elif message.method == b"DELETE" and path.startswith(b"/jobs/"):
@@ -124,26 +124,26 @@
     def _takes(self, node: RenderNode, dispatcher: int, connection: Served, message: http1.Message, begun: int) -> None:
         world, request_id = self.world, (message.header(b"request-id") or b"").decode("latin-1")
         client_try = self.tries.get(request_id)
-        told = world.registry.counts_as_told(dispatcher, node.name, world.referee.ask_within)
-        attempt = world.referee.attempt(
-            request_id, dispatcher, node.name, node.zone, node.rack, begun, world.home[dispatcher], told
+        told = world.registry.presumed_notified_at(dispatcher, node.name, world.rule_checker.ask_within)
+        attempt = world.rule_checker.attempt_arrived(
+            request_id, dispatcher, node.name, node.zone, node.cell, begun, world.dispatcher_zones[dispatcher], told
         )
-        world.note("send", id=request_id, dispatcher=dispatcher, node=node.name)
+        world.trace_event("send", id=request_id, dispatcher=dispatcher, node=node.name)
         carried = Carried(request_id)
         carried.attempt, connection.hand = attempt, carried
         if client_try is None or not self._same(client_try, message):
-            world.referee._break(2, f"{node.name} was sent {request_id} in a form that no client sent")
+            world.rule_checker.report_violation(2, f"{node.name} was sent {request_id} in a form that no client sent")
             self._says(node, dispatcher, connection, 400)
             return
         job = client_try.job
         carried.job = Job(
-            request_id, job.key, job.class_index, dispatcher, job.work, job.slots, job.memory, hand=carried
+            request_id, job.key, job.class_index, dispatcher, job.work, job.slots, job.memory, context=carried
         )
         status = node.submit(carried.job)
         if status == nodes.ACCEPTED:
             self._says(node, dispatcher, connection, 202, carried=carried)
         elif status != nodes.SILENT:
-            world.referee.attempt_over(attempt, status == nodes.FULL)
+            world.rule_checker.attempt_ended(attempt, status == nodes.FULL)
             if status == nodes.REFUSED:
                 connection.abort()
                 return
@@ -155,7 +155,7 @@
         """Method, path, query, body and key must pass unchanged."""
         head, body = self.request(client_try)
         key = message.header(b"idempotency-key")
-        keyed = self.world.kinds[client_try.job.class_index].semantics != "retryable"
+        keyed = self.world.request_classes[client_try.job.class_index].semantics != "retryable"
         return (
             message.body == body
             and head.startswith(b"POST " + message.target + b" ")
@@ -172,7 +172,7 @@
         headers: Iterable[tuple[bytes, bytes]] = (),
         carried: Carried | None = None,
     ) -> None:
-        delay = self.world.network.delay(node.zone, self.world.home[dispatcher])
+        delay = self.world.network.delay(node.zone, self.world.dispatcher_zones[dispatcher])
         if delay is not None and not node.silent:
             self.kernel.after(delay, self._say, connection, status, body, headers, carried)
 
@@ -190,7 +190,7 @@
 
     def shut(self, node: RenderNode) -> None:
         """The node accepts no connection from now on."""
-        for d in range(len(self.world.home)):
+        for d in range(len(self.world.dispatcher_zones)):
             if (node.name, d) in self.doors:
                 self.doors[node.name, d].shut()
         self.reset(node)
@@ -206,15 +206,15 @@
 
     def tell(self, node: RenderNode, job: Job, state: str, share: float) -> None:
         """Send a job event to the dispatcher of the job."""
-        carried = job.hand
+        carried = job.context
         if isinstance(carried, Carried) and state not in (nodes.STARTED, nodes.RUNNING):
-            self.world.referee.attempt_over(carried.attempt, state == nodes.RETURNED)
+            self.world.rule_checker.attempt_ended(carried.attempt, state == nodes.RETURNED)
         item: dict[str, Any] = {"id": job.id, "from": node.name, "state": state}
         if state == nodes.RUNNING:
             item["share"] = round(share, 3)
         if state == nodes.DONE:
             item["result"] = self.world.result_of(job.id)
-        delay = self.world.network.delay(node.zone, self.world.home[job.dispatcher])
+        delay = self.world.network.delay(node.zone, self.world.dispatcher_zones[job.dispatcher])
         if delay is not None:
             self.kernel.after(delay, self._call_back, job, node.name, item)
 
--- a/badgerroad/emulator/live/run.py
+++ b/badgerroad/emulator/live/run.py
@@ -46,10 +46,10 @@
             kernel=kernel,
         )
 
-    def _seen(self, node: RenderNode, state: str) -> None:
+    def _on_node_state(self, node: RenderNode, state: str) -> None:
         if state == "ready":
             self.tier.node_back(node)
-        super()._seen(node, state)
+        super()._on_node_state(node, state)
 
 
 async def play(
@@ -73,9 +73,9 @@
             await world.tier.open()
             world.start = time.time_ns() // 1000
             world.clock.begin()
-            world.begin()
+            world.start_arrivals()
             world.tier.begin_bad(scenario.clients.bad_per_s)
-            while world.kernel.now < world.end and (world.kernel.now < world.length or world.clients.open):
+            while world.kernel.now < world.end and (world.kernel.now < world.length or world.clients.open_jobs):
                 if watch is not None:
                     watch(world)
                 await asyncio.sleep(0.5)
--- a/badgerroad/emulator/live/tier.py
+++ b/badgerroad/emulator/live/tier.py
@@ -77,7 +77,7 @@
     async def open(self) -> None:
         """Open all servers and start the dispatchers."""
         s = self.world.scenario
-        for d in range(len(self.world.home)):
+        for d in range(len(self.world.dispatcher_zones)):
             door = Door(
                 self.loop,
                 partial(
@@ -88,7 +88,7 @@
             self.directories.append(door)
         for node in self.world.nodes:
             await self.nodes.open(node)
-        for d, zone in enumerate(self.world.home):
+        for d, zone in enumerate(self.world.dispatcher_zones):
             known = self._list(d, Answer(1, True, tuple(self.world.registry.entries.values())))
             config = {
                 "discovery": f"127.0.0.1:{self.directories[d].port}",
@@ -158,15 +158,15 @@
 
     def _crashed(self, number: int, why: str) -> None:
         if not self.closing:
-            self.world.referee.crashed(number, why)
-            self.kernel.after(0, self.world.dispatcher_dies, number)
+            self.world.rule_checker.dispatcher_crashed(number, why)
+            self.kernel.after(0, self.world.kill_dispatcher, number)
 
     # Clients.
 
     def submit(self, client_try: Try) -> None:
         """Send a client's request to its dispatcher."""
         self.tries[client_try.id] = client_try
-        delay = self.world.network.delay(CLIENTS, self.world.home[client_try.dispatcher]) or 0
+        delay = self.world.network.delay(CLIENTS, self.world.dispatcher_zones[client_try.dispatcher]) or 0
         self.kernel.after(delay, self._client_sends, client_try)
 
     def _client_sends(self, client_try: Try) -> None:
@@ -175,7 +175,7 @@
 
     def request(self, client_try: Try) -> tuple[bytes, bytes]:
         """The head that a client sends, and its body."""
-        job, cls = client_try.job, self.world.kinds[client_try.job.class_index]
+        job, cls = client_try.job, self.world.request_classes[client_try.job.class_index]
         body = b"fill:" + client_try.id.encode() * 8
         left = max((client_try.deadline - self.kernel.now) // 1000, 1)
         headers = [
@@ -200,9 +200,9 @@
         def sent(caller: Caller) -> None:
             """The bytes of the request are with the connection."""
             self.clients[client_try.id] = caller
-            caller.unasked = lambda: self.world.referee.answered(client_try.id, "answered unasked")
+            caller.unasked = lambda: self.world.rule_checker.answer_received(client_try.id, "answered unasked")
             if not again:
-                self.world.referee.took(
+                self.world.rule_checker.request_received(
                     client_try.id,
                     client_try.job.key,
                     client_try.job.class_index,
@@ -219,13 +219,13 @@
                 await self._client(client_try, True)  # its end crossed the request, which nobody has read
                 return
             if e.refused:
-                self.world.referee.left(client_try.id)
-                self.world.clients.ended(client_try, UNREACHABLE)
+                self.world.rule_checker.client_disconnected(client_try.id)
+                self.world.clients.try_ended(client_try, UNREACHABLE)
                 return
             await asyncio.sleep(CRASH_LOOK)
             if self.is_up(client_try.dispatcher) and not client_try.over:
-                self.world.referee.broken_off(client_try.id)
-            self.world.clients.ended(client_try, BROKEN)
+                self.world.rule_checker.connection_broken(client_try.id)
+            self.world.clients.try_ended(client_try, BROKEN)
             return
         finally:
             self.clients.pop(client_try.id, None)
@@ -233,20 +233,22 @@
 
     def _answered(self, client_try: Try, answer: http1.Message) -> None:
         kind = SERVED if answer.status == 200 else REFUSED if answer.status in (429, 503) else FAILED
-        self.world.referee.answered(client_try.id, kind, answer.body.decode("latin-1") if kind == SERVED else "")
-        self.world.note("answer", id=client_try.id, kind=kind, status=answer.status)
+        self.world.rule_checker.answer_received(
+            client_try.id, kind, answer.body.decode("latin-1") if kind == SERVED else ""
+        )
+        self.world.trace_event("answer", id=client_try.id, kind=kind, status=answer.status)
         try:
             wait = int(float(answer.header(b"retry-after") or 0) * 1e6)
         except ValueError:
             wait = 0
-        delay = self.world.network.delay(self.world.home[client_try.dispatcher], CLIENTS) or 0
-        self.kernel.after(delay, self.world.clients.ended, client_try, kind, wait)
+        delay = self.world.network.delay(self.world.dispatcher_zones[client_try.dispatcher], CLIENTS) or 0
+        self.kernel.after(delay, self.world.clients.try_ended, client_try, kind, wait)
 
     def abandon(self, client_try: Try) -> None:
         """The client closes the connection of a request that is open."""
-        slack = self.world.referee.slack if client_try.until >= client_try.deadline else 0
+        slack = self.world.rule_checker.slack if client_try.until >= client_try.deadline else 0
         if not slack:
-            self.world.referee.left(client_try.id)
+            self.world.rule_checker.client_disconnected(client_try.id)
         self.kernel.after(slack, self._leave, client_try)
 
     def _leave(self, client_try: Try) -> None:
@@ -277,10 +279,12 @@
             first = await asyncio.wait_for(reader.readline(), BAD_TIME)
             if b" 200 " in first:
                 self.bad_served += 1
-                self.world.referee._break(1, f"a bad client was served by dispatcher {dispatcher}")
+                self.world.rule_checker.report_violation(1, f"a bad client was served by dispatcher {dispatcher}")
         except TimeoutError:
             if self.is_up(dispatcher):
-                self.world.referee._break(1, f"a bad client of dispatcher {dispatcher} waits for {BAD_TIME} s")
+                self.world.rule_checker.report_violation(
+                    1, f"a bad client of dispatcher {dispatcher} waits for {BAD_TIME} s"
+                )
         except OSError:
             pass
         finally:
@@ -300,7 +304,7 @@
         """The node's listeners open again."""
         self.nodes.reopen(node)
 
-    def tell(self, node: RenderNode, job: Job, state: str, share: float) -> None:
+    def send_job_event(self, node: RenderNode, job: Job, state: str, share: float) -> None:
         """Send a job event to the dispatcher of the job."""
         self.nodes.tell(node, job, state, share)
 
@@ -321,7 +325,9 @@
                 connection.answer(503)
                 return
             connection.answer(200, json.dumps(self._list(dispatcher, answer)).encode())
-            self.world.referee.tell(dispatcher, answer.whole, [(e.node, e.state, e.since) for e in answer.entries])
+            self.world.rule_checker.list_sent(
+                dispatcher, answer.complete, [(e.node, e.state, e.started_at) for e in answer.entries]
+            )
 
         self.world.registry.call(dispatcher, index, wait, reply)
 
@@ -329,17 +335,17 @@
         kinds, zones = self.world.scenario.kind, self.world.zones
         return {
             "seq": answer.version,
-            "whole": answer.whole,
+            "whole": answer.complete,
             "hosts": [
                 {
                     "host": e.node,
                     "dial": f"127.0.0.1:{self.nodes.doors[e.node, dispatcher].port}",
                     "site": zones[e.zone],
-                    "class": kinds[e.kind].name,
-                    "block": e.rack,
+                    "class": kinds[e.machine_type].name,
+                    "block": e.cell,
                     "health": e.state,
                     "share": e.weight,
-                    "born_ms": e.since // 1000,
+                    "born_ms": e.started_at // 1000,
                 }
                 for e in answer.entries
                 if (e.node, dispatcher) in self.nodes.doors
--- a/badgerroad/lab/commands.py
+++ b/badgerroad/lab/commands.py
@@ -11,7 +11,7 @@
 
 from badgerroad.emulator import scenario as sc
 from badgerroad.emulator import virtual
-from badgerroad.emulator.rehearse import result
+from badgerroad.emulator.rehearse import result_table
 from badgerroad.emulator.tier import Trace
 from badgerroad.errors import ArgumentError
 from badgerroad.lab import compare, experiment, paper, report, runner, theory
@@ -60,7 +60,7 @@
     from rich.console import Console
 
     console = Console()
-    console.print(result(r))
+    console.print(result_table(r))
     console.print(
         f"{r.events} events, {r.simulated_s:.0f} s in {r.wall_s:.2f} s; "
         + (f"rules broken: {r.breaches_by_rule}" if r.breaches else "no rule broken"),
--- a/badgerroad/lab/paper.py
+++ b/badgerroad/lab/paper.py
@@ -120,8 +120,8 @@
         if state != DONE:
             return
         arrived, loading, is_long = self._jobs.pop(job.id)
-        self._in_flight[node.rack] -= 1
-        self._long_in_flight[node.rack] -= is_long
+        self._in_flight[node.cell] -= 1
+        self._long_in_flight[node.cell] -= is_long
         self.sums[loading][0] += (self.kernel.now - arrived) / job.work
         self.sums[loading][1] += 1
         if is_long and self._policy == "LC*":
--- a/badgerroad/lab/theory.py
+++ b/badgerroad/lab/theory.py
@@ -106,7 +106,7 @@
     kernel.at(0, arrive, 0)
     while kernel.next >= 0:
         kernel.run(kernel.next)
-    return [*waits, node.held_time, node.residence]
+    return [*waits, node.job_time, node.residence_time]
 
 
 def table(scale: float = 1.0, workers: int | None = None, cases: list[Case] = CASES, seeds: int = SEEDS) -> list[Row]:
--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -17,7 +17,7 @@
     print("| seed | " + " | ".join(counts.Counts._fields) + " |")
     print("| ---: |" + " ---: |" * len(counts.Counts._fields))
     for seed in [int(text) for text in sys.argv[2:]] or [day.seed]:
-        row = counts.of(day, seed, path.parent)
+        row = counts.count(day, seed, path.parent)
         print(f"| {seed} | " + " | ".join(f"{x:.2f}" if isinstance(x, float) else str(x) for x in row) + " |")
 
 
--- a/benchmarks/live_repeat.py
+++ b/benchmarks/live_repeat.py
@@ -16,7 +16,7 @@
     runs, s = int(sys.argv[2]) if len(sys.argv) > 2 else 5, scenario.load(path)
     rows = [("virtual", virtual.run(s, s.seed, path.parent))]
     for n in range(runs):
-        rows.append((f"live {n + 1}", report.of(asyncio.run(play(s, s.seed, path.parent)), 0.0)))
+        rows.append((f"live {n + 1}", report.create(asyncio.run(play(s, s.seed, path.parent)), 0.0)))
     print("| run | jobs | served | refused | failed | worth | figure | rules broken |")
     print("| --- " + "| ---: " * 7 + "|")
     for name, r in rows:
--- a/tests/emulator/test_live.py
+++ b/tests/emulator/test_live.py
@@ -24,7 +24,7 @@
 def live(event=(), command=None, logs=None, **over):
     s = scenario.Scenario(name="small", event=tuple(event), **{**SMALL, **over})
     world = asyncio.run(asyncio.wait_for(play(s, 1, EXAMPLES, logs, command), 60))
-    return s, world, report.of(world, 0.0)
+    return s, world, report.create(world, 0.0)
 
 
 def test_a_live_run_and_a_virtual_one_ask_for_the_same_and_serve_alike():
