--- a/badgerroad/emulator/counts.py
+++ b/badgerroad/emulator/counts.py
@@ -22,7 +22,7 @@
     probes: float  # per try
     probed: float  # highest number of health checks that one node got within a second
     connects: float  # connections opened, per try
-    falls: int  # nodes that collapsed during warm-up
+    falls: int  # number of nodes that collapsed during warm-up
     cold_peak: float  # highest share of the overload limit reached by a node during warm-up
     cold_load: float  # utilisation of nodes during warm-up: work done over work possible
     warm_load: float  # the same for warm nodes
--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -24,11 +24,9 @@
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.settings_decoder import settings_from
 
-ACCEPT_TIMEOUT_US, HEALTH_CHECK_TIMEOUT_US = (
-    300_000,
-    SEC,
-)  # timeouts of the response to an attempt and of a health check, as in backend/http.py
-MIN_DRAIN_TIME_US = 800_000
+# Timeouts of the response to an attempt and of a health check, as in backend/http.py.
+ACCEPT_TIMEOUT_US, HEALTH_CHECK_TIMEOUT_US = 300_000, SEC
+MIN_DRAIN_TIME_US = 800_000  # a process that drains ends no earlier
 MAX_IDLE_PER_NODE = 64  # idle connections kept per node
 
 
@@ -42,9 +40,8 @@
         self.settings = settings_from(dumps(settings_of(world.scenario, number, self.zone)).encode())
         self.incarnation, self.up, self.frozen, self.draining = 0, False, False, False
         self.endpoint_list: tuple[Any, ...] = tuple(world.registry.entries.values())
-        self.version = (
-            world.registry.version
-        )  # version of `endpoint_list`; both survive a restart, as the platform keeps the list
+        # Version of `endpoint_list`. Both survive a restart, as the platform keeps the list.
+        self.version = world.registry.version
         self._backlog: deque[Callable[[], None]] = deque()
         self._performers: dict[type, Callable[[Any], None]] = {
             interface.SetTimer: self._set_timer,
--- a/badgerroad/emulator/model/clients.py
+++ b/badgerroad/emulator/model/clients.py
@@ -76,14 +76,14 @@
 class Try:
     """One HTTP request for a job, with an id of its own."""
 
-    __slots__ = ("id", "job", "dispatcher", "sent", "until", "timer", "over", "deadline")
+    __slots__ = ("id", "job", "dispatcher", "sent", "until", "timer", "ended", "deadline")
 
     def __init__(self, request_id: str, job: ClientJob, dispatcher: int, sent: int, until: int, deadline: int) -> None:
         """Times are in microseconds; the client stops waiting at `until`, the deadline of the class is `deadline`."""
         self.id, self.job, self.dispatcher, self.sent, self.until = request_id, job, dispatcher, sent, until
         self.deadline = deadline  # sent as Request-Timeout-Ms; an impatient client stops waiting earlier
         self.timer: ScheduledCall | None = None
-        self.over = False
+        self.ended = False
 
 
 class Transport(Protocol):
@@ -256,7 +256,7 @@
             self.transport.submit(client_try)
 
     def _give_up(self, client_try: Try) -> None:
-        if not client_try.over:
+        if not client_try.ended:
             self.transport.abandon(client_try)
             self.try_ended(client_try, GAVE_UP)
 
@@ -265,9 +265,9 @@
 
         `retry_after` is in microseconds; 0 if the response had none.
         """
-        if client_try.over:
+        if client_try.ended:
             return
-        client_try.over = True
+        client_try.ended = True
         if client_try.timer is not None:
             client_try.timer.cancel()
         job = client_try.job
--- a/badgerroad/emulator/model/nodes.py
+++ b/badgerroad/emulator/model/nodes.py
@@ -323,12 +323,12 @@
 
     # Process state and faults.
 
-    def start(self, cold: bool = True) -> None:
+    def start(self, warming_up: bool = True) -> None:
         """Start the process with no jobs. A node that has collapsed stays down."""
         if self.up or self.collapsed:
             return
         self.up, self.draining = True, False
-        self.started_at = self.kernel.now if cold else 0
+        self.started_at = self.kernel.now if warming_up else 0
         self._warm_up_arrivals.clear()
         self.peak_overload_share = 0.0
         self._updated_at, self._rate, self.connections = self.kernel.now, 0.0, 0
--- a/badgerroad/emulator/report.py
+++ b/badgerroad/emulator/report.py
@@ -21,7 +21,7 @@
     refused: int
     failed: int
     lost: int
-    worth: float
+    worth: float  # share of the requested priority weight that was served in time
     p50_ms: float
     p90_ms: float
     p99_ms: float
@@ -34,18 +34,18 @@
     seed: int
     figure: float  # score: weighted sum of `worth`, `worst_class` and `worst_window`, less deductions
     worth: float  # share of the requested priority weight that was served in time
-    worst_class: float
-    worst_window: float
+    worst_class: float  # lowest `worth` of a class
+    worst_window: float  # lowest `worth` of the jobs that arrived within the same 10 s
     classes: dict[str, ClassReport]
     jobs: int
     tries: int
     attempts: int
-    crossings: int
+    crossings: int  # cross-zone attempts
     handshakes: int
     probes: int
-    falls: int
+    falls: int  # nodes that collapsed during warm-up
     little: float  # Little's law: mean number of jobs over arrival rate times residence time; 1 if it holds
-    breaches: list[str]
+    breaches: list[str]  # the first 50 rule violations
     breaches_by_rule: dict[str, int]
     events: int
     simulated_s: float
--- a/badgerroad/emulator/scenario.py
+++ b/badgerroad/emulator/scenario.py
@@ -43,10 +43,10 @@
     speed: Range = (0.85, 1.1)
     slots_per_core: Range = (1.0, 1.3)
     queue_per_core: float = 12.0
-    cold_from: float = 0.2
-    cold_s: float = 18.0
+    cold_from: float = 0.2  # share of the capacity right after a start
+    cold_s: float = 18.0  # warm-up time
     crowd_at: float = 7.0  # jobs per core above which efficiency falls
-    crowd_loss: float = 0.4
+    crowd_loss: float = 0.4  # share of the speed lost at twice `crowd_at`
     pause_every_s: float = 8.0
     pause_ms: float = 40.0
     error_rate: float = 0.0005
@@ -58,16 +58,16 @@
     name: str
     share: float = 1.0  # share of the arrivals
     work_ms: Range = (400, 780)  # mean running time at speed 1
-    cv: float = 1.0
+    cv: float = 1.0  # coefficient of variation of the work
     slots: tuple[float, ...] = (1.0,)  # shares of jobs with 1, 2, 4, ... slots
     memory: Range = (0.2, 0.9)  # units per slot
-    aim_ms: float = 250
+    aim_ms: float = 250  # latency objective: `aim_ms` + `stretch` * work, at most `deadline_ms`
     stretch: float = 2.0
     deadline_ms: float = 7500
-    worth: float = 5.0
+    worth: float = 5.0  # priority weight per unit of work
     semantics: Literal["retryable", "dedup", "fragile"] = "retryable"
     group: Literal["all", "zone", "cell"] = "all"
-    window_ms: float = 5000
+    window_ms: float = 5000  # deduplication window
 
 
 class Load(Base, frozen=True, kw_only=True):
@@ -132,13 +132,13 @@
 
     drain_grace_ms: float = 500
     ask_within_s: float = 10
-    fall_multiple: float = 3.0
-    fall_ms: float = 3000
+    fall_multiple: float = 3.0  # overload limit during warm-up, as a multiple of the current capacity
+    fall_ms: float = 3000  # window of the overload limit
     cold_from: float = 0.13  # lower bound of the initial capacity of nodes, sent to dispatchers
     cold_s: float = 24.0  # upper bound of the warm-up time, sent to dispatchers
     answer_slack_ms: float = 8
     max_attempts: int = 4
-    second_copies: bool = True
+    second_copies: bool = True  # hedged requests are permitted
     cancelling: bool = True
     probes: bool = True
     retry_after: bool = True
--- a/badgerroad/emulator/scenario_events.py
+++ b/badgerroad/emulator/scenario_events.py
@@ -34,8 +34,8 @@
     def trace_event(self, event_name: str, /, **fields: Any) -> None:
         """Write an event to the trace, if tracing is on."""
 
-    def add_node(self, zone: int, draws: Draws, cell: int, cold: bool = False) -> RenderNode:
-        """Create a node; one that is `cold` is not listed yet."""
+    def add_node(self, zone: int, draws: Draws, cell: int, warming_up: bool = False) -> RenderNode:
+        """Create a node; one that is `warming_up` is not listed yet."""
 
     def kill_dispatcher(self, number: int) -> None:
         """Kill a dispatcher."""
@@ -102,7 +102,7 @@
     def _add_nodes(self, event: sc.Event, _duration: int) -> None:
         zone = self._world.zones.index(event.zone) if event.zone else 0
         for _ in range(max(int(event.size), 1)):
-            self._add_cold_node(zone)
+            self._add_new_node(zone)
 
     def _heavy_tail(self, event: sc.Event, duration: int) -> None:
         cls = [c.name for c in self._world.scenario.cls].index(event.cls)
@@ -171,7 +171,7 @@
 
     def _replace_node(self, event: sc.Event, node: RenderNode, _duration: int) -> None:
         node.kill()
-        self._world.kernel.after(int((event.extra or 2) * SEC), self._add_cold_node, node.zone)
+        self._world.kernel.after(int((event.extra or 2) * SEC), self._add_new_node, node.zone)
 
     def _toggle_neighbour(self, node: RenderNode, size: float, period: int, until: int, active: bool) -> None:
         now = self._world.kernel.now
@@ -185,9 +185,9 @@
         node.kill()
         self._world.kernel.after(downtime, node.start)
 
-    def _add_cold_node(self, zone: int) -> None:
-        """Add a new node that starts cold."""
-        node = self._world.add_node(zone, self._draws, NEW_NODE_CELL, cold=True)
+    def _add_new_node(self, zone: int) -> None:
+        """Add a new node, which has to warm up."""
+        node = self._world.add_node(zone, self._draws, NEW_NODE_CELL, warming_up=True)
         node.up, node.collapsed = False, False
         node.start()
 
--- a/badgerroad/emulator/virtual.py
+++ b/badgerroad/emulator/virtual.py
@@ -127,7 +127,7 @@
 
 
 class VirtualTier:
-    """The machines, as the world knows dispatchers."""
+    """Implements `Tier` with virtual dispatchers."""
 
     def __init__(self, world: World, make_policy: DecisionModuleFactory) -> None:
         """`make_policy` creates the decision module of each dispatcher."""
@@ -142,7 +142,7 @@
         self.world.kernel.after(delay, self._on_arrival, machine, client_try)
 
     def _on_arrival(self, machine: Machine, client_try: Try) -> None:
-        if client_try.over:
+        if client_try.ended:
             return
         if not machine.up:
             self.world.clients.try_ended(client_try, UNREACHABLE)
@@ -150,7 +150,7 @@
             machine._run_in_incarnation(machine.incarnation, partial(machine.receive, client_try))
 
     def abandon(self, client_try: Try) -> None:
-        """The client closes the connection of a request."""
+        """Close the connection of a client that has stopped waiting."""
         machine = self.machines[client_try.dispatcher]
         if client_try.until < client_try.deadline:
             self.world.rule_checker.client_disconnected(client_try.id)
@@ -160,7 +160,7 @@
         )
 
     def send_job_event(self, node: RenderNode, job: Job, state: str, share: float) -> None:
-        """Carry a job event to the dispatcher of the job."""
+        """Send a job event to the dispatcher of the job."""
         context: Any = job.context
         machine, request, attempt, incarnation = context
         if state not in (nodes.STARTED, nodes.RUNNING):
@@ -247,7 +247,7 @@
     trace: Trace | None = None,
     at_arrivals_end: Callable[[VirtualWorld], None] = lambda world: None,
 ) -> VirtualWorld:
-    """Run a scenario in virtual time and return the environment; `arrived` is called at the end of arrivals."""
+    """Run a scenario in virtual time and return the environment; `at_arrivals_end` is called after the last arrival."""
     world = VirtualWorld(scenario, seed, folder, make_policy, trace)
     for number in range(len(world.dispatcher_zones)):
         world.tier.start(number)
--- a/badgerroad/emulator/world.py
+++ b/badgerroad/emulator/world.py
@@ -52,9 +52,8 @@
         s, self.kernel, self.start = scenario, kernel or Kernel(0), start
         us = 1000
         self.zones = [zone.name for zone in s.zone]
-        self.dispatcher_zones = [
-            n for n, zone in enumerate(s.zone) for _ in range(zone.dispatchers)
-        ]  # zone of each dispatcher
+        # Index of the zone of each dispatcher.
+        self.dispatcher_zones = [n for n, zone in enumerate(s.zone) for _ in range(zone.dispatchers)]
         network_draws = self.draws("network")
         same, cross, client = (
             (r[0] * us, r[1] * us) for r in (s.network.same_ms, s.network.cross_ms, s.network.client_ms)
@@ -139,10 +138,10 @@
         total = sum(k.share for k in self.request_classes)
         return sum(k.share / total * k.work * k.mean_slots for k in self.request_classes) / SEC
 
-    def add_node(self, zone: int, draws: Draws, cell: int, cold: bool = False) -> RenderNode:
-        """Create a node; `draw` selects its machine type, slots and speed.
+    def add_node(self, zone: int, draws: Draws, cell: int, warming_up: bool = False) -> RenderNode:
+        """Create a node; `draws` selects its machine type, slots and speed.
 
-        A cold node is not listed before it has started; any other is listed at once as ready.
+        A node that is `warming_up` is not listed before it has started; any other is listed at once as ready.
         """
         s, us = self.scenario, 1000
         machine_type = draws.index([k.share for k in s.kind])
@@ -187,10 +186,10 @@
             self._on_collapse,
             self._on_node_state,
         )
-        node.started_at = self.kernel.now if cold else 0
+        node.started_at = self.kernel.now if warming_up else 0
         self.nodes.append(node)
         self.by_name[name] = node
-        if not cold:
+        if not warming_up:
             self.registry.entries[name] = self.list_entry(node, "ready")
         return node
 
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -24,42 +24,42 @@
 
 
 def test_watch_returns_the_changes_or_the_complete_list_if_they_are_no_longer_kept():
-    kernel, got = Kernel(), []
+    kernel, answers = Kernel(), []
     r = Registry(kernel, Draws(1, "d"), (1.0, 1.0), 0, SEC)
     r.update(list_entry("a"))
-    r.call(0, r.version, 5 * SEC, got.append)
+    r.call(0, r.version, 5 * SEC, answers.append)
     r.update_later(list_entry("b"))
     kernel.run(SEC)
-    assert not got[0].complete
-    assert [e.node for e in got[0].entries] == ["b"]
-    r.call(0, r.version, 2 * SEC, got.append)
+    assert not answers[0].complete
+    assert [e.node for e in answers[0].entries] == ["b"]
+    r.call(0, r.version, 2 * SEC, answers.append)
     kernel.run(10 * SEC)
-    assert got[1].entries == ()
-    assert not got[1].complete
+    assert answers[1].entries == ()
+    assert not answers[1].complete
     for n in range(600):
         r.update(list_entry(f"n{n}"))
-    r.call(0, 2, 0, got.append)
+    r.call(0, 2, 0, answers.append)
     kernel.run(11 * SEC)
-    assert got[2].complete
-    assert len(got[2].entries) == 602
+    assert answers[2].complete
+    assert len(answers[2].entries) == 602
 
 
 def test_discovery_calls_queue_time_out_and_watches_fail_when_discovery_goes_down():
-    kernel, got = Kernel(), []
+    kernel, answers = Kernel(), []
     r = Registry(kernel, Draws(1, "d"), (1, 1), 2.0, SEC)
     for n in range(5):
-        r.call(n, None, 0, lambda a, n=n: got.append((kernel.now // MS, n, a is not None)))
+        r.call(n, None, 0, lambda a, n=n: answers.append((kernel.now // MS, n, a is not None)))
     kernel.run(5 * SEC)
-    assert got == [(500, 0, True), (1000, 1, True), (1000, 3, False), (1000, 4, False), (1500, 2, True)]
-    r.call(0, r.version, 5 * SEC, got.append)
+    assert answers == [(500, 0, True), (1000, 1, True), (1000, 3, False), (1000, 4, False), (1500, 2, True)]
+    r.call(0, r.version, 5 * SEC, answers.append)
     kernel.run(6 * SEC)
     r.set_down(True)
-    assert got[-1] is None
+    assert answers[-1] is None
     r.set_down(False)
     r.set_silent(True)
-    r.call(0, None, 0, got.append)
+    r.call(0, None, 0, answers.append)
     kernel.run(20 * SEC)
-    assert len(got) == 6
+    assert len(answers) == 6
 
 
 def run_example(name, seed=1, policy="heathcrank", trace=None):
@@ -82,7 +82,7 @@
         "p = Path(sys.argv[1]);"
         "sys.stdout.buffer.write(virtual.run(scenario.load(p), 7, p.parent).bytes())"
     )
-    outs = [
+    reports = [
         subprocess.run(
             [sys.executable, "-c", code, str(EXAMPLES / "incident.toml")],
             check=True,
@@ -91,9 +91,9 @@
         ).stdout
         for h in ("1", "2")
     ]
-    assert len({hashlib.sha256(o).digest() for o in outs}) == 1
-    assert outs[0]
-    assert run_example("incident", 8).bytes() != outs[0]
+    assert len({hashlib.sha256(o).digest() for o in reports}) == 1
+    assert reports[0]
+    assert run_example("incident", 8).bytes() != reports[0]
 
 
 def test_naive_policy_violates_rules_2_3_and_4():
@@ -132,19 +132,19 @@
 def test_broken_connections_and_cut_links_cause_no_violation_and_little_loss():
     import msgspec
 
-    hurt = [sc.Event(at_s=0.5 * n, what="reset", nodes=(f"n{n % 13:04}",)) for n in range(38)]
+    faults = [sc.Event(at_s=0.5 * n, what="reset", nodes=(f"n{n % 13:04}",)) for n in range(38)]
     calm = sc.load(EXAMPLES / "calm.toml")
-    runs = [virtual.run(msgspec.structs.replace(calm, event=tuple(e)), 5, EXAMPLES) for e in ((), hurt)]
+    runs = [virtual.run(msgspec.structs.replace(calm, event=tuple(e)), 5, EXAMPLES) for e in ((), faults)]
     assert runs[1].handshakes > runs[0].handshakes + 10
     assert runs[1].breaches == []
-    hurt += [
+    faults += [
         sc.Event(at_s=5, for_s=4, what="one_way", zone="barracas"),
         sc.Event(at_s=11, for_s=4, what="partition"),
         sc.Event(at_s=16, for_s=3, what="link_slow", size=40),
     ]
     log = []
     r = virtual.run(
-        msgspec.structs.replace(sc.load(EXAMPLES / "calm.toml"), event=tuple(hurt)),
+        msgspec.structs.replace(sc.load(EXAMPLES / "calm.toml"), event=tuple(faults)),
         5,
         EXAMPLES,
         trace=lambda t, what, more: log.append(more.get("result")),
@@ -188,13 +188,13 @@
     path = tmp_path / "s.toml"
     path.write_text(text)
     (tmp_path / "t.csv").write_text("at_s,class,work_ms\n1,nothing,5\n")
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "badgerroad", "emulate", "run", str(path)], capture_output=True, text=True
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1
-    assert field in done.stderr
-    assert str(path) in done.stderr or "t.csv" in done.stderr
+    assert process.returncode == 2
+    assert process.stderr.count("\n") == 1
+    assert field in process.stderr
+    assert str(path) in process.stderr or "t.csv" in process.stderr
 
 
 def test_trace_is_replayed_as_written(tmp_path):
@@ -238,19 +238,19 @@
         kernel.run(60 * SEC)
         return {d for d, none in out if none}
 
-    # Calls take 0.5 s each. Of ten calls at once, three are served within the timeout of 1 s. A later call waits for these
-    # three only, or for all ten if timed-out calls use capacity.
-    crowd = [(0.0, n, 1) for n in range(10)] + [(2.0, 10, 1)]
-    assert failed(crowd) == set(range(3, 10))
-    assert failed(crowd, dead_calls_cost=True) == set(range(3, 11))
+    # Calls take 0.5 s each. Of ten calls at once, three are served within the timeout of 1 s. A later call waits only
+    # for these three, or for all ten if timed-out calls use capacity.
+    concurrent_calls = [(0.0, n, 1) for n in range(10)] + [(2.0, 10, 1)]
+    assert failed(concurrent_calls) == set(range(3, 10))
+    assert failed(concurrent_calls, dead_calls_cost=True) == set(range(3, 11))
     # A complete list of 20 entries costs as much as three calls.
-    lists = [(0.0, 0, None), (0.0, 1, 1)]
-    assert failed(lists) == set()
-    assert failed(lists, lines_per_call=10) == {1}
+    list_calls = [(0.0, 0, None), (0.0, 1, 1)]
+    assert failed(list_calls) == set()
+    assert failed(list_calls, lines_per_call=10) == {1}
     # The watch that was answered at 0.5 s is renewed although discovery is busy.
-    again = [(0.0, 0, 1), *((0.51, n, 1) for n in range(1, 9)), (0.55, 0, 1)]
-    assert 0 in failed(again)
-    assert 0 not in failed(again, watches_go_on=True)
+    renewed_watch = [(0.0, 0, 1), *((0.51, n, 1) for n in range(1, 9)), (0.55, 0, 1)]
+    assert 0 in failed(renewed_watch)
+    assert 0 not in failed(renewed_watch, watches_go_on=True)
 
 
 def test_200_dispatchers_use_the_slow_start_budget_of_new_nodes_without_a_collapse(tmp_path):
