--- a/badgerroad/emulator/live/tier.py
+++ b/badgerroad/emulator/live/tier.py
@@ -170,7 +170,7 @@
         self.kernel.after(delay, self._client_sends, client_try)
 
     def _client_sends(self, client_try: Try) -> None:
-        if not client_try.over:
+        if not client_try.ended:
             self.spawn(self._client(client_try))
 
     def request(self, client_try: Try) -> tuple[bytes, bytes]:
@@ -213,7 +213,7 @@
         try:
             answer = await self.pool.call(address, data, sent)
         except CallFailedError as e:
-            if client_try.over:
+            if client_try.ended:
                 return
             if e.silent_reuse and not again:
                 await self._client(client_try, True)  # its end crossed the request, which nobody has read
@@ -223,7 +223,7 @@
                 self.world.clients.try_ended(client_try, UNREACHABLE)
                 return
             await asyncio.sleep(CRASH_LOOK)
-            if self.is_up(client_try.dispatcher) and not client_try.over:
+            if self.is_up(client_try.dispatcher) and not client_try.ended:
                 self.world.rule_checker.connection_broken(client_try.id)
             self.world.clients.try_ended(client_try, BROKEN)
             return
