--- a/tests/load_balancing/test_dispatch_policy.py
+++ b/tests/load_balancing/test_dispatch_policy.py
@@ -77,20 +77,21 @@
 
 
 @pytest.mark.parametrize(
-    ("field", "value"),
+    ("field", "value", "name"),
     [
-        ("dispatchers", 0),
-        ("tick", 0),
-        ("max_attempts", 0),
-        ("cold_from", 0.0),
-        ("fall_multiple", 0.0),
-        ("overload_for", 0),
-        ("classes", ()),
+        ("dispatcher_count", 0, "dispatchers"),
+        ("tick", 0, "tick"),
+        ("max_attempts", 0, "max_attempts"),
+        ("slow_start_share", 0.0, "cold_from"),
+        ("overload_threshold", 0.0, "fall_multiple"),
+        ("overload_window", 0, "overload_for"),
+        ("classes", (), "classes"),
     ],
 )
-def test_invalid_settings_raise_an_error_that_names_the_field(field, value):
-    with pytest.raises(ValueError, match=field):
-        DispatchPolicy(settings()._replace(**{field: value}), 1)
+def test_invalid_settings_raise_an_error_that_names_the_field(field, value, name):
+    invalid = settings()._replace(**{field: value})
+    with pytest.raises(ValueError, match=f"^{name}: "):
+        DispatchPolicy(invalid, 1)
 
 
 def test_finished_requests_leave_no_state():
