--- a/benchmarks/quota_buckets.py
+++ b/benchmarks/quota_buckets.py
@@ -25,7 +25,7 @@
         self.min_depth, self.tokens, self.computed_at = min_depth, None, 0
 
     def is_over(self, settings, request, now):
-        rate = settings.tenants[0].quota_per_s / settings.dispatchers
+        rate = settings.tenants[0].quota_per_s / settings.dispatcher_count
         depth = max(rate, self.min_depth)
         tokens = depth if self.tokens is None else self.tokens
         tokens = min(tokens + (now - self.computed_at) * rate / SEC, depth) - 1
--- a/benchmarks/record_compatibility.py
+++ b/benchmarks/record_compatibility.py
@@ -53,7 +53,7 @@
     """Return the messages that are sent by other processes than that of the tests."""
     from tornado.ioloop import IOLoop
 
-    from badgerroad.config import check_config
+    from badgerroad.config import read
     from badgerroad.multiprocess.supervisor import Supervisor
     from badgerroad.net import packets
     from badgerroad.net.wheel import Clock, Wheel
@@ -62,7 +62,7 @@
 
     async def messages() -> dict[str, list[bytes]]:
         text = json.dumps({**DATA, "name": "Zürich"}, ensure_ascii=False)
-        config = check_config(json.loads(text), {})
+        config = read(json.loads(text), {})
         wheel = Wheel(Clock(), IOLoop.current())
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write("[log]\nformat = 'json'\n")
