--- a/benchmarks/ops_answers.py
+++ b/benchmarks/ops_answers.py
@@ -57,7 +57,7 @@
 
 async def main():
     with tempfile.TemporaryDirectory() as folder:
-        async with Service(pathlib.Path(folder), hold=0.0) as s:
+        async with Service(pathlib.Path(folder), job_duration_s=0.0) as s:
             await s.upgrade()
             ops, until, served, times = (
                 s.processes[0][1],
--- a/benchmarks/upgrade_between_versions.py
+++ b/benchmarks/upgrade_between_versions.py
@@ -71,8 +71,8 @@
     with tempfile.TemporaryDirectory() as folder:
         async with VersionedService(pathlib.Path(folder)) as service:
             codes, failures = await upgrades(service, old.resolve(), new.resolve())
-            answers = Counter(service.ends)
-            runs = Counter(service.ran.values())
+            answers = Counter(service.responses)
+            runs = Counter(service.attempt_counts.values())
     print(f"exit codes {codes}; answers {dict(answers)}; runs of each request {dict(runs)}; failures {failures}")
     expected = CLIENTS * REQUESTS
     return 0 if answers == {(200, b"made"): expected} and runs == {1: expected} and codes == [0, 0, 0] else 1
--- a/benchmarks/upgrade_crowd.py
+++ b/benchmarks/upgrade_crowd.py
@@ -48,9 +48,9 @@
             broken = sum(c.exception() is not None for c in clients)
             logs = "".join(p.read_text() for p in pathlib.Path(folder).glob("*.log"))
             stalls = [int(ms) for ms in re.findall(r"stalled ms=(\d+)", logs)]
-            assert set(s.ran.values()) == {1}
+            assert set(s.attempt_counts.values()) == {1}
             print(
-                f"broken {broken} of 4, served {len(s.ends)}, stall ms {max(stalls, default=0)}, "
+                f"broken {broken} of 4, served {len(s.responses)}, stall ms {max(stalls, default=0)}, "
                 f"upgrades s {upgrade_times}"
             )
             for _, writer in connections:
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -78,12 +78,12 @@
 
         await asyncio.gather(*(play(n) for n in range(60)))
         await until(lambda: not w.dispatcher.open_requests)
-        figures = await w.figures()
+        figures = await w.read_metrics()
         for word in ("answered", "deferred", "errored"):
             assert figures[word] == {cls: ledger[word, cls] for cls in ("preview", "bundle")}
         assert {200, 503} < set(got)
         assert sum(ledger.values()) == 60
-        jobs = [head for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")]
+        jobs = [head for peer in w.hosts for head, _ in peer.received if head.startswith(b"POST")]
         assert figures["sends"] == len(jobs)
         assert figures["current"] == 0
 
@@ -95,7 +95,7 @@
 
     async with World(as_told, breaks, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        first = await w.figures()
+        first = await w.read_metrics()
         assert first["answered"] == first["errored"] == {"preview": 0, "bundle": 0}
         assert (first["current"], first["cluster_size"], first["cluster_unhealthy"]) == (0, 2, 0)
         assert (first["conf_loaded"], first["conf_invalid"]) == (0, 0)
@@ -104,8 +104,8 @@
         await until(lambda: "draining" in w.dispatcher.endpoint_watch.states.values())
         connection = await w.connect()
         connection[1].write(job("late1"))
-        await until(lambda: w.hosts[1].got)
-        seen = await w.figures()
+        await until(lambda: w.hosts[1].received)
+        seen = await w.read_metrics()
         assert (seen["current"], seen["cluster_size"]) == (1, 2)
         assert seen["cluster_unhealthy"] >= 1
 
@@ -158,11 +158,11 @@
         assert not w.dispatcher.frontend.connections
         w.dispatcher.descriptors.used -= 0.04 * w.dispatcher.descriptors.limit  # short, but clients are heard
         assert (await w.ask(job(), waiting[0]))[0] == 503
-        assert (await w.figures())["deferred"] == {"preview": 1, "bundle": 0}
+        assert (await w.read_metrics())["deferred"] == {"preview": 1, "bundle": 0}
         w.dispatcher.descriptors.used = 10
         w.dispatcher.decisions.handle = lambda now, event: []  # a job that the module forgets ends at the backstop
         assert (await w.ask(job("r1", "preview", 200)))[0] == 504
-        assert (await w.figures())["errored"]["preview"] == 1
+        assert (await w.read_metrics())["errored"]["preview"] == 1
 
 
 @async_test
@@ -200,7 +200,7 @@
         while figures.get(name) != count:
             await asyncio.sleep(0.02)
             with contextlib.suppress(OSError):
-                figures = await w.figures()
+                figures = await w.read_metrics()
     assert figures["conf_invalid"] == 2
     assert set(figures["answered"]) == {"preview", "bundle", "other"}
     os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/backend/test_cancels.py
+++ b/tests/backend/test_cancels.py
@@ -16,15 +16,15 @@
         for n in (1, 2):
             w.begin(w.ask(job(f"r{n}")))
         hosts = w.hosts
-        await until(lambda: hosts[0].got and hosts[1].got)
+        await until(lambda: hosts[0].received and hosts[1].received)
         for request in list(w.dispatcher.open_requests.values()):
             attempt = request.attempts[0]
             await until(lambda attempt=attempt: attempt.accepted or attempt.worker == "h1")
             w.dispatcher.backend.cancel_attempt(attempt)
-        await until(lambda: len(hosts[0].got) == 2)
-        name = id_of(hosts[0].got[0][0]).encode()
-        assert hosts[0].got[1][0].startswith(b"DELETE /jobs/" + name + b" HTTP/1.1\r\n")
-        assert len(hosts[1].got) == 1
+        await until(lambda: len(hosts[0].received) == 2)
+        name = id_of(hosts[0].received[0][0]).encode()
+        assert hosts[0].received[1][0].startswith(b"DELETE /jobs/" + name + b" HTTP/1.1\r\n")
+        assert len(hosts[1].received) == 1
         assert not w.dispatcher.backend.attempts
         await until(lambda: w.dispatcher.descriptors.used <= 4)  # the attempt's connection to h1 is gone
 
--- a/tests/backend/test_job_events.py
+++ b/tests/backend/test_job_events.py
@@ -52,4 +52,4 @@
 
     async with World(slow_to_answer) as w:
         assert (await w.ask(job()))[2] == b"made"
-        assert len(w.hosts[0].got) == 1
+        assert len(w.hosts[0].received) == 1
--- a/tests/backend/test_worker_connections.py
+++ b/tests/backend/test_worker_connections.py
@@ -20,4 +20,4 @@
     async with World(serve, serve) as w:
         w.hosts[0].server.close()
         assert [(await w.ask(job(f"r{n}")))[0] for n in range(4)] == [200] * 4
-        assert not w.hosts[0].got
+        assert not w.hosts[0].received
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -18,7 +18,7 @@
     async with World(serve) as w:
         body = bytes(range(256)) * 256
         status, _, answer = await w.ask(job("r1", "bundle", 3000, body, "Idempotency-Key: k  9", "Client-Retry: 1"))
-        head, passed = w.hosts[0].got[0]
+        head, passed = w.hosts[0].received[0]
         assert (status, answer, passed) == (200, b"made", body)
         assert head.startswith(b"POST /bundle/7f3a?q=%20 HTTP/1.1\r\n")
         assert b"Idempotency-Key: k  9\r\n" in head
@@ -58,7 +58,7 @@
 async def test_client_error_of_a_worker_is_returned_and_does_not_count_against_it():
     async with World(*[lambda *_: reply(404)] * 2) as w:
         assert (await w.ask(job()))[0] == 404
-        assert sum(len(h.got) for h in w.hosts) == 1
+        assert sum(len(h.received) for h in w.hosts) == 1
         assert not w.dispatcher.open_requests
         assert [x.consecutive_failures for x in w.dispatcher.decisions.subsets.ready] == [0, 0]
         assert not w.dispatcher.decisions.requests
@@ -69,20 +69,20 @@
     monkeypatch.setattr(dispatcher_attempts, "ACCEPT_TIMEOUT_US", 100_000)
 
     async def deaf_at_first(world, head, body):
-        if sum(len(h.got) for h in world.hosts) == 1:
+        if sum(len(h.received) for h in world.hosts) == 1:
             await asyncio.sleep(60)
         return await serve(world, head, body)
 
     async with World(deaf_at_first, deaf_at_first) as w:
         assert (await w.ask(job()))[0] == 200
-        assert sorted(len(h.got) for h in w.hosts) == [1, 1]
+        assert sorted(len(h.received) for h in w.hosts) == [1, 1]
         assert sorted(x.consecutive_failures for x in w.dispatcher.decisions.subsets.ready) == [0, 1]
 
 
 @async_test
 async def test_rejected_hedged_request_leaves_the_first_attempt_to_decide():
     def first_takes_it(world, _head, _body):
-        return reply(202 if sum(len(h.got) for h in world.hosts) == 1 else 409)
+        return reply(202 if sum(len(h.received) for h in world.hosts) == 1 else 409)
 
     async with World(first_takes_it, first_takes_it) as w:
         answer = w.begin(w.ask(job()))
@@ -102,5 +102,5 @@
         status, _, _ = await w.ask(job("r1", "bundle", 1000))
         assert status == 504  # it may have run: no refusal
         assert asyncio.get_running_loop().time() - begun >= 0.9
-        await until(lambda: any(h.startswith(b"DELETE") for h, _ in w.hosts[0].got))
+        await until(lambda: any(h.startswith(b"DELETE") for h, _ in w.hosts[0].received))
         await until(lambda: not w.dispatcher.open_requests)
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -16,7 +16,7 @@
 @async_test
 async def test_the_worker_list_follows_discovery_and_an_invalid_answer_is_a_failure():
     async def script(head, body):
-        return await w.whole_list(head, body) if len(w.discovery.got) < 4 else reply(200, b"{")
+        return await w.whole_list(head, body) if len(w.discovery.received) < 4 else reply(200, b"{")
 
     w = World(serve, serve, discovery=script)
     async with w:
@@ -28,12 +28,12 @@
         w.lists.put_nowait({"seq": 3, "whole": False, "hosts": [host("h0", w.hosts[0].port, "draining")]})
         await until(lambda: scopes[1:] == [interface.ListScope.INCREMENTAL])
         assert (await w.ask(job("r1")))[0] == 200
-        assert not w.hosts[0].got
+        assert not w.hosts[0].received
         w.lists.put_nowait({"seq": 4, "whole": True, "hosts": [w.entries[0]]})  # a complete list without h1
         await until(lambda: len(scopes) >= 4)
         assert scopes[2:4] == [interface.ListScope.COMPLETE, interface.ListScope.FAILED]
         assert [worker.id for worker in w.dispatcher.decisions.subsets.ready] == ["h0"]
-        index = [head.split(b" ")[1].split(b"&")[0] for head, _ in w.discovery.got]
+        index = [head.split(b" ")[1].split(b"&")[0] for head, _ in w.discovery.received]
         assert index[1:4] == [b"/api/targets?index=2", b"/api/targets?index=3", b"/api/targets?index=4"]
 
 
@@ -48,8 +48,8 @@
         return answers.pop(0) if answers else await never(None, None, None)
 
     async with World(serve, discovery=script) as w:
-        await until(lambda: len(w.discovery.got) > 3)
-        targets = [head.split(b" ")[1] for head, _ in w.discovery.got]
+        await until(lambda: len(w.discovery.received) > 3)
+        targets = [head.split(b" ")[1] for head, _ in w.discovery.received]
         assert targets[0] == b"/api/targets?index=1&wait=0"  # the version of the cached list
         assert [target.split(b"&")[0][-7:] for target in targets] == [b"index=1", b"index=1", b"index=5", b"index=5"]
         # Polls, except for the watch that follows the successful poll.
@@ -79,7 +79,7 @@
     async with World(serve, siblings=40, index=7) as w:
         assert (await w.ask(job()))[0] == 200  # served by the workers of the cached list
         await asyncio.sleep(0.1)
-        assert not w.discovery.got
+        assert not w.discovery.received
         assert not w.dispatcher.ready
 
 
--- a/tests/discovery/test_stale_watches.py
+++ b/tests/discovery/test_stale_watches.py
@@ -67,19 +67,19 @@
 
     w = World(serve, discovery=script)
     async with w:
-        await until(lambda: len(w.discovery.got) > 3)
-        scopes, calls_before = record_scopes(w), len(w.discovery.got)
+        await until(lambda: len(w.discovery.received) > 3)
+        scopes, calls_before = record_scopes(w), len(w.discovery.received)
         silent.set()
         if poll_result == "answered":
             await until(lambda: scopes and scopes[-1] == interface.ListScope.COMPLETE)
             assert interface.ListScope.FAILED not in scopes
             assert not w.dispatcher.decisions.subsets.ready
-            await until(lambda: b"index=3&wait=" in w.discovery.got[-1][0])  # the next call is a watch again
+            await until(lambda: b"index=3&wait=" in w.discovery.received[-1][0])  # the next call is a watch again
         else:
             await until(lambda: scopes and scopes[-1] == interface.ListScope.FAILED)
         assert len(polls) == (1 if poll_result == "answered" else 2)
-        assert len(w.discovery.got) <= calls_before + 4
-        waits = [int(head.split(b"wait=")[1].split(b" ")[0]) for head, _ in w.discovery.got[1:]]
+        assert len(w.discovery.received) <= calls_before + 4
+        waits = [int(head.split(b"wait=")[1].split(b" ")[0]) for head, _ in w.discovery.received[1:]]
         assert all(40 <= wait <= 60 or not wait for wait in waits)
 
 
@@ -94,7 +94,7 @@
         await until(lambda: w.dispatcher.ready)
         assert not w.dispatcher.decisions.subsets.ready
         assert (await w.ask(job(timeout=300)))[0] == 503
-        assert not w.hosts[0].got
+        assert not w.hosts[0].received
 
 
 @async_test
@@ -108,10 +108,10 @@
 
     w = World(serve, discovery=script, **AGENT_SETTINGS)
     async with w:
-        await until(lambda: w.dispatcher.ready and len(w.discovery.got) == 2)
+        await until(lambda: w.dispatcher.ready and len(w.discovery.received) == 2)
         agent_down.set()
         w.lists.put_nowait(None)
-        await until(lambda: len(w.discovery.got) > 9)  # the policy's own retry would come only after about 20 s
+        await until(lambda: len(w.discovery.received) > 9)  # the policy's own retry would come only after about 20 s
         agent_down.clear()
         w.lists.put_nowait(list_answer(w, 3, "draining"))
         await until(lambda: not w.dispatcher.decisions.subsets.ready)
@@ -131,13 +131,13 @@
     """A change must be known 4 s after a move, but of 200 starting dispatchers some wait 20 s before the first call."""
     async with World(serve, discovery=lambda head, _body: list_answer(w, 2), siblings=200, index=3) as w:
         await asyncio.sleep(0.05)
-        assert not w.discovery.got
+        assert not w.discovery.received
         started_at = w.dispatcher.clock.now()
         w.dispatcher.endpoint_watch.change_address(("127.0.0.1", 1))  # nothing listens there
         w.dispatcher.endpoint_watch.change_address(("127.0.0.1", w.discovery.port))
         await until(lambda: w.dispatcher.ready)
         assert w.dispatcher.clock.now() - started_at < 2_000_000
-        assert b"index" not in w.discovery.got[0][0]  # the complete list
+        assert b"index" not in w.discovery.received[0][0]  # the complete list
 
 
 class Discovery:
--- a/tests/dispatcher/test_admission.py
+++ b/tests/dispatcher/test_admission.py
@@ -29,7 +29,7 @@
 
 
 def sent_attempts(w):
-    return [head for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")]
+    return [head for peer in w.hosts for head, _ in peer.received if head.startswith(b"POST")]
 
 
 def record_requests(w):
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -18,7 +18,7 @@
 
 
 def posted_ids(peer):
-    return [id_of(head) for head, _ in peer.got if head.startswith(b"POST")]
+    return [id_of(head) for head, _ in peer.received if head.startswith(b"POST")]
 
 
 class WaitingAttempt:
@@ -126,7 +126,7 @@
         await until(lambda: w.dispatcher.ready)
         sock = socket.create_connection(("127.0.0.1", w.port))
         sock.sendall(b"".join(job(f"r{n}", "preview", 5000, b"x" * 30_000) for n in range(20)))
-        await until(lambda: w.hosts[0].got)
+        await until(lambda: w.hosts[0].received)
         event_types, handle = [], w.dispatcher.decisions.handle
         w.dispatcher.decisions.handle = lambda now, event: event_types.append(type(event)) or handle(now, event)
         sock.close()
@@ -193,7 +193,7 @@
         assert await loop.run_in_executor(None, sock.recv, 65536) == b""
         await asyncio.sleep(0.05)
         sock.sendall(b"x")  # raises if the connection was reset because of the request
-        assert not w.hosts[0].got
+        assert not w.hosts[0].received
         assert not w.dispatcher.open_requests
         sock.close()
         await until(lambda: not w.dispatcher.frontend.connections)
@@ -260,11 +260,11 @@
     async with World(accept_later) as w:
         await until(lambda: w.dispatcher.ready)
         w.begin(w.ask(job("r1")))
-        await until(lambda: w.hosts[0].got)
+        await until(lambda: w.hosts[0].received)
         attempt = w.dispatcher.open_requests[1].attempts[0]
         w.hosts[0].writers[0].write(reply(202))  # in the socket at once; the event loop has not read it yet
         w.dispatcher.backend.cancel_attempt(attempt)
-        await until(lambda: any(head.startswith(b"DELETE /jobs/r1 ") for head, _ in w.hosts[0].got))
+        await until(lambda: any(head.startswith(b"DELETE /jobs/r1 ") for head, _ in w.hosts[0].received))
 
 
 @pytest.mark.parametrize("cancel_answered", [True, False])
@@ -321,7 +321,7 @@
         for name in ("h1", "h2"):
             decisions.workers[name].ejected_until = dispatcher.clock.now() + SEC  # so the first attempt goes to h0
         answer = w.begin(w.ask(job("r1", "bundle", 1500)))
-        await until(lambda: w.hosts[0].got)
+        await until(lambda: w.hosts[0].received)
         decisions.workers["h2"].ejected_until = 0
         decisions.placement.send(decisions.requests[1], decisions.workers["h1"])
         actions = decisions.context.take_actions()
@@ -329,7 +329,7 @@
         await until(lambda: dispatcher.open_requests[1].attempts[1].ended)  # its connection was reset: it may have run
         reject.set()
         assert (await answer)[0] in (502, 504)  # a failure rather than a rejection, because an attempt may have run
-        assert not w.hosts[2].got
+        assert not w.hosts[2].received
 
 
 @async_test
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -233,9 +233,9 @@
         assert w.dispatcher.backend.reports.field_names == ["rps"]
         assert (await w.ask(job("r0", "preview")))[0] == 400  # the tenant is missing
         reload_with({**CLASS, "name": "preview"}, {**CLASS, "name": "amend"})
-        assert (await w.figures())["answered"] == {"preview": 0, "bundle": 0, "amend": 0}
+        assert (await w.read_metrics())["answered"] == {"preview": 0, "bundle": 0, "amend": 0}
         held = w.begin(w.ask(job("held1", "preview")))
-        await until(lambda: w.hosts[0].got or w.hosts[1].got)
+        await until(lambda: w.hosts[0].received or w.hosts[1].received)
         reload_with(
             {**CLASS, "name": "amend", "semantics": "dedup", "group": "all", "dedupWindowUs": 5_000_000},
             {**CLASS, "name": "bundle"},
@@ -250,5 +250,5 @@
         assert (await held)[0] == 200
         reload_with({**CLASS, "name": "preview", "deadlineUs": 1_000_000})
         assert (await w.ask(job("r5", "preview")))[0] == 200
-        figures = await w.figures()
+        figures = await w.read_metrics()
         assert figures["answered"] == {"preview": 2, "bundle": 1, "amend": 1}
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -27,7 +27,7 @@
 async def test_the_program_answers_all_requests_before_it_exits_on_sigterm(tmp_path):
     async with World(serve) as w, program(w, tmp_path / "config.json") as process:
         answer = w.begin(w.ask(job()))
-        await until(lambda: w.hosts[0].got)
+        await until(lambda: w.hosts[0].received)
         process.terminate()
         while process.returncode is None:  # a SIGHUP must be harmless during a drain, until the process ends
             # process.send_signal may reap the child before asyncio does, which then reports exit code 255.
@@ -51,11 +51,11 @@
                 while b" error reload_failed" not in line:
                     line = await process.stderr.readline()
                 assert field in line
-                assert not new.got
+                assert not new.received
                 assert (await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
             config.write_text(json.dumps({**good, "discovery": f"127.0.0.1:{new.port}"}))
             process.send_signal(signal.SIGHUP)
-            await until(lambda: len(new.got) == 2)  # the complete list, then the watch
+            await until(lambda: len(new.received) == 2)  # the complete list, then the watch
         new.server.close()
 
 
@@ -78,7 +78,7 @@
             scopes.append(event.scope) if type(event) is interface.EndpointList else None
         ) or handle(now, event)
         answer = w.begin(w.ask(job()))
-        await until(lambda: w.hosts[0].got and any(b"index=" in head for head, _ in w.discovery.got))
+        await until(lambda: w.hosts[0].received and any(b"index=" in head for head, _ in w.discovery.received))
         peer = await Peer(fail_first).open()
         w.dispatcher.reload(w.dispatcher.config._replace(discovery=("127.0.0.1", peer.port)))
         await until(lambda: len(calls) == 3)
@@ -126,7 +126,7 @@
     async with World(slow) as w:
         idle, busy = await w.connect(), w.begin(w.ask(job("r1")))
         await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", idle)
-        await until(lambda: w.hosts[0].got and len(w.dispatcher.frontend.connections) == 2)
+        await until(lambda: w.hosts[0].received and len(w.dispatcher.frontend.connections) == 2)
         w.dispatcher.drain()
         assert await idle[0].read() == b""  # closed between requests
         assert (await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
@@ -150,7 +150,7 @@
         fresh, late = await w.connect(), await w.connect()
         await until(lambda: len(w.dispatcher.frontend.connections) == 2)
         before = w.begin(w.ask(job("r0", "preview", 5000)))
-        await until(lambda: w.hosts[0].got + w.hosts[1].got)
+        await until(lambda: w.hosts[0].received + w.hosts[1].received)
         drain_began_at = w.dispatcher.clock.now()
         w.dispatcher.drain()
         status, head, _ = await w.ask(job("r1", "preview", 5000, b"x", f"Work-Hint: {hint}"), fresh)
@@ -158,7 +158,7 @@
         assert status == 503
         assert b"Retry-After" in head
         assert b"Connection: close" in head
-        assert len(w.hosts[0].got + w.hosts[1].got) == (1 if hint else 2)
+        assert len(w.hosts[0].received + w.hosts[1].received) == (1 if hint else 2)
         assert not hint or took < 300_000
         assert took < shutdown.KILL_DELAY_US
         assert not before.done()
@@ -206,7 +206,7 @@
         assert status == 503
         assert b"Retry-After" in head
         assert [worker.consecutive_failures for worker in w.dispatcher.decisions.subsets.ready] == [0, 0]
-        assert not w.hosts[0].got + w.hosts[1].got
+        assert not w.hosts[0].received + w.hosts[1].received
 
 
 @async_test
@@ -331,13 +331,13 @@
     ):
         for n in range(2):
             answers = [w.begin(w.ask(job(f"s{n}-{k}"))) for k in range(8)]
-            await until(lambda n=n: sum(len(peer.got) for peer in w.hosts) == 8 * (n + 1))
+            await until(lambda n=n: sum(len(peer.received) for peer in w.hosts) == 8 * (n + 1))
             await asyncio.sleep(0.5)
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(1.5)  # by the clock alone, three progress events seem to be missing
             process.send_signal(signal.SIGCONT)
             assert [answer[0] for answer in await asyncio.gather(*answers)] == [200] * 8
-        assert sum(len(peer.got) for peer in w.hosts) == 16  # no cancel, no second attempt
+        assert sum(len(peer.received) for peer in w.hosts) == 16  # no cancel, no second attempt
         output = b""
         process.terminate()
         while line := await process.stderr.readline():
@@ -360,8 +360,8 @@
             {"seq": 4, "whole": True, "hosts": [*many, {"host": "x"}]},
             {"seq": 4, "whole": True, "hosts": [], "pad": "x" * endpoint_watch.WIRE_LIST_LIMIT_BYTES},
         ):
-            calls = len(w.discovery.got)
+            calls = len(w.discovery.received)
             await w.lists.put(invalid)
             # After the failure the list is requested again.
-            await until(lambda calls=calls: len(w.discovery.got) > calls + 1)
+            await until(lambda calls=calls: len(w.discovery.received) > calls + 1)
             assert (await w.ask(job(f"r{calls}")))[0] == 200
--- a/tests/frontend/test_bad_requests.py
+++ b/tests/frontend/test_bad_requests.py
@@ -82,7 +82,7 @@
         assert await reader.read() == b""
         writer.close()
         await until(lambda: not w.dispatcher.has_pending_responses)
-        assert not w.hosts[0].got
+        assert not w.hosts[0].received
 
 
 @async_test
--- a/tests/frontend/test_client_requests.py
+++ b/tests/frontend/test_client_requests.py
@@ -8,7 +8,7 @@
     async with World(accept_only) as w:
         _, writer = await w.connect()
         writer.write(job())
-        await until(lambda: w.hosts[0].got)
+        await until(lambda: w.hosts[0].received)
         writer.close()
         await until(lambda: not w.dispatcher.has_pending_responses)
         assert await w.call_back("r1", "done", result="x") == 200
@@ -19,7 +19,7 @@
 async def test_client_timeout_is_limited_by_the_deadline_of_the_class():
     async with World(accept_only) as w:
         w.begin(w.ask(job("r1", timeout=3_000_000)))
-        await until(lambda: w.hosts[0].got)
+        await until(lambda: w.hosts[0].received)
         (request,) = w.dispatcher.open_requests.values()
         assert request.forwarded.deadline - request.received_at == SETTINGS["requestClasses"][0]["deadlineUs"]
 
@@ -28,7 +28,7 @@
 async def test_request_with_the_id_of_an_open_one_is_rejected():
     async with World(accept_only) as w:
         w.begin(w.ask(job("r1")))
-        await until(lambda: w.hosts[0].got)
+        await until(lambda: w.hosts[0].received)
         assert (await w.ask(job("r1")))[0] == 400
         assert len(w.dispatcher.open_requests) == 1
 
@@ -51,4 +51,4 @@
         writer.write(head)
         assert (await read_message(reader))[0].startswith(b"HTTP/1.1 100 ")
         assert (await w.ask(b"late", (reader, writer)))[0] == 200
-        assert w.hosts[0].got[0][1] == b"late"
+        assert w.hosts[0].received[0][1] == b"late"
--- a/tests/frontend/test_partial_messages.py
+++ b/tests/frontend/test_partial_messages.py
@@ -31,7 +31,7 @@
 
     async with World(takes, ops=True) as w:
         for peer in (*w.hosts, w.discovery):
-            peer.piece = size
+            peer.write_size = size
         reader, writer = await w.connect()
         chunked = (
             job("r2").replace(b"Content-Length: 1\r\n", b"Transfer-Encoding: chunked\r\n")[:-1] + b"1\r\nx\r\n0\r\n\r\n"
@@ -39,7 +39,7 @@
         for text in (job("r1", body=b"hello"), chunked):
             await in_pieces(writer, text, size)
             assert (await read_message(reader))[1] == b"made"
-        assert [body for _, body in w.hosts[0].got] == [b"hello", b"x"]
+        assert [body for _, body in w.hosts[0].received] == [b"hello", b"x"]
         assert w.dispatcher.endpoint_watch.version == 2
         reader, writer = await asyncio.open_connection("127.0.0.1", w.ops_port)
         await in_pieces(writer, b"GET /metrics HTTP/1.1\r\nA: b\r\n\r\n", size)
--- a/tests/hot_restart/test_real_upgrades.py
+++ b/tests/hot_restart/test_real_upgrades.py
@@ -53,9 +53,9 @@
             await upgrade_once(s, disturbance)
         done, _ = await load
         assert [t.exception() for t in done] == [None] * 4
-        assert Counter(s.ends) == {(200, b"made"): 160}
-        assert set(s.ran.values()) == {1}
-        assert len(s.ran) == 160
+        assert Counter(s.responses) == {(200, b"made"): 160}
+        assert set(s.attempt_counts.values()) == {1}
+        assert len(s.attempt_counts) == 160
 
 
 @pytest.mark.parametrize("peer_state", ["stopped", "stale"])
@@ -76,7 +76,7 @@
             s.processes[0][0].kill()
             await s.processes[0][0].wait()  # until it has ended, its listen queue gets connections too
         await s.client("c", 5)
-        assert Counter(s.ends) == {(200, b"made"): 5}
+        assert Counter(s.responses) == {(200, b"made"): 5}
         assert path.stat().st_mode & 0o777 == 0o600
 
 
@@ -92,9 +92,9 @@
             await asyncio.sleep(0.001)
         s.processes[1][0].send_signal(number)
         await s.client("c", 3)
-        assert Counter(s.ends) == {(200, b"made"): 3}
+        assert Counter(s.responses) == {(200, b"made"): 3}
         # The old process is not ready again until it has found out that the new one has ended or is silent.
-        while not await s.says_yes(s.processes[0][1]):
+        while not await s.is_ready(s.processes[0][1]):
             await asyncio.sleep(0.02)
         starting.cancel()
         if number == signal.SIGKILL:
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -81,7 +81,7 @@
             for reader, _ in [*connections, pipelined, pipelined]:
                 head, body = await read_message(reader)
                 assert (head.split()[1], body) == (b"200", b"made")
-            runs = Counter(id_of(head) for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST"))
+            runs = Counter(id_of(head) for peer in w.hosts for head, _ in peer.received if head.startswith(b"POST"))
             assert runs == {f"r{n}": 1 for n in range(60)} | {"first": 1, "second": 1}
             assert not any(x.in_flight_slots or x.running_slots for x in second.dispatcher.decisions.workers.values())
 
@@ -146,7 +146,7 @@
             if sender_ends:
                 first.peers.newer.channel.close()
             assert (await answer)[0] == 200
-            assert (await w.figures())["current"] == 0
+            assert (await w.read_metrics())["current"] == 0
             client_end, dispatcher_end = socket.socketpair()
             # A connection whose request cannot be restored is closed, since its client would wait for ever otherwise.
             with pytest.raises(ZeroDivisionError):
--- a/tests/load_balancing/test_deployment_settings.py
+++ b/tests/load_balancing/test_deployment_settings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from badgerroad.load_balancing import interface
-from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Deployment, infos, many, zoned
+from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Deployment, endpoint_list, fleet_driver, two_zone_driver
 from tests.support.policy_driver import MS, SEC, Driver, finals, sends
 
 TENANTS = (interface.Tenant("a", 4.0, 0.5), interface.Tenant("b", 4.0, 0.3), interface.Tenant("c", 4.0, 0.2))
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("with_hints", [True, False], ids=["with_hints", "without_hints"])
 def test_all_dispatchers_together_keep_the_slow_start_budget_for_any_number_of_them(dispatcher_count, with_hints):
     start = 100 * SEC
-    fleet = tuple(worker._replace(started_at=start) if n < 20 else worker for n, worker in enumerate(infos(60)))
+    fleet = tuple(worker._replace(started_at=start) if n < 20 else worker for n, worker in enumerate(endpoint_list(60)))
     deployment = Deployment(dispatcher_count, 3, fleet, [20 * MS, 50 * MS, 100 * MS, 250 * MS])
     if not with_hints:
         for driver in deployment.drivers:
@@ -68,21 +68,21 @@
     assert slots <= 4
     assert deployment.max_share_of_slow_start_bound(slots, deployment.drivers[0].policy.settings) <= 1.0
     assert dispatcher_count < 5 or any(
-        sent.worker_started_at for sent in deployment.log
+        sent.worker_started_at for sent in deployment.sent_attempts
     )  # few dispatchers have enough warm workers
 
 
 def test_restarted_dispatcher_does_not_spend_its_slow_start_budget_twice():
-    fleet = infos(60, started_at=99 * SEC)
+    fleet = endpoint_list(60, started_at=99 * SEC)
     for number in range(100):
-        driver = many(number, fleet=fleet, overload_window=3 * SEC)
+        driver = fleet_driver(number, fleet=fleet, overload_window=3 * SEC)
         assert not sends(driver.request(1))
         assert driver.policy.context.first_event_at == driver.now
 
 
 def test_hedging_becomes_rare_while_most_requests_wait_in_all_zones_and_recovers():
     """Workers that run cancelled attempts anyway do not report it; with them, unlimited hedging filled all queues."""
-    driver = zoned()
+    driver = two_zone_driver()
     hedged = []
     for request in range(1, 61):
         driver.request(request)
@@ -104,7 +104,7 @@
 def test_request_without_hint_earns_less_hedging_budget():
     hedged = []
     for hint in (10 * MS, 0):
-        driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, seed=4)
+        driver = fleet_driver(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, seed=4)
         driver.policy.hedging.budget.tokens, driver.policy.hedging.budget.tokens_per_request = 0.0, 1.0
         for request in range(1, 21):
             driver.request(request, hint=hint)
--- a/tests/load_balancing/test_dispatch_policy.py
+++ b/tests/load_balancing/test_dispatch_policy.py
@@ -10,7 +10,7 @@
 
 
 def test_queued_request_is_answered_before_its_deadline():
-    driver = Driver(infos=())
+    driver = Driver(endpoints=())
     driver.request(1, hint=0)
     actions = driver.advance(7 * SEC)
     assert finals(actions) == [interface.Reject(1)]
@@ -19,7 +19,7 @@
 
 
 def test_request_that_cannot_meet_its_objective_is_rejected_early():
-    driver = Driver(infos=())
+    driver = Driver(endpoints=())
     driver.request(1, hint=100 * MS)
     actions = driver.advance(600 * MS)
     assert finals(actions) == [interface.Reject(1)]
--- a/tests/load_balancing/test_large_fleets.py
+++ b/tests/load_balancing/test_large_fleets.py
@@ -8,7 +8,7 @@
 
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy.selection import WorkerSelection
-from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Deployment, infos, many
+from tests.support.fleets import WITH_IDEMPOTENCY_KEY, Deployment, endpoint_list, fleet_driver
 from tests.support.policy_driver import MS, SEC, Driver, finals, sends
 
 
@@ -16,7 +16,9 @@
 def test_all_dispatchers_together_keep_the_slow_start_budget_and_use_it(warming_up):
     # A hundredth of a budget is less than one request: with even shares, such workers got nothing until warmed up.
     start = 100 * SEC
-    fleet = tuple(worker._replace(started_at=start) if n < warming_up else worker for n, worker in enumerate(infos(60)))
+    fleet = tuple(
+        worker._replace(started_at=start) if n < warming_up else worker for n, worker in enumerate(endpoint_list(60))
+    )
     deployment = Deployment(100, 5, fleet, [5 * MS, 20 * MS, 20 * MS, 40 * MS, 300 * MS])
     settings = deployment.drivers[0].policy.settings
     deployment.run(3)
@@ -33,13 +35,13 @@
     assert (
         0.4 < deployment.max_share_of_slow_start_bound(1.0, settings) <= 1.0
     )  # each worker has at least the capacity of one slot at speed 1
-    slow_start_sends = [sent.worker for sent in deployment.log if sent.worker_started_at]
+    slow_start_sends = [sent.worker for sent in deployment.sent_attempts if sent.worker_started_at]
     assert len({*slow_start_sends}) == warming_up
     assert len(slow_start_sends) > 5 * warming_up
 
 
 def test_worker_listed_again_gets_no_new_slow_start_budget():
-    driver = many(dispatcher_count=1, workers=1, fleet=infos(1, started_at=99 * SEC), max_attempts=9)
+    driver = fleet_driver(dispatcher_count=1, workers=1, fleet=endpoint_list(1, started_at=99 * SEC), max_attempts=9)
     for n in range(1, 31):
         actions = driver.request(n, 100 * MS)
         for request, worker in sends(actions):
@@ -52,14 +54,14 @@
                 (driver.policy.workers["w0"].info._replace(state=interface.WorkerState.GONE, started_at=0),),
             )
         )
-        driver.handle(interface.EndpointList(interface.ListScope.INCREMENTAL, 3, infos(1, started_at=99 * SEC)))
+        driver.handle(interface.EndpointList(interface.ListScope.INCREMENTAL, 3, endpoint_list(1, started_at=99 * SEC)))
     assert 0 < len(sends(driver.actions)) <= 3.0 * (0.2 + 0.8 * 0.1) * SEC / (100 * MS)
 
 
 def test_subsets_spread_workers_evenly_over_dispatchers():
     use_counts = {}
     for n in range(100):
-        subset = many(n).policy.subsets.local
+        subset = fleet_driver(n).policy.subsets.local
         assert 3 <= len(subset) <= 4
         for worker in subset:
             use_counts[worker.id] = use_counts.get(worker.id, 0) + 1
@@ -68,23 +70,25 @@
 
 
 def test_subset_changes_little_when_one_worker_joins_or_leaves():
-    before = [{worker.id for worker in many(n).policy.subsets.local} for n in range(0, 100, 9)]
+    before = [{worker.id for worker in fleet_driver(n).policy.subsets.local} for n in range(0, 100, 9)]
     for workers in (59, 61):
-        after = [{worker.id for worker in many(n, workers=workers).policy.subsets.local} for n in range(0, 100, 9)]
+        after = [
+            {worker.id for worker in fleet_driver(n, workers=workers).policy.subsets.local} for n in range(0, 100, 9)
+        ]
         assert max(len(old - new) for old, new in zip(before, after, strict=False)) <= 2
 
 
 @pytest.mark.parametrize("dispatcher_count", [1, 2, 3])
 def test_few_dispatchers_use_the_whole_fleet(dispatcher_count):
-    driver = many(dispatcher_count - 1, dispatcher_count, workers=15)
+    driver = fleet_driver(dispatcher_count - 1, dispatcher_count, workers=15)
     assert driver.policy.subsets.uses_whole_fleet
     assert len(driver.policy.subsets.local) == 15
 
 
 def test_choices_do_not_depend_on_the_hash_seed_of_the_process():
     code = (
-        "import sys; from tests.support.fleets import *; from tests.support.policy_driver import *; driver = many(7, fleet=tuple(w._replace("
-        "worker=w.worker.encode()) for w in infos(60, started_at=99 * SEC)));"
+        "import sys; from tests.support.fleets import *; from tests.support.policy_driver import *; driver = fleet_driver(7, fleet=tuple(w._replace("
+        "worker=w.worker.encode()) for w in endpoint_list(60, started_at=99 * SEC)));"
         "print([w.id for w in driver.policy.subsets.local], [driver.policy.warm_up.dispatcher_rank(w) for w in driver.policy.subsets.local], driver.request(1))"
     )
     outputs = {
@@ -103,7 +107,7 @@
 
 @pytest.mark.parametrize("fault", ["silent", "draining", "gone", "error", "full"])
 def test_requests_go_outside_the_subset_when_all_its_workers_fail(fault):
-    driver = many()
+    driver = fleet_driver()
     subset = [worker.id for worker in driver.policy.subsets.local]
     if fault in ("draining", "gone"):
         state = interface.WorkerState.DRAINING if fault == "draining" else interface.WorkerState.GONE
@@ -111,7 +115,7 @@
             interface.EndpointList(
                 interface.ListScope.INCREMENTAL,
                 2,
-                tuple(worker._replace(state=state) for worker in infos(60) if worker.worker in subset),
+                tuple(worker._replace(state=state) for worker in endpoint_list(60) if worker.worker in subset),
             )
         )
     sent_elsewhere = []
@@ -138,7 +142,7 @@
 
 
 def hedged_request(**settings_changes):
-    driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, **settings_changes)
+    driver = fleet_driver(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True, **settings_changes)
     ((_, first),) = sends(driver.request(1))
     actions = driver.advance(50 * MS)
     return driver, first, sends(actions)
@@ -146,14 +150,14 @@
 
 def test_waiting_request_with_an_idempotency_key_is_hedged_in_its_cell_and_other_attempts_are_cancelled():
     driver, first, hedged = hedged_request()
-    cell = {worker.worker: worker.cell for worker in infos(60)}
+    cell = {worker.worker: worker.cell for worker in endpoint_list(60)}
     assert hedged
     assert all(cell[worker] == cell[first] and worker != first for _, worker in hedged)
     assert interface.Cancel(1, 0) in driver.start(1, 1, hedged[0][1])
 
 
 def test_started_request_is_not_hedged():
-    driver = many(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True)
+    driver = fleet_driver(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True)
     ((_, first),) = sends(driver.request(1))
     driver.start(1, 0, first)
     assert not sends(driver.advance(SEC))
@@ -165,14 +169,16 @@
     ids=["whole_fleet", "no_cancel", "no_start_reports"],
 )
 def test_no_hedging_without_a_subset_cancels_or_start_reports(settings_changes):
-    driver = many(**{**dict(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True), **settings_changes})
+    driver = fleet_driver(
+        **{**dict(cls=WITH_IDEMPOTENCY_KEY, hedging_allowed=True, cancel_allowed=True), **settings_changes}
+    )
     driver.request(1)
     assert not sends(driver.advance(SEC))
 
 
 def test_no_hedging_where_a_class_is_not_idempotent():
     driver = Driver(
-        infos=infos(60),
+        endpoints=endpoint_list(60),
         dispatcher_count=100,
         hedging_allowed=True,
         cancel_allowed=True,
@@ -194,7 +200,7 @@
     monkeypatch.setattr(
         WorkerSelection, "is_available", lambda self, worker: examined.append(worker) or original(self, worker)
     )
-    driver = many(dispatcher_count=workers * 2, workers=workers)
+    driver = fleet_driver(dispatcher_count=workers * 2, workers=workers)
     examined.clear()
     for number in range(50):
         for request, worker in sends(driver.request(number)):
@@ -204,7 +210,7 @@
 
 
 def test_state_stays_bounded_while_workers_come_and_go():
-    driver = many(workers=20)
+    driver = fleet_driver(workers=20)
     for n in range(400):
         driver.advance(SEC)
         fresh = tuple(
@@ -224,7 +230,7 @@
 def test_failed_subscriptions_are_retried_at_spread_times_within_the_interval():
     times = set()
     for n in range(60):
-        driver = many(n, seed=1000 + n)
+        driver = fleet_driver(n, seed=1000 + n)
         driver.handle(interface.EndpointList(interface.ListScope.FAILED))
         last = began = driver.now
         for _ in range(6):
@@ -238,7 +244,7 @@
 
 @pytest.mark.parametrize("weight", [1.0, 0.0, "live"])
 def test_all_workers_of_the_subset_are_used_with_any_weights(weight):
-    driver, rng = many(), random.Random(3)
+    driver, rng = fleet_driver(), random.Random(3)
     for n in range(200):
         if n % 10 == 0:
             driver.handle(
@@ -246,7 +252,8 @@
                     interface.ListScope.COMPLETE,
                     n + 2,
                     tuple(
-                        worker._replace(weight=rng.random() * 4 if weight == "live" else weight) for worker in infos(60)
+                        worker._replace(weight=rng.random() * 4 if weight == "live" else weight)
+                        for worker in endpoint_list(60)
                     ),
                 )
             )
@@ -263,7 +270,7 @@
 
 
 def test_reported_free_slots_break_ties_until_stale():
-    driver = many(load_report_fields=("x0",), seed=4)
+    driver = fleet_driver(load_report_fields=("x0",), seed=4)
     subset = [worker.id for worker in driver.policy.subsets.local]
     for n in range(300):
         actions = sends(driver.request(n))
@@ -282,7 +289,7 @@
 
 def test_health_checks_are_sent_only_if_allowed_and_own_traffic_is_small():
     for checks_allowed, dispatcher_count, expected in ((True, 100, 2), (True, 1, 0), (False, 100, 0)):
-        driver = many(
+        driver = fleet_driver(
             dispatcher_count=dispatcher_count, health_checks_allowed=checks_allowed, load_report_fields=("x0",)
         )
         actions = driver.request(1)
@@ -297,7 +304,7 @@
 
 
 def test_worker_whose_last_start_was_late_loses_ties():
-    driver = many(seed=8)
+    driver = fleet_driver(seed=8)
     ((_, slow),) = sends(driver.request(1))
     driver.advance(300 * MS)
     driver.start(1, 0, slow)
@@ -312,7 +319,7 @@
 def test_start_delay_is_learned_from_few_starts_if_own_traffic_is_small():
     # Each of many dispatchers sees few starts. With a weight of 0.1 they went on sending to full queues for seconds.
     for dispatcher_count, weight in ((100, 0.25), (1, 0.1)):
-        driver = many(dispatcher_count=dispatcher_count)
+        driver = fleet_driver(dispatcher_count=dispatcher_count)
         ((_, worker),) = sends(driver.request(1))
         driver.advance(200 * MS)
         driver.start(1, 0, worker)
--- a/tests/load_balancing/test_retries.py
+++ b/tests/load_balancing/test_retries.py
@@ -98,7 +98,9 @@
     rows = (("b", 0, 0), ("c", 0, 1), ("d", 1, 2))
     for seed in range(12):
         driver = Driver(
-            cls=with_idempotency_key(deduplication_scope), seed=seed, infos=(interface.Endpoint("a", zone=0, cell=0),)
+            cls=with_idempotency_key(deduplication_scope),
+            seed=seed,
+            endpoints=(interface.Endpoint("a", zone=0, cell=0),),
         )
         assert sends(driver.request(1)) == [(1, "a")]
         driver.handle(
@@ -146,7 +148,7 @@
 def test_silent_worker_keeps_a_request_that_no_other_may_run():
     driver = Driver(
         cls=with_idempotency_key(interface.DeduplicationScope.CELL),
-        infos=(interface.Endpoint("a", cell=0), interface.Endpoint("b", cell=1)),
+        endpoints=(interface.Endpoint("a", cell=0), interface.Endpoint("b", cell=1)),
         progress_interval=SEC,
         cancel_allowed=True,
         hedging_allowed=True,
--- a/tests/load_balancing/test_retry_after.py
+++ b/tests/load_balancing/test_retry_after.py
@@ -34,7 +34,7 @@
         interface.Endpoint(f"w{n}", machine_type=n % 2, started_at=rng.choice((0, 95 * SEC))) for n in range(12)
     )
     driver = Driver(
-        infos=infos,
+        endpoints=infos,
         cls=CLASS,
         retry_after_allowed=True,
         max_retry_after=600 * SEC,
--- a/tests/load_balancing/test_worker_selection.py
+++ b/tests/load_balancing/test_worker_selection.py
@@ -136,7 +136,7 @@
 
 def test_every_request_is_answered_while_all_workers_warm_up():
     infos = tuple(interface.Endpoint(f"w{n}", started_at=99_900_000) for n in range(3))
-    driver = Driver(infos=infos, dispatcher_count=2)
+    driver = Driver(endpoints=infos, dispatcher_count=2)
     actions = []
     for n in range(20):
         actions += driver.request(n, hint=100 * MS)
@@ -166,7 +166,9 @@
 
 def test_speed_decides_only_between_workers_with_nearly_equal_own_load():
     def chosen_worker(in_flight, hint=10 * MS):
-        driver = Driver(infos=(interface.Endpoint("fast", machine_type=0), interface.Endpoint("slow", machine_type=1)))
+        driver = Driver(
+            endpoints=(interface.Endpoint("fast", machine_type=0), interface.Endpoint("slow", machine_type=1))
+        )
         for n, speed in enumerate((1.0, 0.4)):
             machine_type = driver.policy.subsets.roster.machine_types[n]
             machine_type.slots, machine_type.throughput.work, machine_type.throughput.elapsed = 4.0, speed * SEC, SEC
--- a/tests/load_balancing/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -6,7 +6,7 @@
 
 from badgerroad.discovery.watch_schedule import WatchSchedule
 from badgerroad.load_balancing import interface
-from tests.support.fleets import zoned
+from tests.support.fleets import two_zone_driver
 from tests.support.policy_driver import MS, SEC, Driver, sends
 
 
@@ -36,15 +36,15 @@
 
 
 def test_first_attempts_stay_local_until_requests_start_at_once_only_remotely():
-    driver = zoned()
+    driver = two_zone_driver()
     all_start = first_sends(driver, 60, starting_zones={0, 1})
     assert all_start.count(1) == 0
-    local_zone_waits = first_sends(zoned(seed=2), 120, starting_zones={1})
+    local_zone_waits = first_sends(two_zone_driver(seed=2), 120, starting_zones={1})
     assert 0.3 < local_zone_waits[60:].count(1) / 60 < 0.9  # some stay local, so that a recovery is noticed
 
 
 def test_requests_are_hedged_at_growing_intervals():
-    driver = zoned()
+    driver = two_zone_driver()
     driver.request(1)
     sent = [driver.now for _ in range(1500) for _ in sends(driver.advance(2 * MS))]
     assert len(sent) == 4
@@ -55,7 +55,7 @@
 
 def test_one_slow_outlier_does_not_slow_its_machine_type():
     """An uncapped run of twenty times its hint lowered the speed of the type so far that requests were rejected unsent."""
-    driver = zoned()
+    driver = two_zone_driver()
     for request, slowdown in ((1, 20), (2, 1), (3, 1)):
         (_, worker), *_ = sends([*driver.request(request, 2 * SEC, 200 * SEC), *driver.advance(50 * MS)])
         driver.start(request, 0, worker)
@@ -83,7 +83,7 @@
 def test_one_join_changes_few_workers_of_the_subsets():
     moved = []
     for index in range(40):
-        driver = zoned(dispatcher_index=index)
+        driver = two_zone_driver(dispatcher_index=index)
         before = {worker.id for worker in driver.policy.subsets.local + driver.policy.subsets.remote}
         driver.handle(
             interface.EndpointList(interface.ListScope.INCREMENTAL, 2, (interface.Endpoint("new", zone=0, cell=3),))
@@ -119,13 +119,13 @@
 def test_remote_share_grows_with_the_difference_of_queueing_and_is_capped(
     local_share, remote_share, min_share, max_share
 ):
-    driver = zoned()
+    driver = two_zone_driver()
     driver.policy.estimates.queueing_share = {False: local_share, True: remote_share}
     assert min_share <= sum(driver.policy.selection.chooses_remote_zone() for _ in range(2000)) / 2000 <= max_share
 
 
 def test_hedged_requests_go_remote_when_requests_start_only_there():
-    driver = zoned(seed=3)
+    driver = two_zone_driver(seed=3)
     first_sends(driver, 60, starting_zones={1})
     driver.actions.clear()
     first_sends(driver, 60, starting_zones={1}, first_request=100)
@@ -139,13 +139,13 @@
 
 def test_new_dispatcher_allows_health_checks_and_starts_the_time_to_connect():
     """A limit of 4 ms was too short for a new connection: no health check counted, and the first request was hedged."""
-    driver = zoned()
+    driver = two_zone_driver()
     assert not sends([*driver.request(1), *driver.advance(20 * MS)])
     assert len(sends(driver.advance(35 * MS))) == 1
 
 
 def test_no_worker_is_health_checked_twice_for_one_request():
-    driver = zoned()
+    driver = two_zone_driver()
     for request in range(1, 60):
         checked = [action.worker for action in driver.request(request) if isinstance(action, interface.HealthCheck)]
         assert len(set(checked)) == len(checked) > 0
@@ -154,7 +154,7 @@
 
 def test_hedged_requests_prefer_workers_with_an_open_connection():
     """A hedged request to any other worker opens a connection for that request alone."""
-    driver = zoned()
+    driver = two_zone_driver()
     hedged_without_connection = hedged = 0
     for request in range(1, 81):
         driver.request(request)
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -173,7 +173,7 @@
             "log", self.ops_port, "--workers", "3", "--operator", str(self.folder / "o.toml")
         )
         await self.lines("listening", 4)
-        while not await self.says_yes(self.ops_port):
+        while not await self.is_ready(self.ops_port):
             await asyncio.sleep(0.02)
         return self
 
@@ -194,9 +194,9 @@
         ]
         return {int(f["process"]): int(f["pid"]) for f in fields}
 
-    async def figures(self):
+    async def read_metrics(self):
         await asyncio.sleep(0.5)  # the summed metrics may be this old
-        return await super().figures()
+        return await super().read_metrics()
 
     async def load(self, connections):
         """Send one request on each of `connections` connections; returns the number of connections that broke.
@@ -210,7 +210,7 @@
     async def start_load(self, connections, running):
         """Start `load`, and wait until workers have started `running` requests."""
         load = asyncio.ensure_future(self.load(connections))
-        await until(lambda: len(self.ran) >= running)
+        await until(lambda: len(self.attempt_counts) >= running)
         return load
 
 
@@ -218,9 +218,9 @@
 async def test_job_events_reach_their_attempt_through_any_process_and_metrics_are_sums(tmp_path):
     async with SupervisedService(tmp_path) as s:
         assert await s.load(40) == 0
-        assert Counter(s.ends) == {(200, b"made"): 40}
-        assert set(s.ran.values()) == {1}
-        metrics = await s.figures()
+        assert Counter(s.responses) == {(200, b"made"): 40}
+        assert set(s.attempt_counts.values()) == {1}
+        metrics = await s.read_metrics()
         assert (metrics["answered"], metrics["sends"], metrics["current"]) == ({"preview": 40, "bundle": 0}, 40, 0)
         answers_by_process = Counter(line.split("process=")[1].split()[0] for line in await s.lines(" answered ", 40))
         assert sum(answers_by_process.values()) == 40
@@ -234,22 +234,22 @@
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
 @async_test
 async def test_a_process_that_dies_or_stops_breaks_only_its_own_clients_and_is_replaced(number, tmp_path):
-    async with SupervisedService(tmp_path, hold=0.5) as s:
+    async with SupervisedService(tmp_path, job_duration_s=0.5) as s:
         pids, load = await s.pids(3), await s.start_load(30, 9)
         os.kill(pids[1], number)
         assert 0 < await load < 30
         # Job events about the lost process's attempts reach the other processes, which do not know these attempts.
-        assert set(s.ran.values()) == {1}
-        assert {status for status, _ in s.ends} <= {200, 503}  # 503: three workers may be too few for the deadline
+        assert set(s.attempt_counts.values()) == {1}
+        assert {status for status, _ in s.responses} <= {200, 503}  # 503: three workers may be too few for the deadline
         new_pids = await s.pids(4)
         assert new_pids[0] == pids[0]
         assert new_pids[2] == pids[2]
         assert new_pids[1] != pids[1]
         await s.lines("listening", 5)
-        s.hold, s.ends = 0.0, []
+        s.job_duration_s, s.responses = 0.0, []
         assert await s.load(24) == 0
-        assert len(s.ends) == 24
-        assert (await s.figures())["current"] == 0
+        assert len(s.responses) == 24
+        assert (await s.read_metrics())["current"] == 0
 
 
 @async_test
@@ -266,21 +266,21 @@
         (tmp_path / "c.json").write_text(json.dumps(good))
         s.supervisor.send_signal(signal.SIGHUP)  # the third process is being started, with the earlier text
         await s.lines("listening", 5)
-        while (await s.figures())["conf_loaded"] != 1:
+        while (await s.read_metrics())["conf_loaded"] != 1:
             pass
         await asyncio.gather(*(s.client(f"o{n}", 1, "other") for n in range(24)))
-        assert Counter(s.ends) == {(200, b"made"): 24}
+        assert Counter(s.responses) == {(200, b"made"): 24}
         await s.lines('"process":2', 1)  # a JSON line: the third process has the new operator's file too
-        assert [(await s.figures())[name] for name in ("conf_invalid", "conf_loaded")] == [1, 1]
+        assert [(await s.read_metrics())[name] for name in ("conf_invalid", "conf_loaded")] == [1, 1]
 
 
 @async_test
 async def test_each_process_answers_its_open_requests_and_ends_when_the_supervisor_dies(tmp_path):
-    async with SupervisedService(tmp_path, hold=0.5) as s:
+    async with SupervisedService(tmp_path, job_duration_s=0.5) as s:
         pids, load = await s.pids(3), await s.start_load(9, 9)
         s.supervisor.kill()
         assert await load == 0
-        assert len(s.ends) == 9
+        assert len(s.responses) == 9
         await until(lambda: not any(os.path.exists(f"/proc/{p}") for p in pids.values()))
 
 
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -67,13 +67,13 @@
         answers = [await asyncio.wait_for(w.ask(job(f"r{n}", "preview", 6000)), 3) for n in range(4)]
         assert [a[0] for a in answers] == [503] * 4
         assert all(b"Retry-After" in a[1] for a in answers)
-        sent_ids = [id_of(head) for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")]
+        sent_ids = [id_of(head) for peer in w.hosts for head, _ in peer.received if head.startswith(b"POST")]
         assert len(sent_ids) == 4 + 2  # first attempts and retries
-        assert (await w.figures())["sends"] == 6
+        assert (await w.read_metrics())["sends"] == 6
         assert "retry_budget_exhausted cls=preview first=1 retries=0" in capsys.readouterr().err
         apply_limits(w.dispatcher, Operator())  # an operator's file without limits removes the budget
         await w.ask(job("r9", "preview", 6000))
-        assert sum(id_of(head) == "r9" for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")) > 1
+        assert sum(id_of(head) == "r9" for peer in w.hosts for head, _ in peer.received if head.startswith(b"POST")) > 1
 
 
 def test_the_budget_reduces_retries_in_the_emulator_when_a_third_of_the_workers_is_faulty(tmp_path):
