--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity measurements: the fits, the page against its results file, and that a small run works."""
+"""Tests of the capacity measurements: the fits, the page against its results file, and a quick run."""
 
 import subprocess
 import sys
@@ -29,7 +29,7 @@
     return load(RESULTS / "capacity.json")
 
 
-def test_a_line_is_found_exactly():
+def test_points_on_a_line_are_fitted_exactly():
     line = line_through(points((1, 5), (10, 23), (100, 203), (1000, 2003)))
     assert line.slope == pytest.approx(2)
     assert line.fixed == pytest.approx(3)
@@ -38,7 +38,7 @@
     assert line.at(50) == pytest.approx(103)
 
 
-def test_a_fit_tells_how_far_off_it_is():
+def test_a_fit_reports_r2_and_the_largest_residual():
     line = line_through(points((0, 0), (1, 1), (2, 1), (3, 2)))
     assert line.slope == pytest.approx(0.6)
     assert line.fixed == pytest.approx(0.1)
@@ -46,15 +46,15 @@
     assert line.largest_residual == pytest.approx(0.3)
 
 
-def test_a_constant_is_a_line_without_slope():
+def test_a_constant_is_fitted_with_slope_zero():
     line = line_through(points((1, 7), (2, 7), (3, 7), (4, 7)))
     assert (line.slope, line.fixed, line.r2) == (0, 7, 1)
 
 
-@pytest.mark.parametrize("given", [points((1, 1), (2, 2), (3, 3)), points((1, 1), (1, 2), (2, 2), (2, 3), (3, 3))])
-def test_fewer_than_four_sizes_give_no_slope(given):
+@pytest.mark.parametrize("measured", [points((1, 1), (2, 2), (3, 3)), points((1, 1), (1, 2), (2, 2), (2, 3), (3, 3))])
+def test_fewer_than_four_different_sizes_are_an_error(measured):
     with pytest.raises(TooFewSizesError):
-        line_through(given)
+        line_through(measured)
 
 
 def test_every_line_of_the_results_is_the_fit_of_its_points(results):
@@ -66,14 +66,14 @@
         assert all(point.low <= point.value <= point.high for point in series.points), series.name
 
 
-def test_the_page_shows_what_the_results_give(results):
+def test_the_page_and_the_tables_match_the_results_file(results):
     page = PAGE.read_text()
     assert fill(page, results) == page
     assert (RESULTS / "capacity.md").read_text() == tables(results)
     assert (RESULTS / "capacity.png").stat().st_size > 0
 
 
-def test_other_results_would_make_another_page(results):
+def test_a_changed_result_changes_the_blocks_that_use_it(results):
     changed = msgspec.json.decode(msgspec.json.encode(results), type=type(results))
     line = changed.series["change_cpu_ms"].line
     changed.series["change_cpu_ms"].line = msgspec.structs.replace(line, slope=line.slope * 2)
@@ -81,7 +81,7 @@
     assert {name for name in BLOCKS if before[name] != after[name]} >= {"slopes", "dispatcher", "assumptions"}
 
 
-def test_a_page_that_lacks_a_table_or_names_another_is_turned_down(results):
+def test_a_page_with_a_missing_or_unknown_block_is_an_error(results):
     page = PAGE.read_text()
     with pytest.raises(UnknownBlockError, match="quota"):
         fill(page.replace("capacity:quota", "no-table"), results)
@@ -96,44 +96,44 @@
     assert dispatchers_needed(Target(running_tasks=341), Assumptions()) == 1
 
 
-def test_terms_add_up_to_what_the_verdict_weighs(results):
-    now = Reckoning(results, TARGET, ASSUMED)
-    assert now.control_share == pytest.approx(sum(part.value for part in now.control_cpu()) / 1000)
-    assert now.tasks * now.dispatchers == pytest.approx(TARGET.running_tasks)
-    more = Reckoning(results, TARGET, ASSUMED, dispatchers=2 * now.dispatchers)
-    assert more.discovery_calls_per_s == pytest.approx(2 * now.discovery_calls_per_s)
+def test_the_parts_of_an_estimate_add_up_to_its_total(results):
+    estimate = Reckoning(results, TARGET, ASSUMED)
+    assert estimate.control_share == pytest.approx(sum(part.value for part in estimate.control_cpu()) / 1000)
+    assert estimate.tasks * estimate.dispatchers == pytest.approx(TARGET.running_tasks)
+    doubled = Reckoning(results, TARGET, ASSUMED, dispatchers=2 * estimate.dispatchers)
+    assert doubled.discovery_calls_per_s == pytest.approx(2 * estimate.discovery_calls_per_s)
 
 
 @pytest.mark.parametrize(("dispatchers", "teams"), [(1, TARGET.teams), (100, virtual.FEW_TEAMS)])
-def test_a_part_below_one_request_a_second_counts_load_over_one_plus_load_as_over_quota(dispatchers, teams):
+def test_a_share_of_under_one_request_per_second_has_the_expected_share_over_quota(dispatchers, teams):
     (share,) = virtual.over_quota(dispatchers, teams, TARGET.starts_per_s, seconds=20.0)
-    assert share == pytest.approx(0.9 / 1.9, abs=0.05)  # Poisson traffic at nine tenths of the quota
+    assert share == pytest.approx(0.9 / 1.9, abs=0.05)  # load / (1 + load), for Poisson traffic at 0.9 of the quota
 
 
-def test_a_bucket_of_many_requests_counts_none_below_the_quota_as_over():
+def test_a_bucket_of_many_requests_has_none_over_quota_below_the_quota():
     assert virtual.over_quota(1, 1, TARGET.starts_per_s, seconds=2.0) == [0.0]
 
 
 @pytest.mark.parametrize(
     ("value", "text"), [(0, "0"), (0.0012345, "0.00123"), (12.345, "12.3"), (1234.5, "1,234"), (-0.5, "-0.5")]
 )
-def test_figures_are_shown_with_three_digits(value, text):
+def test_values_are_shown_with_three_significant_digits(value, text):
     assert significant(value) == text
 
 
-def test_each_measured_quantity_has_four_sizes_or_more():
+def test_each_quantity_is_measured_at_four_sizes_or_more():
     for sizes in (Sizes(quick=True), Sizes(quick=False)):
         for name in ("workers", "idle", "running", "jobs", "callbacks", "teams", "losses", "dispatchers", "turns"):
             assert len(set(getattr(sizes, name))) >= LEAST_SIZES, name
     assert LONGEST_HOLD_S <= 60
 
 
-def test_a_series_keeps_its_points_in_order():
+def test_a_series_sorts_its_points_by_size():
     series = series_of("x", "title", "ms", "workers", points((4, 4), (1, 1), (3, 3), (2, 2)))
     assert [point.size for point in series.points] == [1, 2, 3, 4]
 
 
-def test_a_quick_run_measures_every_slope_and_leaves_the_page_alone(tmp_path, results):
+def test_a_quick_run_measures_every_series_and_does_not_change_the_page(tmp_path, results):
     page = PAGE.read_text()
     run = subprocess.run(
         [sys.executable, "-m", "benchmarks.capacity", "--quick", "--out", str(tmp_path)],
--- a/tests/project/test_docs.py
+++ b/tests/project/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name only files, packages and commands that exist."""
+"""Checks that the pages name only files, packages and commands that exist."""
 
 import re
 from pathlib import Path
@@ -15,6 +15,7 @@
 
 
 def commands():
+    """Return the commands in the help text of the command line."""
     return set(re.findall(r"^  badgerroad \(?([a-z-]+)", cli.__doc__, re.MULTILINE)) | {"lab"}
 
 
--- a/tests/project/test_errors.py
+++ b/tests/project/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors have a type each, a code that is theirs alone, and a page that says what to do."""
+"""Checks that each error type has a unique code, a remedy, a row on the page of errors, and a place that raises it."""
 
 import ast
 import importlib
@@ -17,18 +17,19 @@
         importlib.import_module(module.name)
 
 
-def types(of=BadgerroadError):
-    return {of} | {t for sub in of.__subclasses__() for t in types(sub)}
+def error_types(base=BadgerroadError):
+    """Return `base` and all classes derived from it."""
+    return {base} | {t for subclass in base.__subclasses__() for t in error_types(subclass)}
 
 
 TYPES = sorted(
-    (t for t in types() if t is not BadgerroadError and t.__module__.startswith("badgerroad.")),
+    (t for t in error_types() if t is not BadgerroadError and t.__module__.startswith("badgerroad.")),
     key=lambda t: t.__name__,
 )
 
 
-def named_where_raised():
-    """Names that stand in a `raise`, or are given to a function as the error to raise."""
+def names_of_raised_types():
+    """Return the names called in a `raise`, and those passed to a function, which may be an error for it to raise."""
     names = set()
     for path in (ROOT / "badgerroad").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -40,19 +41,23 @@
     return names
 
 
-def test_each_type_has_a_code_and_a_remedy_of_its_own_and_stands_on_the_page():
+def test_each_type_has_its_own_code_and_remedy_and_a_row_on_the_page():
     rows = dict(re.findall(r"^\| `([a-z-]+)` \| `(\w+)` \|", (ROOT / "docs/operate/errors.md").read_text(), re.M))
     assert rows == {t.code: t.__name__ for t in TYPES}
     assert len(rows) == len(TYPES)
     assert all("code" in vars(t) and "remedy" in vars(t) and t.remedy for t in TYPES)
 
 
-@pytest.mark.parametrize("kind", TYPES, ids=lambda t: t.__name__)
-def test_each_type_is_raised_somewhere(kind):
-    assert kind.__name__ in named_where_raised()
+@pytest.mark.parametrize("error_type", TYPES, ids=lambda t: t.__name__)
+def test_each_type_is_raised_somewhere(error_type):
+    assert error_type.__name__ in names_of_raised_types()
 
 
-def test_a_line_says_code_what_happened_and_what_to_do():
-    e = ListenError("ops", ("127.0.0.1", 7), OSError(98, "Address already\nin use"))
-    assert e.line == f"listen: ops: 127.0.0.1:7: Address already in use; {e.remedy}"
-    assert e.fields == {"code": "listen", "error": "ops: 127.0.0.1:7: Address already in use", "remedy": e.remedy}
+def test_the_line_of_an_error_has_its_code_the_failure_and_the_remedy():
+    error = ListenError("ops", ("127.0.0.1", 7), OSError(98, "Address already\nin use"))
+    assert error.line == f"listen: ops: 127.0.0.1:7: Address already in use; {error.remedy}"
+    assert error.fields == {
+        "code": "listen",
+        "error": "ops: 127.0.0.1:7: Address already in use",
+        "remedy": error.remedy,
+    }
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt names tests that exist, with what was seen and an issue."""
+"""Checks that each line of KNOWN-RED.txt names a test that exists, and gives command, observed failure and issue."""
 
 import ast
 
