--- a/benchmarks/live_repeat.py
+++ b/benchmarks/live_repeat.py
@@ -1,4 +1,4 @@
-"""One scripted incident, live several times and virtual once: how far do the service counts lie apart?
+"""Compares the request counts of several live runs of a scenario with those of one virtual run.
 
 Usage: python benchmarks/live_repeat.py [SCENARIO] [RUNS]
 """
@@ -13,29 +13,39 @@
 
 def main():
     path = Path(sys.argv[1] if len(sys.argv) > 1 else "examples/incident.toml")
-    runs, s = int(sys.argv[2]) if len(sys.argv) > 2 else 5, scenario.load(path)
-    rows = [("virtual", virtual.run(s, s.seed, path.parent))]
-    for n in range(runs):
-        rows.append((f"live {n + 1}", report.of(asyncio.run(play(s, s.seed, path.parent)), 0.0)))
+    runs, loaded = int(sys.argv[2]) if len(sys.argv) > 2 else 5, scenario.load(path)
+    rows = [("virtual", virtual.run(loaded, loaded.seed, path.parent))]
+    for number in range(runs):
+        rows.append((f"live {number + 1}", report.of(asyncio.run(play(loaded, loaded.seed, path.parent)), 0.0)))
     print("| run | jobs | served | refused | failed | worth | figure | rules broken |")
     print("| --- " + "| ---: " * 7 + "|")
-    for name, r in rows:
+    for name, result in rows:
         print(
-            f"| {name} | {r.jobs} | {r.served} | {r.refused} | {r.failed} | {r.worth:.3f} | {r.figure:.3f} | "
-            f"{len(r.breaches)} |"
+            f"| {name} | {result.jobs} | {result.served} | {result.refused} | {result.failed} | {result.worth:.3f} | {result.figure:.3f} | "
+            f"{len(result.breaches)} |"
         )
-    lives = [r for _, r in rows[1:]]
+    live_results = [result for _, result in rows[1:]]
     spread = {
-        k: (max(getattr(r, k) for r in lives) - min(getattr(r, k) for r in lives)) / lives[0].jobs
-        for k in ("served", "refused", "failed")
+        count: (
+            max(getattr(result, count) for result in live_results)
+            - min(getattr(result, count) for result in live_results)
+        )
+        / live_results[0].jobs
+        for count in ("served", "refused", "failed")
     }
-    apart = {
-        k: abs(getattr(rows[0][1], k) - sum(getattr(r, k) for r in lives) / len(lives)) / lives[0].jobs for k in spread
+    difference = {
+        count: abs(
+            getattr(rows[0][1], count) - sum(getattr(result, count) for result in live_results) / len(live_results)
+        )
+        / live_results[0].jobs
+        for count in spread
     }
     print(
-        f"\nSpread among the live runs, as a share of the jobs: {', '.join(f'{k} {v:.1%}' for k, v in spread.items())}."
+        f"\nRange of the live runs, as a share of the jobs: {', '.join(f'{count} {share:.1%}' for count, share in spread.items())}."
+    )
+    print(
+        f"Difference of the virtual run from their mean: {', '.join(f'{count} {share:.1%}' for count, share in difference.items())}."
     )
-    print(f"The virtual run from their mean: {', '.join(f'{k} {v:.1%}' for k, v in apart.items())}.")
 
 
 if __name__ == "__main__":
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -1,4 +1,7 @@
-"""What a log line costs, by format, against the standard library's. Usage: python benchmarks/log_cost.py"""
+"""Measures the time to write a log line in each format, and with the standard library.
+
+Usage: python benchmarks/log_cost.py
+"""
 
 import contextlib
 import logging
@@ -9,33 +12,34 @@
 
 from badgerroad.net import logs
 
-COUNT = 20_000
+LINES_PER_ROUND = 20_000
 
 
-def timed(call):
-    best = 1e9
+def microseconds_per_line(write_line):
+    """Return the time that `write_line(number)` takes, in the fastest of five rounds."""
+    best_s = 1e9
     for _ in range(5):
-        began = time.perf_counter()
-        for n in range(COUNT):
-            call(n)
-        best = min(best, time.perf_counter() - began)
-    return best / COUNT * 1e6
+        started = time.perf_counter()
+        for number in range(LINES_PER_ROUND):
+            write_line(number)
+        best_s = min(best_s, time.perf_counter() - started)
+    return best_s / LINES_PER_ROUND * 1e6
 
 
 def main():
     with open(os.devnull, "w") as devnull, contextlib.redirect_stderr(devnull):
-        rows = measured()
+        rows = measure()
     print("| format | us a line |\n| --- | ---: |")
-    for name, us in rows:
-        print(f"| {name} | {us:.1f} |")
+    for name, duration_us in rows:
+        print(f"| {name} | {duration_us:.1f} |")
 
 
-def answered(log, ms):
-    log.info("answered", request="r1", cls="preview", status=200, ms=ms, attempts=1)
+def log_answer(log, duration_ms):
+    log.info("answered", request="r1", cls="preview", status=200, ms=duration_ms, attempts=1)
 
 
-def measured():
-    """(format, microseconds a line) of each way to write a line."""
+def measure():
+    """Return (format, microseconds per line) of each way to write a line."""
     plain = logging.getLogger("plain")
     plain.propagate = False
     handler = logging.StreamHandler(sys.stderr)
@@ -45,15 +49,22 @@
     rows = [
         (
             "standard library",
-            timed(lambda n: plain.info("%s %s: %d after %d ms, %d attempts", "r1", "preview", 200, n, 1)),
+            microseconds_per_line(
+                lambda n: plain.info("%s %s: %d after %d ms, %d attempts", "r1", "preview", 200, n, 1)
+            ),
         )
     ]
-    for form in ("console", "json"):
-        logs.configure(logs.LogSettings(form, "info"))
-        rows.append((form, timed(partial(answered, logs.get("x")))))
+    for log_format in ("console", "json"):
+        logs.configure(logs.LogSettings(log_format, "info"))
+        rows.append((log_format, microseconds_per_line(partial(log_answer, logs.get("x")))))
     logs.configure(logs.LogSettings("console", "warning"))
     log = logs.get("x")
-    rows.append(("off by its level", timed(lambda n: log.info("answered", request="r1", cls="preview", status=200))))
+    rows.append(
+        (
+            "off by its level",
+            microseconds_per_line(lambda n: log.info("answered", request="r1", cls="preview", status=200)),
+        )
+    )
     return rows
 
 
--- a/benchmarks/result_sections.py
+++ b/benchmarks/result_sections.py
@@ -1,4 +1,4 @@
-"""Sections of a page of results that a command writes: between two marks, the rest of the page stays."""
+"""Writes sections of a page of results, each between two markers; the rest of the page is left unchanged."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def write_section(page: Path, name: str, text: str) -> None:
-    """Puts `text` between the marks of section `name`; appends the section if the page has none."""
+    """Write `text` between the markers of section `name`, and append the section if the page lacks it."""
     begin, end = f"<!-- {name}: written by a command -->", f"<!-- end of {name} -->"
     section = f"{begin}\n\n{text.strip()}\n\n{end}"
     old = page.read_text() if page.exists() else ""
--- a/benchmarks/virtual_scale.py
+++ b/benchmarks/virtual_scale.py
@@ -1,6 +1,6 @@
-"""Speed and memory of virtual runs, one process each on one core: events a second, times real time, peak memory.
+"""Measures speed and peak memory of virtual runs of several sizes, each in a process of its own.
 
-Usage: python benchmarks/virtual_scale.py [--large]     (the largest one alone)
+Usage: python benchmarks/virtual_scale.py [--large]     (--large runs only the largest size)
 """
 
 import resource
@@ -13,20 +13,23 @@
 SIZES = ((15, 3, 60.0), (100, 6, 60.0), (1000, 20, 60.0))  # nodes, dispatchers, simulated seconds
 
 
-def one(nodes, dispatchers, seconds):
+def run_one(nodes, dispatchers, simulated_s):
+    """Return the report of a virtual run, and the peak memory of this process in MB."""
     zones = tuple(
-        scenario.Zone(name=n, nodes=nodes // 2 + k * (nodes % 2), dispatchers=dispatchers // 2 + k * (dispatchers % 2))
-        for k, n in enumerate(("paseo-colon", "barracas"))
+        scenario.Zone(
+            name=name, nodes=nodes // 2 + index * (nodes % 2), dispatchers=dispatchers // 2 + index * (dispatchers % 2)
+        )
+        for index, name in enumerate(("paseo-colon", "barracas"))
     )
-    s = scenario.Scenario(
+    scaled = scenario.Scenario(
         name="scale",
-        length_s=seconds,
+        length_s=simulated_s,
         zone=zones,
         load=scenario.Load(level=0.5),
         discovery=scenario.Discovery(capacity=0),
     )
-    r = virtual.run(s, 1, Path("."))
-    return r, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
+    report = virtual.run(scaled, 1, Path("."))
+    return report, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
 def main():
@@ -34,10 +37,10 @@
     print("| ---: " * 10 + "|")
     for size in SIZES[-1:] if "--large" in sys.argv else SIZES:
         with get_context("spawn").Pool(1) as pool:
-            r, mb = pool.apply(one, size)
+            report, peak_mb = pool.apply(run_one, size)
         print(
-            f"| {size[0]} | {size[1]} | {r.jobs} | {r.events} | {r.events / r.wall_s:.0f} | {r.wall_s:.1f} | "
-            f"{r.simulated_s / r.wall_s:.1f} | {mb:.0f} | {r.worth:.3f} | {len(r.breaches)} broken |",
+            f"| {size[0]} | {size[1]} | {report.jobs} | {report.events} | {report.events / report.wall_s:.0f} | {report.wall_s:.1f} | "
+            f"{report.simulated_s / report.wall_s:.1f} | {peak_mb:.0f} | {report.worth:.3f} | {len(report.breaches)} broken |",
             flush=True,
         )
 
