--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""How each role's cost grows with the size of the installation, measured, and what that makes of the target.
+"""Measures how the cost of each role grows with the size of the installation, and estimates the cost at the target.
 
-`python -m benchmarks.capacity` measures real `badgerroad serve` processes on loopback at four sizes or more of each
-thing that grows, fits a line to each, and writes the results, the tables and the chart of `docs/CAPACITY.md`.
+`python -m benchmarks.capacity` measures real `badgerroad serve` processes on loopback at four or more sizes of each
+quantity, fits a line to each, and writes the results, the tables and the chart of `docs/CAPACITY.md`.
 """
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,12 +1,12 @@
-"""Measures, fits, and writes the results, the tables, the chart and the page's tables.
+"""Runs the measurements, and writes the results file, the tables, the chart and the tables of the page.
 
 Usage: python -m benchmarks.capacity [--quick] [--out DIR] [--lock FILE] [--page]
 
---quick      small sizes, in under 20 s: shows that the program runs, its figures mean nothing
---out DIR    where capacity.json, capacity.md and capacity.png go (docs/results); with another directory or with
-             --quick docs/CAPACITY.md is left alone
---lock FILE  takes this file's lock exclusively, in holds of under 60 s
---page       measures nothing: tables, chart and page from the results that are there
+--quick      uses small sizes and ends within 20 s; checks that the program works, its results are not meaningful
+--out DIR    writes capacity.json, capacity.md and capacity.png to DIR (default: docs/results); with another directory
+             or with --quick docs/CAPACITY.md is not changed
+--lock FILE  holds an exclusive lock on FILE while measuring, for less than 60 s at a time
+--page       measures nothing, and writes tables, chart and page from the present results file
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def write(results: Results, folder: Path, page: bool) -> None:
-    """Tables and chart of `results`, and the page's tables where `page` says so."""
+    """Write tables and chart of `results`, and if `page` is true the tables of the page."""
     from benchmarks.capacity.chart import draw
     from benchmarks.capacity.page import fill, tables
 
@@ -36,22 +36,22 @@
 
 
 def main() -> None:
-    arguments = argparse.ArgumentParser(prog="python -m benchmarks.capacity")
-    arguments.add_argument("--quick", action="store_true")
-    arguments.add_argument("--out", type=Path)
-    arguments.add_argument("--lock", type=Path)
-    arguments.add_argument("--page", action="store_true")
-    given = arguments.parse_args()
-    if given.quick and given.out is None:
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.capacity")
+    parser.add_argument("--quick", action="store_true")
+    parser.add_argument("--out", type=Path)
+    parser.add_argument("--lock", type=Path)
+    parser.add_argument("--page", action="store_true")
+    options = parser.parse_args()
+    if options.quick and options.out is None:
         folder = Path(tempfile.mkdtemp(prefix="capacity-quick-"))
     else:
-        folder = given.out or RESULTS
+        folder = options.out or RESULTS
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / "capacity.json"
-    if not given.page:
-        save(Run(given.quick, given.lock).all(), file)
+    if not options.page:
+        save(Run(options.quick, options.lock).all(), file)
         print(f"results: {file}")
-    write(load(file), folder, page=not given.quick and folder.resolve() == RESULTS)
+    write(load(file), folder, page=not options.quick and folder.resolve() == RESULTS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/bench.py
+++ b/benchmarks/capacity/bench.py
@@ -1,4 +1,4 @@
-"""A dispatcher process among its stand-ins, and what its clients do."""
+"""Runs a dispatcher process with simulated discovery, workers and clients."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 from benchmarks.capacity.server import Serve, free_port
 from benchmarks.capacity.stand_ins import Discovery, Workers
 
-TAKEN_WITHIN_S = 1.0
-MISSED_IN_A_ROW = 3
-LONG_HINT_US = 2 * TASK_S * 1_000_000  # no worker can be in time with it: refused
+ACCEPT_TIMEOUT_S = 1.0
+MAX_CONSECUTIVE_MISSES = 3
+LONG_HINT_US = 2 * TASK_S * 1_000_000  # exceeds the deadline, so that the request is rejected
 
 
 def task(request: str, hint_us: int = 0, body: bytes = b"x" * 200, team: str = "") -> bytes:
+    """Return the bytes of a request with the id `request`."""
     headers = [b"Request-Id: " + request.encode(), b"Request-Timeout-Ms: %d" % (TASK_S * 1000)]
     headers += [b"Work-Hint: %d" % hint_us] if hint_us else []
     headers += [b"Tenant: " + team.encode()] if team else []
@@ -25,20 +26,23 @@
 
 
 class Bench:
-    """`async with`: stand-ins up, process started and ready."""
+    """A dispatcher process with discovery and workers; `async with` starts them and waits until the process is ready."""
 
     def __init__(
         self,
         folder: Path,
         workers: int,
-        told: dict[str, Any],
+        dispatcher_settings: dict[str, Any],
         known: bool = False,
-        standing: Workers | None = None,
+        shared_workers: Workers | None = None,
     ) -> None:
-        """`standing`: workers that stay up over several benches, at least as many."""
-        self.folder, self.count, self.told, self.known = folder, workers, told, known
-        self.workers = standing or Workers(workers)
-        self._own_workers = standing is None
+        """Prepare the processes; `known` puts the endpoint list into the configuration.
+
+        `shared_workers` are at least as many workers, which keep running after this bench.
+        """
+        self.folder, self.count, self.dispatcher_settings, self.known = folder, workers, dispatcher_settings, known
+        self.workers = shared_workers or Workers(workers)
+        self._own_workers = shared_workers is None
         self._requests = 0
 
     async def __aenter__(self) -> Bench:
@@ -49,7 +53,7 @@
         config = configuration(
             f"127.0.0.1:{free_port()}",
             f"127.0.0.1:{self.discovery.port}",
-            self.told,
+            self.dispatcher_settings,
             self.entries if self.known else [],
         )
         self.server = Serve(self.folder, config)
@@ -65,63 +69,68 @@
             self.workers.close()
 
     async def client(self) -> Call:
+        """Open a client's connection."""
         return await Call().open("127.0.0.1", self.server.port)
 
     def request(self, hint_us: int = 0) -> bytes:
+        """Return the bytes of a request with a new id."""
         self._requests += 1
         return task(f"r{self.server.port}-{self._requests}", hint_us)
 
     async def refusal(self, client: Call) -> None:
+        """Send a request that the dispatcher rejects. Raises RuntimeError if it does not."""
         status, _ = await client.begin(self.request(LONG_HINT_US))
         if status != 503:
-            raise RuntimeError(f"a refusal was expected, not {status}")
+            raise RuntimeError(f"the dispatcher answered {status}; 503 is expected")
 
     async def reload(self, client: Call) -> None:
-        """Ends when the dispatcher has read the file anew: what it is asked after that it answers after that."""
+        """Send SIGHUP, and wait until the dispatcher has read its file; it answers later requests only after that."""
         self.server.reload()
         for _ in range(2):
             await client.get(b"/-/ready")
 
     async def start_tasks(self, count: int) -> list[Call]:
-        """Up to so many tasks that the workers hold; the connections of their clients. One after another: starts told
-        late because many come at once would teach the module that its workers are full. Ends early when some in a row
-        aren't taken."""
+        """Start up to `count` tasks, and return the connections of the clients whose task is at a worker.
+
+        They are started one after another: many at once delay the reports of starts, from which the policy would learn
+        that its workers are full. Ends early after MAX_CONSECUTIVE_MISSES tasks in a row that reach no worker.
+        """
         accepted: list[Call] = []
         missed = 0
         for _ in range(count):
             client = await self.client()
-            if await self._is_taken(client):
+            if await self._reaches_worker(client):
                 accepted.append(client)
                 missed = 0
             else:
                 client.close()
                 missed += 1
-            if missed == MISSED_IN_A_ROW:
+            if missed == MAX_CONSECUTIVE_MISSES:
                 break
         await self.server.settled()
         return accepted
 
-    async def _is_taken(self, client: Call) -> bool:
-        """Does a worker hold its task before its client has an answer, within TAKEN_WITHIN_S?"""
+    async def _reaches_worker(self, client: Call) -> bool:
+        """Send a task, and return whether it reaches a worker within ACCEPT_TIMEOUT_S and before its final response."""
         data = self.request()
         request = f"r{self.server.port}-{self._requests}"
-        answer = client.begin(data)
-        until = time.perf_counter() + TAKEN_WITHIN_S
-        while not answer.done() and time.perf_counter() < until:
+        response = client.begin(data)
+        deadline = time.perf_counter() + ACCEPT_TIMEOUT_S
+        while not response.done() and time.perf_counter() < deadline:
             if request in self.workers.held:
                 return True
             await asyncio.sleep(0.001)
         return False
 
     async def jobs(self, count: int, clients: int = 8) -> None:
-        """So many jobs, each to its end."""
+        """Run `count` jobs to their end over `clients` connections. Raises RuntimeError if one fails."""
 
         async def one_client(share: int) -> None:
             client = await self.client()
             for _ in range(share):
                 status, _ = await client.begin(self.request())
                 if status != 200:
-                    raise RuntimeError(f"a job ended with {status}")
+                    raise RuntimeError(f"a job was answered with {status}; 200 is expected")
             client.close()
 
         await asyncio.gather(*(one_client(count // clients) for _ in range(clients)))
--- a/benchmarks/capacity/by_workers.py
+++ b/benchmarks/capacity/by_workers.py
@@ -1,4 +1,7 @@
-"""What grows with the workers on the list: start, memory, and the CPU and longest hold of news, reloads, refusals."""
+"""Measures what grows with the workers on the endpoint list.
+
+This is the start, the memory, and CPU time and longest pause of the event loop for changes, reloads and rejections.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from benchmarks.capacity.stand_ins import Workers
 
 DISPATCHERS = 587
-NUMBER = 295
+DISPATCHER_INDEX = 295
 TITLES = {
     "list_bytes": ("a whole list, body", "B"),
     "change_bytes": ("a change of one worker, body", "B"),
@@ -39,98 +42,109 @@
 
 
 async def starts(
-    folder: Path, workers: int, standing: Workers, repeats: int, number: int, known: bool
+    folder: Path, workers: int, shared_workers: Workers, repeats: int, number: int, known: bool
 ) -> dict[str, list[float]]:
-    """Processes that start, with nothing or with the list `known`, each with a client as soon as it listens."""
-    taken: dict[str, list[float]] = {name: [] for name in ("ready_ms", "first_job_ms", "start_cpu_ms")}
+    """Measure starts without an endpoint list, or with it in the configuration if `known`.
+
+    A client sends a job as soon as the process accepts connections.
+    """
+    measured: dict[str, list[float]] = {name: [] for name in ("ready_ms", "first_job_ms", "start_cpu_ms")}
     for _ in range(repeats):
-        bench = Bench(folder, workers, settings(DISPATCHERS, number), known=known, standing=standing)
-        job = asyncio.ensure_future(_first_job(bench, len(standing.jobs)))
+        bench = Bench(folder, workers, settings(DISPATCHERS, number), known=known, shared_workers=shared_workers)
+        first_job = asyncio.ensure_future(_first_job(bench, len(shared_workers.jobs)))
         async with bench:
-            taken["ready_ms"].append(bench.ready_s * 1000)
-            taken["first_job_ms"].append((await job - bench.server.began) * 1000)
-            taken["start_cpu_ms"].append(bench.server.cpu_s() * 1000)
-    return taken
+            measured["ready_ms"].append(bench.ready_s * 1000)
+            measured["first_job_ms"].append((await first_job - bench.server.started_at) * 1000)
+            measured["start_cpu_ms"].append(bench.server.cpu_s() * 1000)
+    return measured
 
 
 async def _first_job(bench: Bench, jobs_before: int) -> float:
-    """When a worker got the first job; its client has come as soon as the process listens."""
+    """Send a job as soon as the process accepts connections, and return the time at which a worker receives it."""
     while True:
         try:
             client = await bench.client()
             break
-        except (OSError, AttributeError):  # not listening yet, not started yet
+        except (OSError, AttributeError):  # not accepting connections yet, or not started
             await asyncio.sleep(0.002)
-    answer = client.begin(bench.request())
+    response = client.begin(bench.request())
     while len(bench.workers.jobs) == jobs_before:
         await asyncio.sleep(0.001)
-    took = time.perf_counter()
-    await answer
+    received_at = time.perf_counter()
+    await response
     client.close()
-    return took
+    return received_at
 
 
-async def news(folder: Path, workers: int, standing: Workers, repeats: int, number: int) -> dict[str, list[float]]:
-    """News, reloads and refusals at one process."""
-    taken: dict[str, list[float]] = {}
-    async with Bench(folder, workers, settings(DISPATCHERS, number), standing=standing) as bench:
+async def updates(
+    folder: Path, workers: int, shared_workers: Workers, repeats: int, number: int
+) -> dict[str, list[float]]:
+    """Measure list updates, reloads and rejections at one process."""
+    measured: dict[str, list[float]] = {}
+    async with Bench(folder, workers, settings(DISPATCHERS, number), shared_workers=shared_workers) as bench:
         server, discovery = bench.server, bench.discovery
         await discovery.watched()
         await server.settled()
-        taken["memory_mb"] = [server.memory_mb()]
-        taken["list_bytes"] = [float(len(discovery.whole_list))]
-        taken["change_bytes"] = [float(len(discovery.change([worker_entry(workers - 1, "draining")])))]
+        measured["memory_mb"] = [server.memory_mb()]
+        measured["list_bytes"] = [float(len(discovery.complete_list))]
+        measured["change_bytes"] = [float(len(discovery.change([worker_entry(workers - 1, "draining")])))]
 
-        async def quiet() -> None:
-            await discovery.tell(discovery.change([]))
+        async def unchanged() -> None:
+            await discovery.send_update(discovery.change([]))
 
         async def change() -> None:
             discovery.version += 1
             health = "draining" if discovery.version % 2 else "ready"
-            await discovery.tell(discovery.change([worker_entry(workers - 1, health)]))
+            await discovery.send_update(discovery.change([worker_entry(workers - 1, health)]))
 
-        async def whole() -> None:
+        async def complete() -> None:
             discovery.version += 1
-            await discovery.tell(discovery.whole_list)
+            await discovery.send_update(discovery.complete_list)
 
-        for name, action in (("quiet_watch", quiet), ("change", change), ("whole", whole)):
+        for name, action in (("quiet_watch", unchanged), ("change", change), ("whole", complete)):
             await action()
-            taken[f"{name}_cpu_ms"] = await cpu_of(server, action, repeats)
+            measured[f"{name}_cpu_ms"] = await cpu_of(server, action, repeats)
             if name != "quiet_watch":
-                taken[f"{name}_hold_ms"] = await holds_of(server, action, repeats)
+                measured[f"{name}_hold_ms"] = await holds_of(server, action, repeats)
         client = await bench.client()
-        await _reloads(bench, taken, repeats)
+        await _reloads(bench, measured, repeats)
         await bench.refusal(client)
-        taken["refusal_cpu_ms"] = await cpu_of(server, lambda: bench.refusal(client), repeats)
-        taken["refusal_hold_ms"] = await holds_of(server, lambda: bench.refusal(client), repeats)
-        taken["peak_mb"] = [server.peak_mb()]
-    return taken
+        measured["refusal_cpu_ms"] = await cpu_of(server, lambda: bench.refusal(client), repeats)
+        measured["refusal_hold_ms"] = await holds_of(server, lambda: bench.refusal(client), repeats)
+        measured["peak_mb"] = [server.peak_mb()]
+    return measured
 
 
-async def _reloads(bench: Bench, taken: dict[str, list[float]], repeats: int) -> None:
+async def _reloads(bench: Bench, measured: dict[str, list[float]], repeats: int) -> None:
     client = await bench.client()
     server = bench.server
     for name, known in (("reload", []), ("reload_list", bench.entries)):
-        server.write(configuration(server.config["listen"], server.config["discovery"], bench.told, known))
+        server.write(
+            configuration(server.config["listen"], server.config["discovery"], bench.dispatcher_settings, known)
+        )
         await bench.reload(client)
-        taken[f"{name}_cpu_ms"] = await cpu_of(server, lambda: bench.reload(client), repeats)
-        taken[f"{name}_hold_ms"] = await holds_of(server, lambda: bench.reload(client), repeats)
+        measured[f"{name}_cpu_ms"] = await cpu_of(server, lambda: bench.reload(client), repeats)
+        measured[f"{name}_hold_ms"] = await holds_of(server, lambda: bench.reload(client), repeats)
     client.close()
 
 
 async def measure(folder: Path, workers: int, repeats: int, number: int) -> dict[str, list[float]]:
-    """All of TITLES at one number of workers, by dispatcher `number`: its turn at discovery depends on that."""
-    standing = await Workers(workers).open()
+    """Measure all of TITLES with one number of workers.
+
+    `number` is the index of the dispatcher, on which the delay of its first call to discovery depends.
+    """
+    shared_workers = await Workers(workers).open()
     try:
-        known = await starts(folder, workers, standing, repeats, number, known=True)
+        known = await starts(folder, workers, shared_workers, repeats, number, known=True)
         return {
             **{f"known_{name}": values for name, values in known.items()},
-            **await starts(folder, workers, standing, repeats, number, known=False),
-            **await news(folder, workers, standing, repeats, number),
+            **await starts(folder, workers, shared_workers, repeats, number, known=False),
+            **await updates(folder, workers, shared_workers, repeats, number),
         }
     finally:
-        standing.close()
+        shared_workers.close()
 
 
 def sizes(quick: bool) -> Sequence[int]:
+    """Return the numbers of workers to measure with."""
     return (15, 50, 100, 200) if quick else (15, 200, 1_000, 3_300, 6_600)
--- a/benchmarks/capacity/chart.py
+++ b/benchmarks/capacity/chart.py
@@ -1,4 +1,4 @@
-"""The chart of the page: the measured points of the main series with the lines through them."""
+"""Draws the chart of the page: the measured points of the main series, with the fitted lines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from benchmarks.capacity.results import Results, Series
 
-SHOWN = (
+SERIES_SHOWN = (
     "list_bytes",
     "memory_mb",
     "running_memory_mb",
@@ -35,9 +35,10 @@
 
 
 def draw(results: Results, path: Path) -> None:
-    rows = -(-len(SHOWN) // COLUMNS)
+    """Write the chart to `path`, as a PNG file."""
+    rows = -(-len(SERIES_SHOWN) // COLUMNS)
     figure, axes = plt.subplots(rows, COLUMNS, figsize=(4 * COLUMNS, 3 * rows), constrained_layout=True)
-    for axis, name in zip(axes.flat, SHOWN, strict=False):
+    for axis, name in zip(axes.flat, SERIES_SHOWN, strict=False):
         _panel(axis, results.series[name])
     figure.savefig(path, dpi=80)
     plt.close(figure)
@@ -48,8 +49,8 @@
     values = [point.value for point in series.points]
     errors = [[p.value - p.low for p in series.points], [p.high - p.value for p in series.points]]
     axis.errorbar(sizes, values, yerr=errors, fmt="o", markersize=4)
-    ends = [min(sizes), max(sizes)]
-    axis.plot(ends, [series.line.at(size) for size in ends])
+    line_ends = [min(sizes), max(sizes)]
+    axis.plot(line_ends, [series.line.at(size) for size in line_ends])
     axis.set_title(f"{series.title}\nr² {series.line.r2:.4f}", fontsize=8)
     axis.set_xlabel(series.by, fontsize=8)
     axis.set_ylabel(series.unit, fontsize=8)
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -1,4 +1,4 @@
-"""What the measured dispatchers are told: settings at the size of the target, and lists of workers."""
+"""Builds the configuration of the measured dispatchers, with settings of the size of the target, and endpoint lists."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 import os
 from typing import Any
 
-SOCKETS = 1_024
-TASK_S = 600  # a task's deadline, longer than any measurement
+DESCRIPTOR_LIMIT = 1_024
+TASK_S = 600  # deadline of a task, longer than any measurement
 ZONES = 19
-KINDS = 4
+MACHINE_TYPES = 4
 WORKERS_A_RACK = 40
-# Below the ports that the system gives out, and another one for each process that measures.
+# Below the range of ephemeral ports, and different for each measuring process.
 WORKER_PORT = 10_000 + os.getpid() % 20_000
 
 
 def worker_address(number: int) -> str:
-    """A loopback address of its own for each worker, so that the stand-in knows whom a call is for."""
+    """Return the loopback address of a worker; each has its own, from which the simulated workers tell them apart."""
     return f"127.9.{number >> 8}.{number & 255}"
 
 
 def worker_entry(number: int, health: str = "ready") -> dict[str, Any]:
-    """A line of the list as discovery writes it, with names as long as in service."""
+    """Return an entry of the endpoint list, with names as long as in production."""
     return {
         "host": f"w-{number:05d}.zone-{number % ZONES:02d}",
         "dial": f"{worker_address(number)}:{WORKER_PORT}",
         "site": f"zone-{number % ZONES:02d}",
-        "class": f"kind-{number % KINDS}",
+        "class": f"kind-{number % MACHINE_TYPES}",
         "block": number // WORKERS_A_RACK,
         "health": health,
         "share": 1.0,
@@ -35,6 +35,7 @@
 
 
 def worker_entries(count: int) -> list[dict[str, Any]]:
+    """Return the entries of workers 0 to `count` - 1."""
     return [worker_entry(number) for number in range(count)]
 
 
@@ -46,14 +47,14 @@
     retry_after: bool = True,
     probes: bool = True,
 ) -> dict[str, Any]:
-    """The settings object of one dispatcher among `dispatchers`."""
+    """Return the settings of dispatcher `number` of `dispatchers`, with `teams` tenants."""
     return {
         "siblings": dispatchers,
         "index": number,
         "tickUs": 2000,
         "zone": 0,
         "zones": [f"zone-{zone:02d}" for zone in range(ZONES)],
-        "hostTypes": [f"kind-{kind}" for kind in range(KINDS)],
+        "hostTypes": [f"kind-{kind}" for kind in range(MACHINE_TYPES)],
         "registryMode": "subscribe",
         "requestClasses": [
             {
@@ -96,15 +97,15 @@
 
 
 def configuration(
-    listen: str, discovery: str, told: dict[str, Any], known: list[dict[str, Any]], seed: int = 1
+    listen: str, discovery: str, dispatcher_settings: dict[str, Any], known: list[dict[str, Any]], seed: int = 1
 ) -> dict[str, Any]:
-    """The JSON file of one dispatcher."""
+    """Return the configuration of one dispatcher; `known` is the endpoint list that it starts with."""
     return {
         "name": "n0",
         "listen": listen,
         "discovery": discovery,
         "seed": f"{seed:x}",
-        "limits": {"sockets": SOCKETS},
-        "settings": told,
+        "limits": {"sockets": DESCRIPTOR_LIMIT},
+        "settings": dispatcher_settings,
         "known": {"seq": 1 if known else 0, "whole": True, "hosts": known},
     }
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points, by least squares, and how well it fits."""
+"""Fits a straight line to measured points by least squares."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import msgspec
 
-LEAST_SIZES = 4
+MIN_SIZES = 4
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured value at one size; `low` and `high` are the extremes of its repeats."""
+    """A value measured at one size: the median of its repeats, with minimum `low` and maximum `high`."""
 
     size: float
     value: float
@@ -20,7 +20,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """`value = slope x size + fixed`. `r2` is the share of the variance that it explains."""
+    """The line `value = slope x size + fixed`; `r2` is the share of the variance that it explains."""
 
     slope: float
     fixed: float
@@ -28,19 +28,20 @@
     largest_residual: float
 
     def at(self, size: float) -> float:
+        """Return the value of the line at `size`."""
         return self.slope * size + self.fixed
 
 
 class TooFewSizesError(ValueError):
-    """A slope needs LEAST_SIZES different sizes."""
+    """There are points of fewer than MIN_SIZES different sizes, too few for a slope."""
 
 
 def line_through(points: Sequence[Point]) -> Line:
-    """The least-squares line. Raises TooFewSizesError."""
+    """Return the least-squares line through `points`. Raises TooFewSizesError."""
     sizes = [point.size for point in points]
     values = [point.value for point in points]
-    if len(set(sizes)) < LEAST_SIZES:
-        raise TooFewSizesError(f"{len(set(sizes))} sizes, {LEAST_SIZES} needed")
+    if len(set(sizes)) < MIN_SIZES:
+        raise TooFewSizesError(f"{len(set(sizes))} different sizes, at least {MIN_SIZES} are needed")
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
     spread = sum((size - mean_size) ** 2 for size in sizes)
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""Controllers and voters: their sizes, reckoned. What they take is measured by benchmarks/fleet (docs/results/fleet.md)."""
+"""Estimates the sizes of controllers and voters; benchmarks/fleet measures their cost (docs/results/fleet.md)."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 from benchmarks.capacity.reckon import Reckoning
 
-CONTROLLERS = 19  # one a zone
-VOTERS = 7  # one a region
-LEASE_TERM_S = 3.0  # assumed: a controller renews its lease with the voters three times in a term
-RENEWALS_A_TERM = 3
-LEASE_RECORD_BYTES = 200.0  # assumed: who has a shard, until when, which term
+CONTROLLERS = 19  # one per zone
+VOTERS = 7  # one per region
+LEASE_TERM_S = 3.0  # assumed; a controller renews its lease with the voters three times per term
+RENEWALS_PER_TERM = 3
+LEASE_RECORD_BYTES = 200.0  # assumed, for owner, end and term of a shard's lease
 STATUS = "reckoned, not yet measured"
 
 
 class Role(NamedTuple):
-    """One role at the target, from sizes alone."""
+    """The estimate for one member of a role at the target, computed from sizes alone."""
 
     name: str
     members: int
     state: str
     state_bytes: float
-    messages_per_s: float  # in; as many go out
-    bytes_per_s: float  # in; as many go out
+    messages_per_s: float  # received; the same number is sent
+    bytes_per_s: float  # received; the same number is sent
     descriptors: float
     mechanism: str
 
 
 def controller(reckoning: Reckoning) -> Role:
-    """One of CONTROLLERS: leases of quota for the dispatchers of its zone."""
+    """Estimate one of CONTROLLERS, which grants quota leases to the dispatchers of its zone."""
     assumed, teams = reckoning.assumed, reckoning.target.teams
     dispatchers = reckoning.dispatchers / CONTROLLERS
     messages = dispatchers * 1000 / assumed.lease_ms
@@ -46,23 +46,23 @@
 
 
 def teams_that_fit(reckoning: Reckoning) -> float:
-    """How many teams' entries a message may carry, each way, within what control may send and get."""
+    """Return how many tenants' entries fit into a message, sent or received, within the byte rate allowed for control."""
     assumed = reckoning.assumed
-    left = reckoning.target.control_bytes_per_s - reckoning.control_bytes_per_s
-    a_message = left / 2 * assumed.lease_ms / 1000
-    return max(a_message - assumed.lease_message_bytes, 0.0) / assumed.lease_entry_bytes
+    bytes_left_per_s = reckoning.target.control_bytes_per_s - reckoning.control_bytes_per_s
+    message_bytes = bytes_left_per_s / 2 * assumed.lease_ms / 1000
+    return max(message_bytes - assumed.lease_message_bytes, 0.0) / assumed.lease_entry_bytes
 
 
-def bytes_a_dispatcher(reckoning: Reckoning) -> float:
-    """Bytes a second, both ways, if each message carries every team."""
+def bytes_per_dispatcher(reckoning: Reckoning) -> float:
+    """Return bytes per second, sent and received, if each message contains every tenant."""
     assumed = reckoning.assumed
     size = assumed.lease_message_bytes + assumed.lease_entry_bytes * reckoning.target.teams
     return 2 * size * 1000 / assumed.lease_ms
 
 
 def voter(reckoning: Reckoning) -> Role:
-    """One of VOTERS: who holds which shard of the quotas."""
-    renewals = CONTROLLERS * RENEWALS_A_TERM / LEASE_TERM_S
+    """Estimate one of VOTERS, which record the owner of each shard of the quotas."""
+    renewals = CONTROLLERS * RENEWALS_PER_TERM / LEASE_TERM_S
     return Role(
         "voter",
         VOTERS,
--- a/benchmarks/capacity/http.py
+++ b/benchmarks/capacity/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the stand-ins: whole messages out of a stream, and answers."""
+"""HTTP/1.1 connections of the simulated discovery, workers and clients, with a count of the bytes they transfer."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 
 
 def response(status: int, body: bytes = b"") -> bytes:
+    """Return the bytes of a response."""
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, len(body)) + body
 
 
 def post(target: bytes, body: bytes, *headers: bytes) -> bytes:
+    """Return the bytes of a POST request."""
     lines = [b"POST " + target + b" HTTP/1.1", b"Host: dispatcher", *headers, b"Content-Length: %d" % len(body)]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
 class Peer(asyncio.Protocol):
-    """One connection, of either side: `on_message` gets each whole message."""
+    """A client or server connection; `on_message` is called with header and body of each complete message."""
 
-    to_dispatcher = 0  # bytes of all connections so far
+    to_dispatcher = 0  # bytes on all connections so far
     from_dispatcher = 0
 
     def __init__(self, on_message: Callable[[Peer, bytes, bytes], None]) -> None:
@@ -42,11 +44,11 @@
         while (end := self._buffer.find(b"\r\n\r\n")) >= 0:
             head = bytes(self._buffer[:end])
             found = LENGTH.search(head)
-            whole = end + 4 + (int(found[1]) if found else 0)
-            if len(self._buffer) < whole:
+            message_end = end + 4 + (int(found[1]) if found else 0)
+            if len(self._buffer) < message_end:
                 return
-            body = bytes(self._buffer[end + 4 : whole])
-            del self._buffer[:whole]
+            body = bytes(self._buffer[end + 4 : message_end])
+            del self._buffer[:message_end]
             self.on_message(self, head, body)
 
     def write(self, data: bytes) -> None:
@@ -62,14 +64,14 @@
         self.on_lost(self)
 
 
-def _heard(answer: asyncio.Future[tuple[int, bytes]]) -> None:
-    """An end that nobody waits for any more is no surprise."""
-    if not answer.cancelled():
-        answer.exception()
+def _retrieve_exception(response_future: asyncio.Future[tuple[int, bytes]]) -> None:
+    """Mark the exception as retrieved, so that asyncio does not log one for which no caller waits any more."""
+    if not response_future.cancelled():
+        response_future.exception()
 
 
 class Traffic:
-    """The bytes between the dispatcher and all its peers since this was made."""
+    """Counts the bytes between the dispatcher and all its peers since the object was created."""
 
     def __init__(self) -> None:
         self._in, self._out = Peer.to_dispatcher, Peer.from_dispatcher
@@ -84,7 +86,7 @@
 
 
 class Call:
-    """A client's connection: one call at a time."""
+    """A client connection with one request at a time."""
 
     def __init__(self) -> None:
         self.peer = Peer(self._answered)
@@ -97,9 +99,9 @@
         return self
 
     def begin(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
-        """Send; the future gets status and body, or ConnectionResetError."""
+        """Send a request; the future gets status and body of the response, or ConnectionResetError."""
         self.waiting = asyncio.get_running_loop().create_future()
-        self.waiting.add_done_callback(_heard)
+        self.waiting.add_done_callback(_retrieve_exception)
         if self.lost:
             self._lost(self.peer)
         else:
@@ -107,6 +109,7 @@
         return self.waiting
 
     async def get(self, target: bytes) -> int:
+        """Send a GET request, and return the status of the response."""
         status, _body = await self.begin(b"GET " + target + b" HTTP/1.1\r\nHost: dispatcher\r\n\r\n")
         return status
 
@@ -117,7 +120,7 @@
     def _lost(self, _peer: Peer) -> None:
         self.lost = True
         if self.waiting is not None and not self.waiting.done():
-            self.waiting.set_exception(ConnectionResetError("ended by the dispatcher"))
+            self.waiting.set_exception(ConnectionResetError("the dispatcher closed the connection"))
 
     def close(self) -> None:
         self.peer.close()
--- a/benchmarks/capacity/markdown.py
+++ b/benchmarks/capacity/markdown.py
@@ -1,4 +1,4 @@
-"""Tables and figures as the page shows them."""
+"""Formats tables and numbers for the page."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def table(header: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
-    """A Markdown table."""
+    """Return a Markdown table."""
     names = list(header)
     lines = [f"| {' | '.join(names)} |", f"|{' --- |' * len(names)}"]
     lines += [f"| {' | '.join(row)} |" for row in rows]
@@ -14,7 +14,7 @@
 
 
 def significant(value: float, digits: int = 3) -> str:
-    """`digits` significant digits, thousands separated."""
+    """Format `value` with `digits` significant digits, and commas between thousands."""
     if value == 0:
         return "0"
     if abs(value) >= 100:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""The tables of `docs/CAPACITY.md`, each between markers, all out of the results file."""
+"""Fills the blocks of `docs/CAPACITY.md`, each between two markers, from the results file."""
 
 from __future__ import annotations
 
@@ -12,23 +12,26 @@
 from benchmarks.capacity.virtual import FEW_TEAMS
 
 BLOCK = re.compile(r"<!-- capacity:([a-z-]+) -->\n.*?<!-- /capacity:\1 -->", re.DOTALL)
-NOT_LINES = ("over_quota", "over_quota_few_teams")  # shares: their points are shown, not a line
+SERIES_WITHOUT_LINE = (
+    "over_quota",
+    "over_quota_few_teams",
+)  # shares, of which the page shows the points and no fitted line
 
 
 class UnknownBlockError(ValueError):
-    """The page has a marker that no table belongs to, or lacks one."""
+    """The page lacks a block, or has one that is unknown or repeated."""
 
 
 def run(results: Results) -> str:
-    kind = "a --quick run, whose figures mean nothing" if results.quick else "a full run"
+    description = "a --quick run, whose figures mean nothing" if results.quick else "a full run"
     return (
-        f"Measured {results.measured_at} at commit {results.commit} ({kind}), {results.machine}. "
+        f"Measured {results.measured_at} at commit {results.commit} ({description}), {results.machine}. "
         f"Before: {results.before}.\n"
     )
 
 
 def slopes(results: Results) -> str:
-    lines = [series for name, series in results.series.items() if name not in NOT_LINES]
+    lines = [series for name, series in results.series.items() if name not in SERIES_WITHOUT_LINE]
     rows = [
         (
             series.title,
@@ -46,16 +49,16 @@
 
 
 def quota(results: Results) -> str:
-    many, few = (results.series[name] for name in NOT_LINES)
-    quota_of = [TARGET.starts_per_s / teams for teams in (TARGET.teams, FEW_TEAMS)]
+    many, few = (results.series[name] for name in SERIES_WITHOUT_LINE)
+    quota_per_s = [TARGET.starts_per_s / teams for teams in (TARGET.teams, FEW_TEAMS)]
     rows = []
     for all_teams, few_teams in zip(many.points, few.points, strict=False):
         rows.append(
             (
                 significant(all_teams.size),
-                significant(quota_of[0] / all_teams.size),
+                significant(quota_per_s[0] / all_teams.size),
                 significant(all_teams.value),
-                significant(quota_of[1] / few_teams.size),
+                significant(quota_per_s[1] / few_teams.size),
                 significant(few_teams.value),
             )
         )
@@ -95,17 +98,18 @@
 
 
 def block(name: str, results: Results) -> str:
+    """Return a block with its markers."""
     return f"<!-- capacity:{name} -->\n{BLOCKS[name](results)}<!-- /capacity:{name} -->"
 
 
 def tables(results: Results) -> str:
-    """All of them: `docs/results/capacity.md`."""
+    """Return the text of `docs/results/capacity.md`, which has all blocks."""
     return "# Capacity: the tables\n\n" + "\n\n".join(block(name, results) for name in BLOCKS) + "\n"
 
 
 def fill(page: str, results: Results) -> str:
-    """The page with its tables as `results` give them. Raises UnknownBlockError."""
+    """Return `page` with its blocks filled from `results`. Raises UnknownBlockError."""
     found = [match[1] for match in BLOCK.finditer(page)]
     if sorted(found) != sorted(BLOCKS):
-        raise UnknownBlockError(f"blocks differ: {sorted(set(found) ^ set(BLOCKS)) or 'one stands twice'}")
+        raise UnknownBlockError(f"blocks differ: {sorted(set(found) ^ set(BLOCKS)) or 'a block is repeated'}")
     return BLOCK.sub(lambda match: block(match[1], results), page)
--- a/benchmarks/capacity/reckon.py
+++ b/benchmarks/capacity/reckon.py
@@ -1,4 +1,4 @@
-"""What the measured lines make of the target: one dispatcher's part, and discovery's."""
+"""Estimates the cost of one dispatcher and of discovery at the target, from the fitted lines."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from benchmarks.capacity.results import Results
 from benchmarks.capacity.target import DAY_S, Assumptions, Target, dispatchers_needed
 
-PROBES_A_REQUEST = 2
-MEASURED_WATCH_S = 1.3  # the mean of what `Pace` draws
-CALLBACKS_A_TASK = 2  # started and done; progress is counted by time
+HEALTH_CHECKS_PER_REQUEST = 2
+MEASURED_WATCH_S = 1.3  # mean duration of the watches during the measurements, drawn by `WatchSchedule`
+JOB_EVENTS_PER_TASK = 2  # started and done; progress reports are counted by time
 
 
 class Part(NamedTuple):
-    """One term of a sum: how it is reckoned, and what comes out."""
+    """One term of a sum, with the formula `how` and the resulting value."""
 
     what: str
     how: str
@@ -22,13 +22,13 @@
 
 
 class Reckoning:
-    """All that is reckoned for one set of assumptions. `dispatchers`: so many in place of as many as are needed."""
+    """Estimates for one set of assumptions; `dispatchers` replaces the number of dispatchers that are needed."""
 
     def __init__(self, results: Results, target: Target, assumed: Assumptions, dispatchers: int | None = None) -> None:
         self.results, self.target, self.assumed = results, target, assumed
         self.dispatchers = dispatchers or dispatchers_needed(target, assumed)
 
-    # Sizes of one dispatcher.
+    # Sizes per dispatcher.
 
     @property
     def tasks(self) -> float:
@@ -58,15 +58,15 @@
     # Terms.
 
     def line(self, what: str, name: str, size: float, times: float = 1.0, per: str = "") -> Part:
-        """A series at a size, `times` a second (or as often as `per` says)."""
-        found = self.results.series[name].line
-        how = f"{significant(found.slope)} x {size:,.0f} {'+' if found.fixed >= 0 else '-'} {significant(abs(found.fixed))}"
+        """Return the value of a series at `size`, multiplied by `times`; `per` describes the factor."""
+        fitted = self.results.series[name].line
+        how = f"{significant(fitted.slope)} x {size:,.0f} {'+' if fitted.fixed >= 0 else '-'} {significant(abs(fitted.fixed))}"
         if per:
             how = f"({how}) x {per}"
-        return Part(what, how, found.at(size) * times)
+        return Part(what, how, fitted.at(size) * times)
 
     def control_cpu(self) -> list[Part]:
-        """Milliseconds of CPU a second."""
+        """Return milliseconds of CPU time per second."""
         workers, teams = self.target.workers, self.target.teams
         watches, changes, reloads = self.watches_per_s, self.list_changes_per_s, self.reloads_per_s
         team_cost = self.results.slope("team_reload_cpu_ms") * teams
@@ -84,7 +84,7 @@
         ]
 
     def work_cpu(self) -> list[Part]:
-        """Milliseconds of CPU a second."""
+        """Return milliseconds of CPU time per second."""
         starts = self.starts_per_s * self.assumed.requests_a_start
         job = self.results.slope("job_cpu_ms_many")
         progress = self.tasks / self.assumed.progress_every_s
@@ -103,27 +103,29 @@
         ]
 
     def work_bytes(self) -> list[Part]:
-        """Bytes a second, in and out apart, of jobs of 200 B."""
+        """Return bytes per second, received and sent separately, for jobs of 200 B."""
         starts = self.starts_per_s * self.assumed.requests_a_start
         progress = self.tasks / self.assumed.progress_every_s
         parts = []
-        for name, often in (("job", starts), ("callback", progress)):
-            for way in ("in", "out"):
+        for name, rate_per_s in (("job", starts), ("callback", progress)):
+            for direction in ("in", "out"):
                 suffix = "_many" if name == "job" else ""
-                slope = self.results.slope(f"{name}_bytes_{way}{suffix}")
-                what = f"{'jobs' if name == 'job' else 'progress'}, {way}"
-                parts.append(Part(what, f"{significant(slope)} x {significant(often)} a second", slope * often))
+                slope = self.results.slope(f"{name}_bytes_{direction}{suffix}")
+                what = f"{'jobs' if name == 'job' else 'progress'}, {direction}"
+                parts.append(
+                    Part(what, f"{significant(slope)} x {significant(rate_per_s)} a second", slope * rate_per_s)
+                )
         return parts
 
     def control_bytes(self) -> list[Part]:
-        """Bytes a second, in and out."""
+        """Return bytes per second, received and sent."""
         teams = self.target.teams
         watch_in, watch_out = (self.results.slope(name) for name in ("discovery_in", "discovery_out"))
         changes, reloads = self.list_changes_per_s, self.reloads_per_s
         starts = self.assumed.dispatcher_starts_a_day / self.dispatchers / DAY_S
         return [
-            Part("watches, out", significant(watch_in), watch_in * self.shorter_watches),
-            Part("watches, in", significant(watch_out), watch_out * self.shorter_watches),
+            Part("watches, out", significant(watch_in), watch_in * self.watch_rate_factor),
+            Part("watches, in", significant(watch_out), watch_out * self.watch_rate_factor),
             self.line("changes, in", "change_bytes", self.target.workers, changes, f"{significant(changes)} a second"),
             self.line("configurations, in", "team_bytes", teams, reloads, f"{significant(reloads)} a second"),
             self.line(
@@ -136,7 +138,7 @@
         ]
 
     def memory(self) -> list[Part]:
-        """MB."""
+        """Return MB."""
         tasks = self.results.slope("running_memory_mb")
         return [
             self.line("process and list", "memory_mb", self.target.workers),
@@ -150,7 +152,7 @@
 
     @property
     def control_share(self) -> float:
-        """Of a core."""
+        """CPU time for control, as a share of a core."""
         return total(self.control_cpu()) / 1000
 
     @property
@@ -166,17 +168,17 @@
         return total(self.memory())
 
     @property
-    def shorter_watches(self) -> float:
-        """How much more often than measured a watch ends, by assumption."""
+    def watch_rate_factor(self) -> float:
+        """Factor by which watches end more often under the assumptions than in the measurement."""
         return MEASURED_WATCH_S / self.assumed.watch_s
 
     @property
     def discovery_calls_per_s(self) -> float:
-        return self.results.slope("discovery_calls") * self.dispatchers * self.shorter_watches
+        return self.results.slope("discovery_calls") * self.dispatchers * self.watch_rate_factor
 
     @property
     def discovery_bytes_per_s(self) -> float:
-        watches = self.results.slope("discovery_out") * self.dispatchers * self.shorter_watches
+        watches = self.results.slope("discovery_out") * self.dispatchers * self.watch_rate_factor
         changes = self.results.at("change_bytes", self.target.workers) * self.list_changes_per_s * self.dispatchers
         starts = self.assumed.dispatcher_starts_a_day / DAY_S
         return watches + changes + self.results.at("list_bytes", self.target.workers) * starts
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -1,4 +1,4 @@
-"""The results file: every figure of the page comes out of it."""
+"""The results file, from which every number on the page is computed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Series(msgspec.Struct):
-    """One measured quantity over sizes of one thing, with the line through it."""
+    """A quantity measured at several sizes of `by`, with the fitted line."""
 
     name: str
     title: str
@@ -23,7 +23,7 @@
 
 
 class Count(msgspec.Struct):
-    """One measured figure that isn't a slope."""
+    """A single measured value."""
 
     name: str
     title: str
@@ -44,7 +44,7 @@
         return self.series[name].line.slope
 
     def at(self, name: str, size: float) -> float:
-        """The line of a series at a size."""
+        """Return the value at `size` of the line fitted to a series."""
         return self.series[name].line.at(size)
 
     def count(self, name: str) -> float:
@@ -52,14 +52,14 @@
 
 
 def point_of(size: float, values: Sequence[float]) -> Point:
-    """The median of the repeats."""
+    """Return the point with the median of the repeats."""
     return Point(size, statistics.median(values), min(values), max(values), len(values))
 
 
 def series_of(name: str, title: str, unit: str, by: str, points: Iterable[Point]) -> Series:
-    """Raises fit.TooFewSizesError."""
-    kept = sorted(points, key=lambda point: point.size)
-    return Series(name, title, unit, by, kept, line_through(kept))
+    """Return a series, with its points in the order of size. Raises fit.TooFewSizesError."""
+    ordered = sorted(points, key=lambda point: point.size)
+    return Series(name, title, unit, by, ordered, line_through(ordered))
 
 
 def save(results: Results, path: Path) -> None:
--- a/benchmarks/capacity/role_tables.py
+++ b/benchmarks/capacity/role_tables.py
@@ -1,4 +1,4 @@
-"""Tables by role: what each keeps, sends, takes and costs at the target; and what changes with the assumptions."""
+"""Writes the tables of state, messages and cost of each role at the target, and how the assumptions change them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from benchmarks.capacity import fleet
 from benchmarks.capacity.markdown import significant, table
 from benchmarks.capacity.reckon import (
-    CALLBACKS_A_TASK,
-    PROBES_A_REQUEST,
+    HEALTH_CHECKS_PER_REQUEST,
+    JOB_EVENTS_PER_TASK,
     Part,
     Reckoning,
     total,
@@ -34,32 +34,34 @@
 
 
 def _parts(parts: list[Part], title: str, unit: str, limit: str, mechanism: str) -> list[Row]:
-    """One row a term, and their sum."""
+    """Return a row for each term, and one for their sum."""
     rows = [Row(f"{title}: {part.what}", part.how, f"{significant(part.value)} {unit}", mechanism) for part in parts]
     rows.append(Row(f"**{title}, in all**", "", f"**{significant(total(parts))} {unit}**{limit}", ""))
     return rows
 
 
 def dispatcher(results: Results) -> str:
-    """One of the dispatchers."""
-    now = Reckoning(results, TARGET, ASSUMED)
-    starts, tasks = now.starts_per_s * ASSUMED.requests_a_start, now.tasks
+    """Return the table of one dispatcher."""
+    estimate = Reckoning(results, TARGET, ASSUMED)
+    starts, tasks = estimate.starts_per_s * ASSUMED.requests_a_start, estimate.tasks
     messages = [
-        Part("requests", f"{TARGET.starts_per_s:.0f} / {now.dispatchers}", starts),
-        Part("probes out", f"{PROBES_A_REQUEST} a request", PROBES_A_REQUEST * starts),
-        Part("attempts out", "1 a start", now.starts_per_s),
-        Part("call-backs in, start and end", f"{CALLBACKS_A_TASK} a task", CALLBACKS_A_TASK * now.starts_per_s),
+        Part("requests", f"{TARGET.starts_per_s:.0f} / {estimate.dispatchers}", starts),
+        Part("probes out", f"{HEALTH_CHECKS_PER_REQUEST} a request", HEALTH_CHECKS_PER_REQUEST * starts),
+        Part("attempts out", "1 a start", estimate.starts_per_s),
+        Part(
+            "call-backs in, start and end", f"{JOB_EVENTS_PER_TASK} a task", JOB_EVENTS_PER_TASK * estimate.starts_per_s
+        ),
         Part(
             "call-backs in, progress",
             f"{tasks:,.0f} / {ASSUMED.progress_every_s:.0f} s",
             tasks / ASSUMED.progress_every_s,
         ),
-        Part("watches out", f"1 / {ASSUMED.watch_s} s", now.watches_per_s),
+        Part("watches out", f"1 / {ASSUMED.watch_s} s", estimate.watches_per_s),
     ]
-    ours = "worker list, watch (`badgerroad/discovery`); reload by SIGHUP"
+    list_mechanism = "worker list, watch (`badgerroad/discovery`); reload by SIGHUP"
     state = [
-        now.line("the list, as discovery writes it", "list_bytes", TARGET.workers),
-        now.line(f"the configuration with {TARGET.teams} teams", "team_bytes", TARGET.teams),
+        estimate.line("the list, as discovery writes it", "list_bytes", TARGET.workers),
+        estimate.line(f"the configuration with {TARGET.teams} teams", "team_bytes", TARGET.teams),
     ]
     rows = [
         Row(f"state: {part.what}", part.how, f"{significant(part.value)} B", "in memory only; told again after a start")
@@ -67,23 +69,27 @@
     ]
     rows += [Row(f"messages: {p.what}", p.how, f"{significant(p.value)} a second", "HTTP/1.1") for p in messages]
     rows += _parts(
-        now.control_bytes(),
+        estimate.control_bytes(),
         "control, bytes",
         "B/s",
         f" of {TARGET.control_bytes_per_s:,.0f}",
-        f"{ours}; sending the file to all: missing",
+        f"{list_mechanism}; sending the file to all: missing",
     )
     rows += _parts(
-        now.control_cpu(), "control, CPU", "ms a second", f" of {TARGET.control_core_share * 1000:.0f}", ours
+        estimate.control_cpu(),
+        "control, CPU",
+        "ms a second",
+        f" of {TARGET.control_core_share * 1000:.0f}",
+        list_mechanism,
     )
-    rows += _parts(now.work_cpu(), "work, CPU", "ms a second", " of 1,000", "dispatch policy, HTTP")
-    rows += _parts(now.work_bytes(), "work, bytes", "B/s", "", "HTTP/1.1")
-    rows += _parts(now.memory(), "memory", "MB", f" of {TARGET.most_mb:.0f}", "rings that shrink")
+    rows += _parts(estimate.work_cpu(), "work, CPU", "ms a second", " of 1,000", "dispatch policy, HTTP")
+    rows += _parts(estimate.work_bytes(), "work, bytes", "B/s", "", "HTTP/1.1")
+    rows += _parts(estimate.memory(), "memory", "MB", f" of {TARGET.most_mb:.0f}", "rings that shrink")
     rows.append(
         Row(
             "descriptors",
-            now.line("", "running_descriptors", tasks).how,
-            f"{significant(now.descriptors())} of {TARGET.descriptors:,}",
+            estimate.line("", "running_descriptors", tasks).how,
+            f"{significant(estimate.descriptors())} of {TARGET.descriptors:,}",
             "`net/connection.py` sheds idle ones from nine tenths on",
         )
     )
@@ -107,23 +113,23 @@
 
 
 def discovery(results: Results) -> str:
-    """Discovery as the dispatchers load it."""
-    now = Reckoning(results, TARGET, ASSUMED)
-    list_part = now.line("", "list_bytes", TARGET.workers)
-    turn_calls = now.line("", "turn_calls", now.dispatchers)
-    calls, sent = (now.line("", name, now.dispatchers) for name in ("discovery_calls", "discovery_out"))
-    got = now.line("", "discovery_in", now.dispatchers)
-    change = now.line("", "change_bytes", TARGET.workers)
+    """Return the table of the load that the dispatchers put on discovery."""
+    estimate = Reckoning(results, TARGET, ASSUMED)
+    list_part = estimate.line("", "list_bytes", TARGET.workers)
+    turn_calls = estimate.line("", "turn_calls", estimate.dispatchers)
+    calls, sent_bytes = (estimate.line("", name, estimate.dispatchers) for name in ("discovery_calls", "discovery_out"))
+    received_bytes = estimate.line("", "discovery_in", estimate.dispatchers)
+    change = estimate.line("", "change_bytes", TARGET.workers)
     starts = ASSUMED.dispatcher_starts_a_day
     rows = [
         Row("state: the list", list_part.how, f"{significant(list_part.value)} B", "discovery, not ours"),
         Row("calls in", calls.how, f"{significant(calls.value)} a second", "watches of 0.3 to 2.3 s"),
-        Row("bytes in", got.how, f"{significant(got.value)} B/s", "watches"),
-        Row("bytes out, no news", sent.how, f"{significant(sent.value)} B/s", "watches"),
+        Row("bytes in", received_bytes.how, f"{significant(received_bytes.value)} B/s", "watches"),
+        Row("bytes out, no news", sent_bytes.how, f"{significant(sent_bytes.value)} B/s", "watches"),
         Row(
             "bytes out, a change of one worker",
-            f"({change.how}) x {now.dispatchers}",
-            f"{significant(change.value * now.dispatchers)} B",
+            f"({change.how}) x {estimate.dispatchers}",
+            f"{significant(change.value * estimate.dispatchers)} B",
             "each watch is answered with it",
         ),
         Row(
@@ -134,8 +140,8 @@
         ),
         Row(
             "bytes out, all start at once with nothing",
-            f"({list_part.how}) x {now.dispatchers}",
-            f"{significant(list_part.value * now.dispatchers / 1e6)} MB",
+            f"({list_part.how}) x {estimate.dispatchers}",
+            f"{significant(list_part.value * estimate.dispatchers / 1e6)} MB",
             "missing: such first calls take no turns",
         ),
         Row(
@@ -144,7 +150,7 @@
             f"{significant(turn_calls.value)} calls",
             "turns of up to 4 s (`discovery/pace.py`)",
         ),
-        Row("connections", f"1 x {now.dispatchers}", f"{now.dispatchers:,}", "one kept for each dispatcher"),
+        Row("connections", f"1 x {estimate.dispatchers}", f"{estimate.dispatchers:,}", "one kept for each dispatcher"),
         Row("CPU, memory", "", NOT_MEASURED, "not ours: stand-in"),
     ]
     return _rows(rows)
@@ -163,11 +169,11 @@
 
 
 def controller(results: Results) -> str:
-    now = Reckoning(results, TARGET, ASSUMED)
-    return _role(fleet.controller(now)) + (
+    estimate = Reckoning(results, TARGET, ASSUMED)
+    return _role(fleet.controller(estimate)) + (
         f"\nWith every team in each message, one every {ASSUMED.lease_ms:.0f} ms each way, a dispatcher would spend "
-        f"{significant(fleet.bytes_a_dispatcher(now))} B/s on leases, where all control has "
-        f"{significant(TARGET.control_bytes_per_s)}. A message may carry {int(fleet.teams_that_fit(now))} teams at most: "
+        f"{significant(fleet.bytes_per_dispatcher(estimate))} B/s on leases, where all control has "
+        f"{significant(TARGET.control_bytes_per_s)}. A message may carry {int(fleet.teams_that_fit(estimate))} teams at most: "
         f"those that changed.\n"
     )
 
@@ -177,18 +183,18 @@
 
 
 def assumptions(results: Results) -> str:
-    """Each assumption halved and doubled."""
+    """Return the table of estimates with each assumption halved and doubled."""
 
-    def cells(now: Reckoning) -> tuple[str, ...]:
+    def cells(estimate: Reckoning) -> tuple[str, ...]:
         return (
-            f"{now.dispatchers:,}",
-            significant(now.control_share * 100),
-            significant(now.control_bytes_per_s),
-            significant(now.work_share * 100),
-            significant(now.memory_mb),
-            significant(now.descriptors()),
-            significant(now.discovery_calls_per_s),
-            significant(now.discovery_bytes_per_s),
+            f"{estimate.dispatchers:,}",
+            significant(estimate.control_share * 100),
+            significant(estimate.control_bytes_per_s),
+            significant(estimate.work_share * 100),
+            significant(estimate.memory_mb),
+            significant(estimate.descriptors()),
+            significant(estimate.discovery_calls_per_s),
+            significant(estimate.discovery_bytes_per_s),
         )
 
     base = Reckoning(results, TARGET, ASSUMED)
@@ -211,9 +217,11 @@
             changed = Reckoning(results, TARGET, msgspec.structs.replace(ASSUMED, **{name: value}))
             rows.append((name.replace("_", " "), f"{word}: {significant(value)}", *cells(changed)))
     for factor, word in ((0.5, "half"), (2.0, "twice")):
-        life = msgspec.structs.replace(TARGET, running_tasks=int(TARGET.running_tasks * factor))
-        seconds = life.running_tasks / TARGET.starts_per_s
-        rows.append(("life of a task, s", f"{word}: {significant(seconds)}", *cells(Reckoning(results, life, ASSUMED))))
+        target = msgspec.structs.replace(TARGET, running_tasks=int(TARGET.running_tasks * factor))
+        seconds = target.running_tasks / TARGET.starts_per_s
+        rows.append(
+            ("life of a task, s", f"{word}: {significant(seconds)}", *cells(Reckoning(results, target, ASSUMED)))
+        )
     return table(
         (
             "assumption",
@@ -232,15 +240,15 @@
 
 
 def faults(results: Results) -> str:
-    """What losing a part costs; the time until all is as before hasn't been measured."""
-    now = Reckoning(results, TARGET, ASSUMED)
+    """Return the table of what the loss of a part costs; the time to recover is not measured."""
+    estimate = Reckoning(results, TARGET, ASSUMED)
     zone, region = TARGET.workers / TARGET.zones, TARGET.workers / TARGET.regions
     rows = []
     for what, workers, dispatchers in (
         ("a machine", 1.0, 0.0),
         ("a rack", float(ASSUMED.rack_workers), 0.0),
-        ("a zone", zone, now.dispatchers / TARGET.zones),
-        ("a region", region, now.dispatchers / TARGET.regions),
+        ("a zone", zone, estimate.dispatchers / TARGET.zones),
+        ("a region", region, estimate.dispatchers / TARGET.regions),
     ):
         size, cpu, hold = (results.at(name, workers) for name in ("loss_bytes", "loss_cpu_ms", "loss_hold_ms"))
         if workers == 1:
@@ -251,14 +259,16 @@
                 f"{workers:,.0f}",
                 f"{workers * TARGET.running_tasks / TARGET.workers:,.0f}",
                 f"{dispatchers:,.0f}",
-                f"{now.dispatchers - round(dispatchers)} x {significant(size)} B",
+                f"{estimate.dispatchers - round(dispatchers)} x {significant(size)} B",
                 significant(cpu),
                 significant(hold),
                 NOT_MEASURED,
                 NOT_MEASURED,
             )
         )
-    rows.append(("a dispatcher", "0", f"{now.tasks:,.0f} cut off", "1", "none", "0", "0", NOT_MEASURED, NOT_MEASURED))
+    rows.append(
+        ("a dispatcher", "0", f"{estimate.tasks:,.0f} cut off", "1", "none", "0", "0", NOT_MEASURED, NOT_MEASURED)
+    )
     return table(
         (
             "loss of",
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -1,4 +1,4 @@
-"""All measurements, one after another, in holds of the lock on the machine's cores if there is one."""
+"""Runs all measurements in sequence, if asked under a lock on the cores of the machine."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from benchmarks.capacity.target import TARGET
 
 T = TypeVar("T")
-Taken = Mapping[int, Mapping[str, Sequence[float]]]
+Measured = Mapping[int, Mapping[str, Sequence[float]]]
 Titles = Mapping[str, tuple[str, str]]
-LONGEST_HOLD_S = 55.0  # of the lock
-NEXT_STEP_S = 25.0  # a hold that has lasted so long ends before the next step
+LONGEST_HOLD_S = 55.0  # for which the lock is held at a time
+RELEASE_AFTER_S = 25.0  # of holding the lock; it is released before the next step
 
 BEFORE = (
     "docs/results/capacity_before.json has the same run of the program at commit b3d8ca1, where a change of one worker and "
@@ -33,13 +33,13 @@
 
 
 class Sizes:
-    """The sizes measured; --quick has four of each, small."""
+    """The sizes to measure; a quick run has four small ones of each."""
 
     def __init__(self, quick: bool) -> None:
         self.quick = quick
         self.repeats = 1 if quick else 7
         self.starts = 1 if quick else 5
-        self.number = 0 if quick else by_workers.NUMBER
+        self.number = 0 if quick else by_workers.DISPATCHER_INDEX
         self.workers = by_workers.sizes(quick)
         self.large_list = 200 if quick else 6_600
         self.idle = (0, 20, 40, 60) if quick else (0, 200, 400, 600, 800)
@@ -57,33 +57,35 @@
 
 
 class Cores:
-    """The exclusive lock on the machine's cores, in holds of LONGEST_HOLD_S at most; without a file there is none."""
+    """The exclusive lock on the cores, held for LONGEST_HOLD_S at most at a time; without a file nothing is locked."""
 
     def __init__(self, lock: Path | None) -> None:
         self._file = open(lock, "a") if lock is not None else None  # noqa: SIM115 - held for the whole run
-        self._since: float | None = None
+        self._held_since: float | None = None
 
     def take(self) -> None:
-        """Before each step: go on with the present hold, or end it and wait for the next one."""
-        if self._since is not None and self.left_s <= LONGEST_HOLD_S - NEXT_STEP_S:
+        """Prepare a step: take the lock, after releasing it for other programs if it has been held for long."""
+        if self._held_since is not None and self.left_s <= LONGEST_HOLD_S - RELEASE_AFTER_S:
             self.release()
-        if self._since is None:
+        if self._held_since is None:
             if self._file is not None:
                 fcntl.flock(self._file, fcntl.LOCK_EX)
-            self._since = time.monotonic()
+            self._held_since = time.monotonic()
 
     @property
     def left_s(self) -> float:
-        """Of the present hold."""
-        return LONGEST_HOLD_S if self._since is None else LONGEST_HOLD_S - (time.monotonic() - self._since)
+        """Seconds for which the lock may still be held."""
+        return LONGEST_HOLD_S if self._held_since is None else LONGEST_HOLD_S - (time.monotonic() - self._held_since)
 
     def release(self) -> None:
-        self._since = None
+        self._held_since = None
         if self._file is not None:
             fcntl.flock(self._file, fcntl.LOCK_UN)
 
 
 class Run:
+    """One run of all measurements, which collects their results."""
+
     def __init__(self, quick: bool, lock: Path | None) -> None:
         self.sizes, self.cores = Sizes(quick), Cores(lock)
         machine = f"{platform.machine()}, {platform.system()} {platform.release()}, Python {platform.python_version()}"
@@ -105,46 +107,46 @@
 
     def _by_workers(self) -> None:
         sizes = self.sizes
-        taken = {}
+        measured = {}
         for size in sizes.workers:
-            taken[size] = self._serve(
+            measured[size] = self._serve(
                 f"{size} workers", by_workers.measure(self.folder, size, sizes.starts, sizes.number)
             )
-        self._keep(by_workers.TITLES, "workers on the list", taken)
+        self._keep(by_workers.TITLES, "workers on the list", measured)
         idle = self._serve("idle connections", by_connections.idle(self.folder, sizes.idle))
         self._keep(by_connections.IDLE_TITLES, "idle clients' connections", idle)
 
     def _by_connections(self) -> None:
         sizes, folder = self.sizes, self.folder
         by = f"tasks running, {sizes.large_list} workers"
-        taken = self._serve(
+        measured = self._serve(
             "running tasks", by_connections.running(folder, sizes.large_list, sizes.running, sizes.repeats)
         )
-        self._keep(by_connections.RUNNING_TITLES, by, taken)
-        taken = self._serve("call-backs closed", by_connections.closed(folder, sizes.large_list, sizes.running))
-        self._keep(by_connections.CLOSED_TITLES, by, taken)
+        self._keep(by_connections.RUNNING_TITLES, by, measured)
+        measured = self._serve("call-backs closed", by_connections.closed(folder, sizes.large_list, sizes.running))
+        self._keep(by_connections.CLOSED_TITLES, by, measured)
         most = self._serve("most tasks", by_connections.most_running(folder, sizes.large_list, sizes.most))
         self._count("most_running", f"tasks running at once, {sizes.most} tried", "tasks", most)
         self._count("most_running_mb", "memory then", "MB", most)
         self._count("most_running_descriptors", "descriptors then", "descriptors", most)
-        taken = self._serve("call-backs", by_connections.callbacks(folder, sizes.callbacks))
-        self._keep(by_connections.CALLBACK_TITLES, "call-backs of progress", taken)
+        measured = self._serve("call-backs", by_connections.callbacks(folder, sizes.callbacks))
+        self._keep(by_connections.CALLBACK_TITLES, "call-backs of progress", measured)
 
     def _by_load(self) -> None:
         sizes, folder = self.sizes, self.folder
         for workers, name in ((15, "few"), (sizes.large_list, "many")):
-            taken = self._serve(f"jobs, {workers} workers", by_load.jobs(folder, workers, sizes.jobs, 3))
-            self._keep(by_load.JOB_TITLES, f"jobs, {workers} workers", taken, suffix=f"_{name}")
+            measured = self._serve(f"jobs, {workers} workers", by_load.jobs(folder, workers, sizes.jobs, 3))
+            self._keep(by_load.JOB_TITLES, f"jobs, {workers} workers", measured, suffix=f"_{name}")
         self._keep(
             by_load.TEAM_TITLES, "teams", self._serve("teams", by_load.teams(folder, sizes.teams, sizes.repeats))
         )
-        lost = self._serve("losses", by_load.losses(folder, sizes.large_list, sizes.losses, sizes.repeats))
-        self._keep(by_load.LOSS_TITLES, f"workers in one change, {sizes.large_list} listed", lost)
-        asked = {
+        loss_values = self._serve("losses", by_load.losses(folder, sizes.large_list, sizes.losses, sizes.repeats))
+        self._keep(by_load.LOSS_TITLES, f"workers in one change, {sizes.large_list} listed", loss_values)
+        discovery_values = {
             count: self._serve(f"{count} dispatchers", by_load.discovery_load(folder, count, 200, sizes.discovery_s))
             for count in sizes.dispatchers
         }
-        self._keep(by_load.DISCOVERY_TITLES, "dispatchers, nothing changes", asked)
+        self._keep(by_load.DISCOVERY_TITLES, "dispatchers, nothing changes", discovery_values)
 
     def _virtual(self) -> None:
         sizes = self.sizes
@@ -169,26 +171,26 @@
         turns = {count: self._step(f"turns, {count}", partial(virtual.turns, count)) for count in sizes.turns}
         self._keep(virtual.TURN_TITLES, "dispatchers", turns)
 
-    def _keep(self, titles: Titles, by: str, taken: Taken, suffix: str = "") -> None:
+    def _keep(self, titles: Titles, by: str, measured: Measured, suffix: str = "") -> None:
         for name, (title, unit) in titles.items():
-            points: list[Point] = [point_of(size, values[name]) for size, values in taken.items()]
+            points: list[Point] = [point_of(size, values[name]) for size, values in measured.items()]
             self.results.series[name + suffix] = series_of(name + suffix, title, unit, by, points)
 
-    def _count(self, name: str, title: str, unit: str, found: Mapping[str, float]) -> None:
-        self.results.counts[name] = Count(name, title, unit, found[name])
+    def _count(self, name: str, title: str, unit: str, values: Mapping[str, float]) -> None:
+        self.results.counts[name] = Count(name, title, unit, values[name])
 
     def _serve(self, what: str, measured: Coroutine[Any, Any, T]) -> T:
-        """Raises TimeoutError where the lock would be held too long."""
+        """Run a measurement with processes. Raises TimeoutError if the lock would be held for too long."""
         return self._step(what, lambda: asyncio.run(asyncio.wait_for(measured, self.cores.left_s)))
 
     def _step(self, what: str, measure: Callable[[], T]) -> T:
         self.cores.take()
-        began = time.monotonic()
-        found = measure()
-        took = time.monotonic() - began
-        print(f"{what}: {took:.1f} s", flush=True)
-        return found
+        started = time.monotonic()
+        values = measure()
+        duration_s = time.monotonic() - started
+        print(f"{what}: {duration_s:.1f} s", flush=True)
+        return values
 
 
-def _named(name: str, taken: Mapping[int, Sequence[float]]) -> dict[int, dict[str, Sequence[float]]]:
-    return {size: {name: values} for size, values in taken.items()}
+def _named(name: str, measured: Mapping[int, Sequence[float]]) -> dict[int, dict[str, Sequence[float]]]:
+    return {size: {name: values} for size, values in measured.items()}
--- a/benchmarks/capacity/server.py
+++ b/benchmarks/capacity/server.py
@@ -1,4 +1,4 @@
-"""A real `badgerroad serve` process, started with the platform's limits and watched from outside."""
+"""Runs a real `badgerroad serve` process with the limits of production, and measures it from outside."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 ROOT = Path(__file__).parent.parent.parent
 START_LIMIT_S = 20.0
-SETTLED_WITHIN_S = 1.0
-ASLEEP_S = 0.004  # the clock of another process moves when that goes to sleep, or at the next tick
+SETTLE_LIMIT_S = 1.0
+CPU_CLOCK_DELAY_S = 0.004  # the CPU clock of another process advances when that sleeps, or at the next timer tick
 
 
 def free_port() -> int:
@@ -31,17 +31,17 @@
 
 
 class Serve:
-    """One dispatcher process and its readings."""
+    """A dispatcher process, with its CPU time, memory and descriptors."""
 
     def __init__(self, folder: Path, config: dict[str, Any]) -> None:
         self.folder, self.config = folder, config
         self.port = int(config["listen"].rpartition(":")[2])
         self.file = folder / f"serve-{self.port}.json"
-        self.began = 0.0
+        self.started_at = 0.0
         self.process: asyncio.subprocess.Process | None = None
 
     def write(self, config: dict[str, Any]) -> int:
-        """The configuration file's bytes."""
+        """Write the configuration file, and return its size in bytes."""
         self.config = config
         return self.file.write_bytes(json.dumps(config).encode())
 
@@ -50,25 +50,25 @@
         environment = {**os.environ, "PROXY_CONFIG": str(self.file), "PYTHONPATH": str(ROOT)}
         sockets = self.config["limits"]["sockets"]
         with open(self.folder / "serve.log", "ab") as log:
-            self.began = time.perf_counter()
+            self.started_at = time.perf_counter()
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "badgerroad", "serve", cwd=ROOT, env=environment, stdout=log, stderr=log
             )
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
 
     async def ready(self) -> float:
-        """Seconds from the start to the first 200 of /-/ready."""
-        while time.perf_counter() - self.began < START_LIMIT_S:
+        """Wait for the first 200 of /-/ready, and return the seconds since the start. Raises TimeoutError."""
+        while time.perf_counter() - self.started_at < START_LIMIT_S:
             try:
                 call = await Call().open("127.0.0.1", self.port)
                 while await call.get(b"/-/ready") != 200:
                     await asyncio.sleep(0.002)
-                took = time.perf_counter() - self.began
+                duration_s = time.perf_counter() - self.started_at
                 call.close()
-                return took
+                return duration_s
             except OSError:
                 await asyncio.sleep(0.002)
-        raise TimeoutError("serve didn't get ready; its log is beside its configuration")
+        raise TimeoutError("serve did not become ready; its log is in the folder of its configuration")
 
     @property
     def pid(self) -> int:
@@ -76,11 +76,11 @@
         return self.process.pid
 
     def cpu_s(self) -> float:
-        """CPU time of the whole process so far, by its own clock (Linux: clock_getcpuclockid(3))."""
+        """Return the CPU time of the process so far, from its CPU clock (Linux: clock_getcpuclockid(3))."""
         return time.clock_gettime((~self.pid << 3) | 2)
 
     def memory_mb(self) -> float:
-        """Resident now."""
+        """Return the resident memory."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * resource.getpagesize() / 1e6
 
     def peak_mb(self) -> float:
@@ -95,10 +95,10 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def settled(self) -> None:
-        """Until it has used no CPU to speak of for 50 ms, or a second is over: jobs that are held keep it at work."""
+        """Wait until the process uses under 1 ms of CPU time in 50 ms, or for SETTLE_LIMIT_S: open jobs keep it busy."""
         before = self.cpu_s()
-        until = time.perf_counter() + SETTLED_WITHIN_S
-        while time.perf_counter() < until:
+        deadline = time.perf_counter() + SETTLE_LIMIT_S
+        while time.perf_counter() < deadline:
             await asyncio.sleep(0.05)
             now = self.cpu_s()
             if now - before < 0.001:
@@ -112,44 +112,44 @@
 
 
 class Pinger:
-    """Asks /-/ready over and over from a thread of its own: the longest answer is the longest hold of the loop."""
+    """Requests /-/ready repeatedly from a separate thread; the longest response time is the longest pause of the event loop."""
 
     def __init__(self, port: int) -> None:
         self.longest_s = 0.0
-        self._over = threading.Event()
+        self._stopped = threading.Event()
         self._socket = socket.create_connection(("127.0.0.1", port))
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._thread = threading.Thread(target=self._ping, daemon=True)
         self._thread.start()
 
     def _ping(self) -> None:
-        while not self._over.is_set():
-            began = time.perf_counter()
+        while not self._stopped.is_set():
+            started = time.perf_counter()
             self._socket.sendall(b"GET /-/ready HTTP/1.1\r\nHost: dispatcher\r\n\r\n")
             self._socket.recv(4096)
-            self.longest_s = max(self.longest_s, time.perf_counter() - began)
+            self.longest_s = max(self.longest_s, time.perf_counter() - started)
 
     def stop(self) -> float:
-        self._over.set()
+        self._stopped.set()
         self._thread.join()
         self._socket.close()
         return self.longest_s
 
 
 async def cpu_of(server: Serve, action: Callable[[], Awaitable[Any]], repeats: int) -> list[float]:
-    """Milliseconds of CPU that each run of `action` takes; it ends when the dispatcher has done its part."""
-    taken = []
+    """Return milliseconds of CPU time for each run of `action`, which ends when the dispatcher has processed it."""
+    measured = []
     for _ in range(repeats):
-        await asyncio.sleep(ASLEEP_S)
+        await asyncio.sleep(CPU_CLOCK_DELAY_S)
         before = server.cpu_s()
         await action()
-        await asyncio.sleep(ASLEEP_S)
-        taken.append((server.cpu_s() - before) * 1000)
-    return taken
+        await asyncio.sleep(CPU_CLOCK_DELAY_S)
+        measured.append((server.cpu_s() - before) * 1000)
+    return measured
 
 
 async def holds_of(server: Serve, action: Callable[[], Awaitable[Any]], repeats: int) -> list[float]:
-    """The longest time in milliseconds for which nobody else was served, for each run of `action`."""
+    """Return the longest pause of the event loop in milliseconds for each run of `action`."""
     longest = []
     for _ in range(repeats):
         pinger = Pinger(server.port)
--- a/benchmarks/capacity/stand_ins.py
+++ b/benchmarks/capacity/stand_ins.py
@@ -1,4 +1,4 @@
-"""What a measured dispatcher meets: a discovery that is told when to say what, and workers."""
+"""Simulated discovery service and workers for a measured dispatcher."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from benchmarks.capacity.configuration import WORKER_PORT, worker_address, worker_entry
 from benchmarks.capacity.http import Call, Peer, post, response
 
-ASKED = re.compile(rb"index=(\d+)&wait=(\d+)")
+WATCH_PARAMETERS = re.compile(rb"index=(\d+)&wait=(\d+)")
 REQUEST_ID = re.compile(rb"request-id: *([^\r\n]+)", re.IGNORECASE)
 
 
 class Discovery:
-    """Serves a list, and holds watches until their time is over or there is news."""
+    """Serves the endpoint list, and answers a watch at its timeout or with an update that the measurement sends."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
         self.version = 1
         self.calls = self.bytes_in = self.bytes_out = 0
         self.port = 0
         self._watches: dict[Peer, asyncio.TimerHandle] = {}
-        self._asked = asyncio.Event()
+        self._watch_received = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self.entries(entries)
+        self.set_entries(entries)
 
-    def entries(self, entries: list[dict[str, Any]]) -> None:
+    def set_entries(self, entries: list[dict[str, Any]]) -> None:
         self._hosts = json.dumps(entries).encode()
 
     async def open(self) -> Discovery:
@@ -44,28 +44,28 @@
             timer.cancel()
 
     @property
-    def whole_list(self) -> bytes:
+    def complete_list(self) -> bytes:
         return b'{"seq": %d, "whole": true, "hosts": %s}' % (self.version, self._hosts)
 
     def change(self, entries: list[dict[str, Any]]) -> bytes:
-        """What a change of these entries looks like, at the version that is due next."""
+        """Return the response of a watch that changes `entries`, at the present version."""
         return b'{"seq": %d, "whole": false, "hosts": %s}' % (self.version, json.dumps(entries).encode())
 
     def _serve(self, peer: Peer, head: bytes, _body: bytes) -> None:
         self.calls += 1
         self.bytes_in += len(head) + 4
-        asked = ASKED.search(head)
-        if asked is None or int(asked[1]) == 0:
-            self._answer(peer, self.whole_list)
-        elif int(asked[2]) == 0:
+        watch = WATCH_PARAMETERS.search(head)
+        if watch is None or int(watch[1]) == 0:
+            self._answer(peer, self.complete_list)
+        elif int(watch[2]) == 0:
             self._answer(peer, self.change([]))
         else:
             loop = asyncio.get_running_loop()
             peer.on_lost = self._lost
-            self._watches[peer] = loop.call_later(int(asked[2]) / 1000, self._over, peer)
-            self._asked.set()
+            self._watches[peer] = loop.call_later(int(watch[2]) / 1000, self._expire_watch, peer)
+            self._watch_received.set()
 
-    def _over(self, peer: Peer) -> None:
+    def _expire_watch(self, peer: Peer) -> None:
         self._watches.pop(peer, None)
         self._answer(peer, self.change([]))
 
@@ -80,40 +80,42 @@
         peer.write(data)
 
     async def watched(self) -> None:
-        """Until a dispatcher holds a watch."""
+        """Wait until a dispatcher holds a watch."""
         while not self._watches:
-            self._asked.clear()
-            await self._asked.wait()
+            self._watch_received.clear()
+            await self._watch_received.wait()
 
-    async def tell(self, body: bytes) -> None:
-        """Answer the watch now, and wait until the dispatcher has taken that in: it has asked anew."""
+    async def send_update(self, body: bytes) -> None:
+        """Answer the watch, and wait for the next one, which the dispatcher sends after it has processed the response."""
         await self.watched()
         peer, timer = self._watches.popitem()
         timer.cancel()
-        self._asked.clear()
+        self._watch_received.clear()
         self._answer(peer, body)
         await self.watched()
 
 
 class Workers:
-    """So many workers on addresses of their own. They take each job at once, say that it has started, and finish it at
-    once, or never where `hold` is set."""
+    """`count` workers, each with its own address, which accept each job and report its start at once.
+
+    They also finish it at once, or never if `hold` is true.
+    """
 
     def __init__(self, count: int, hold: bool = False, keep: bool = True) -> None:
-        """`keep`: call-backs of one worker share one connection, kept open; else each has its own."""
+        """Set up the workers; `keep` sends all job events of a worker over one connection, else each over a new one."""
         self.count, self.hold, self.keep = count, hold, keep
         self.dispatcher = ("127.0.0.1", 0)
-        self.jobs: list[tuple[str, int]] = []  # request ids and workers, in the order they came
-        self.held: set[str] = set()  # the same ids
+        self.jobs: list[tuple[str, int]] = []  # (request id, worker) in the order received
+        self.held: set[str] = set()  # their request ids
         self._servers: list[asyncio.Server] = []
-        self._back: dict[int, asyncio.Task[Call]] = {}
+        self._event_connections: dict[int, asyncio.Task[Call]] = {}
         self._locks: dict[int, asyncio.Lock] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def call_back_to(self, port: int) -> None:
-        """Another dispatcher from now on; connections to an earlier one are of no use."""
+        """Send job events to the dispatcher on `port`, over new connections."""
         self.dispatcher = ("127.0.0.1", port)
-        self._back, self._locks = {}, {}
+        self._event_connections, self._locks = {}, {}
 
     async def open(self) -> Workers:
         loop = asyncio.get_running_loop()
@@ -137,8 +139,8 @@
         peer.write(response(202 if head.startswith(b"POST") else 200))
         found = REQUEST_ID.search(head)
         if head.startswith(b"POST") and found:
-            _, _, third, fourth = peer.local[0].split(".")
-            number = int(third) * 256 + int(fourth)
+            _, _, high, low = peer.local[0].split(".")
+            number = int(high) * 256 + int(low)
             self.jobs.append((found[1].decode(), number))
             self.held.add(found[1].decode())
             task = asyncio.ensure_future(self._run(found[1].decode(), number))
@@ -146,22 +148,22 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _run(self, request: str, number: int) -> None:
-        with contextlib.suppress(ConnectionError):  # the dispatcher has ended
+        with contextlib.suppress(ConnectionError):  # the dispatcher has exited
             await self.call_back(request, number, "started")
             if not self.hold:
                 await self.call_back(request, number, "done")
 
     async def call_back(self, request: str, number: int, state: str) -> None:
         worker = worker_entry(number)["host"]
-        item = {"id": request, "from": worker, "state": state, "result": "x", "share": 0.5}
-        data = post(b"/v1/job-events", json.dumps(item).encode())
+        event = {"id": request, "from": worker, "state": state, "result": "x", "share": 0.5}
+        data = post(b"/v1/job-events", json.dumps(event).encode())
         if not self.keep:
             call = await Call().open(*self.dispatcher)
             await call.begin(data)
             call.close()
             return
-        if number not in self._back:
-            self._back[number] = asyncio.ensure_future(Call().open(*self.dispatcher))
+        if number not in self._event_connections:
+            self._event_connections[number] = asyncio.ensure_future(Call().open(*self.dispatcher))
             self._locks[number] = asyncio.Lock()
         async with self._locks[number]:
-            await (await self._back[number]).begin(data)
+            await (await self._event_connections[number]).begin(data)
--- a/benchmarks/capacity/subjects.py
+++ b/benchmarks/capacity/subjects.py
@@ -1,4 +1,4 @@
-"""Every use of the program's own modules by the capacity measurements; all else speaks to `serve` over sockets."""
+"""Wraps the modules of the program that are measured directly; all other measurements use `serve` over sockets."""
 
 from __future__ import annotations
 
@@ -17,53 +17,53 @@
 
 
 def policy_with_list(settings: bytes, entries: list[dict[str, Any]]) -> DispatchPolicy:
-    """The decision module with a whole list, as discovery writes it."""
+    """Return the load-balancing policy with a complete endpoint list, given as discovery sends it."""
     policy = DispatchPolicy(settings_from(settings), seed=1)
     worker_list, _addresses = EndpointListReader([], []).read({"seq": 1, "whole": True, "hosts": entries})
     policy.handle(1, worker_list)
     return policy
 
 
-def hold_jobs(policy: DispatchPolicy, jobs: int, time_left_us: int) -> None:
-    """Open `jobs` requests at one moment."""
+def open_requests(policy: DispatchPolicy, jobs: int, time_left_us: int) -> None:
+    """Open `jobs` requests at the same time."""
     for number in range(jobs):
         policy.handle(2, interface.Request(1_000_000 + number, time_left=time_left_us))
 
 
-def seconds_of_refusal(policy: DispatchPolicy, number: int, hint_us: int, time_left_us: int) -> float:
-    """Wall time in which the module, which doesn't probe, refuses a request that can't be in time anywhere."""
+def rejection_duration_s(policy: DispatchPolicy, number: int, hint_us: int, time_left_us: int) -> float:
+    """Return the wall time to reject a request that no worker can finish in time, by a policy without health checks."""
     request = interface.Request(number, time_left=time_left_us, work_hint=hint_us)
-    began = time.perf_counter()
+    started = time.perf_counter()
     actions = policy.handle(SECOND, request)
-    took = time.perf_counter() - began
+    duration_s = time.perf_counter() - started
     if not any(isinstance(action, interface.Reject) for action in actions):
-        raise RuntimeError("the module didn't refuse a request that can't be in time")
-    return took
+        raise RuntimeError("the policy did not reject a request that cannot be finished in time")
+    return duration_s
 
 
 def over_quota_share(settings: bytes, arrivals: list[tuple[int, int]]) -> float:
-    """The share of `arrivals` (microseconds, tenant) that the module's own bucket counts as over quota."""
-    read = settings_from(settings)
+    """Return the share of `arrivals` (microseconds, tenant) that the quota buckets count as over quota."""
+    decoded = settings_from(settings)
     buckets = QuotaBuckets()
     over = 0
     for now, tenant in arrivals:
-        over += buckets.is_over(read, interface.Request(0, tenant=tenant), now)
+        over += buckets.is_over(decoded, interface.Request(0, tenant=tenant), now)
     return over / len(arrivals)
 
 
 class VirtualCalls:
-    """The calls at discovery of many dispatchers that start together, by the rules of `WatchSchedule`, each answered at once."""
+    """Times of the calls that dispatchers send to discovery after a common start, by `WatchSchedule`, with instant answers."""
 
     def __init__(self, dispatchers: int, seconds: float, holds_list: bool) -> None:
-        self.times: list[float] = []
-        self.first: list[float] = []
+        self.call_times_s: list[float] = []
+        self.first_call_times_s: list[float] = []
         for number in range(dispatchers):
-            self._play(WatchSchedule(dispatchers, number, random.Random(number)), seconds * SECOND, holds_list)
+            self._simulate(WatchSchedule(dispatchers, number, random.Random(number)), seconds * SECOND, holds_list)
 
-    def _play(self, schedule: WatchSchedule, until: float, holds_list: bool) -> None:
+    def _simulate(self, schedule: WatchSchedule, until: float, holds_list: bool) -> None:
         now = schedule.first_call_delay(holds_list)
-        self.first.append(now / SECOND)
+        self.first_call_times_s.append(now / SECOND)
         while now < until:
-            self.times.append(now / SECOND)
+            self.call_times_s.append(now / SECOND)
             now += max(schedule.next_call().wait_us, 1)
             schedule.call_answered()
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -1,4 +1,4 @@
-"""The installation in two years, and what is assumed of it where nobody has said."""
+"""Size of the installation in two years, and assumptions where no figure is given."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """The stated figures."""
+    """The given figures."""
 
     workers: int = 6_600
     accelerators: int = 16_000
@@ -35,20 +35,20 @@
 
 
 class Assumptions(msgspec.Struct, frozen=True):
-    """Ours, each varied by two on the page."""
-
-    client_share: float = 1 / 3  # of the descriptors that clients may hold
-    connections_a_task: float = 1.0  # of clients, held while the task runs
-    requests_a_start: float = 1.0  # requests that a dispatcher gets for each task started
-    refusals_a_start: float = 1.0  # of them refused, with advice, at the peak
-    list_changes_a_restart: float = 3.0  # draining, gone, ready
-    progress_every_s: float = 10.0  # a call-back of each running task
-    watch_s: float = 1.3  # mean wait of a watch at discovery (0.3 to 2.3 s)
+    """Assumed figures; the page shows the effect of half and twice each."""
+
+    client_share: float = 1 / 3  # of the descriptors, for client connections
+    connections_a_task: float = 1.0  # from clients, open while the task runs
+    requests_a_start: float = 1.0  # requests received per task started
+    refusals_a_start: float = 1.0  # rejected requests with a Retry-After value per task started, at the peak
+    list_changes_a_restart: float = 3.0  # changes to draining, gone and ready
+    progress_every_s: float = 10.0  # interval of the progress reports of a running task
+    watch_s: float = 1.3  # mean duration of a watch (0.3 to 2.3 s)
     dispatcher_starts_a_day: float = 1_100.0
     rack_workers: int = 40
-    lease_ms: float = 500.0  # how often a dispatcher speaks with its zone's controller
-    lease_message_bytes: float = 400.0  # each way, without the entries
-    lease_entry_bytes: float = 24.0  # a team's share in a message
+    lease_ms: float = 500.0  # interval of the messages between a dispatcher and the controller of its zone
+    lease_message_bytes: float = 400.0  # in each direction, without the entries
+    lease_entry_bytes: float = 24.0  # per tenant in a message
 
 
 TARGET = Target()
@@ -56,6 +56,6 @@
 
 
 def dispatchers_needed(target: Target, assumed: Assumptions) -> int:
-    """So many that clients' connections fit into their share of the descriptors."""
-    held = target.running_tasks * assumed.connections_a_task
-    return math.ceil(held / math.floor(target.descriptors * assumed.client_share))
+    """Return the number of dispatchers at which client connections fit into their share of the descriptors."""
+    connections = target.running_tasks * assumed.connections_a_task
+    return math.ceil(connections / math.floor(target.descriptors * assumed.client_share))
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -9,7 +9,7 @@
 
 from benchmarks.capacity import virtual
 from benchmarks.capacity.__main__ import PAGE, RESULTS
-from benchmarks.capacity.fit import LEAST_SIZES, Point, TooFewSizesError, line_through
+from benchmarks.capacity.fit import MIN_SIZES, Point, TooFewSizesError, line_through
 from benchmarks.capacity.markdown import significant
 from benchmarks.capacity.page import BLOCKS, UnknownBlockError, block, fill, tables
 from benchmarks.capacity.reckon import Reckoning
@@ -61,7 +61,7 @@
     assert not results.quick
     assert results.series
     for series in results.series.values():
-        assert len({point.size for point in series.points}) >= LEAST_SIZES, series.name
+        assert len({point.size for point in series.points}) >= MIN_SIZES, series.name
         assert line_through(series.points) == series.line, series.name
         assert all(point.low <= point.value <= point.high for point in series.points), series.name
 
@@ -124,7 +124,7 @@
 def test_each_quantity_is_measured_at_four_sizes_or_more():
     for sizes in (Sizes(quick=True), Sizes(quick=False)):
         for name in ("workers", "idle", "running", "jobs", "callbacks", "teams", "losses", "dispatchers", "turns"):
-            assert len(set(getattr(sizes, name))) >= LEAST_SIZES, name
+            assert len(set(getattr(sizes, name))) >= MIN_SIZES, name
     assert LONGEST_HOLD_S <= 60
 
 
@@ -146,7 +146,7 @@
     found = load(tmp_path / "capacity.json")
     assert found.quick
     assert found.series.keys() == results.series.keys()
-    assert all(len({point.size for point in series.points}) >= LEAST_SIZES for series in found.series.values())
+    assert all(len({point.size for point in series.points}) >= MIN_SIZES for series in found.series.values())
     assert (tmp_path / "capacity.md").read_text() == tables(found)
     assert (tmp_path / "capacity.png").stat().st_size > 0
     assert PAGE.read_text() == page
