--- a/tests/support/outer_names.py
+++ b/tests/support/outer_names.py
@@ -2,7 +2,7 @@
 
     python -m tests.support.outer_names
 
-prints them, one a line: message fields and their values, keys of settings and stored data, flags, environment variables,
+prints them, one per line: message fields and their values, keys of settings and stored data, flags, environment variables,
 metrics, log events and their fields, error codes. A name is a string constant that looks like a name, a word of the
 command line's help, a field of a structure that is encoded by name, or a field of a log event.
 """
@@ -25,12 +25,12 @@
 
 
 def names_of_program() -> set[str]:
-    """The names in all modules of the program."""
+    """Return the names in all modules of the program."""
     return {name for path in sorted(PROGRAM.rglob("*.py")) for name in names_of_module(path)} - NOT_OUTER
 
 
 def names_of_module(path: Path) -> set[str]:
-    """The names in one module; the help of the command line is read as text."""
+    """Return the names in one module; in the help text of the command line, flags and commands are names."""
     tree = ast.parse(path.read_text())
     names = set()
     if path.name == "cli.py":
@@ -41,7 +41,7 @@
 
 
 def _outer_nodes(tree: ast.AST) -> Iterator[ast.AST]:
-    """All nodes but docstrings, annotations, and lists of attributes."""
+    """Yield the nodes below `tree`, without docstrings and assignments to NOT_OUTER_ASSIGNMENTS."""
     for node in ast.iter_child_nodes(tree):
         if isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant):
             continue
@@ -69,7 +69,7 @@
 
 
 def _is_encoded_by_name(node: ast.ClassDef) -> bool:
-    """Whether the class is a msgspec structure whose fields are encoded under their names."""
+    """Return whether the class is a msgspec structure whose fields are encoded under their names."""
     is_struct = any(ast.unparse(base) in ("msgspec.Struct", "Base") for base in node.bases)
     return is_struct and not any(keyword.arg == "array_like" for keyword in node.keywords)
 
--- a/tests/support/renamed_tests.py
+++ b/tests/support/renamed_tests.py
@@ -1,9 +1,9 @@
-"""Pairs the tests of two checkouts by their place, and prints the renamed ones.
+"""Pairs the tests of two checkouts by their position in the file, and prints the renamed ones.
 
     python -m tests.support.renamed_tests OLD NEW OLD_CASES NEW_CASES [OLD_PATH=NEW_PATH ...]
 
-OLD and NEW are checkouts, the cases files are what `pytest --collect-only -q` printed in each. A test keeps its place among
-the test functions of its file. Prints `before, cases, after, cases`, tab-separated, for each test that has another name or
+OLD and NEW are checkouts, and the cases files contain the output of `pytest --collect-only -q` in each. A test is expected
+to keep its position among the test functions of its file. Prints `before, cases, after, cases`, tab-separated, for each test that has another name or
 another number of cases. Exit code 1 if a file has fewer test functions than before.
 """
 
@@ -33,12 +33,12 @@
 
 
 def _cases(file: str) -> Counter[str]:
-    """How many cases each test has in a collection."""
+    """Return the number of cases of each test in the output of a collection."""
     return Counter(line.partition("[")[0] for line in Path(file).read_text().splitlines() if "::" in line)
 
 
 def _tests(path: Path) -> list[str]:
-    """The test functions and methods of a file, in their order."""
+    """Return the names of the test functions and methods of a file, in their order."""
     nodes = [
         node
         for node in ast.walk(ast.parse(path.read_text()))
--- a/tests/support/syntax_comparison.py
+++ b/tests/support/syntax_comparison.py
@@ -3,8 +3,8 @@
     python -m tests.support.syntax_comparison OLD NEW [PATH ...] [--moved OLD_PATH=NEW_PATH ...]
 
 OLD and NEW are checkouts; PATH names files or folders below both (default: badgerroad). Prints each function or class
-whose tree differs otherwise than in names and texts, each number and each name-like text that is gone, and the renames
-that were found. Exit code 1 if a tree differs or a number is gone.
+whose tree differs in more than names and texts, the numbers and name-like texts that are missing or new, and the renames.
+Exit code 1 if there is any difference other than a rename.
 """
 
 import ast
@@ -17,7 +17,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Compare what the command line names, and return the exit code."""
+    """Compare the modules that the command line names, and return the exit code."""
     moved = dict(a.split("=") for a in arguments if "=" in a)
     old, new, *paths = (a for a in arguments if "=" not in a and a != "--moved")
     different = False
@@ -43,7 +43,7 @@
 
 
 def compare(old: str, new: str) -> list[str]:
-    """The differences of two texts of one module, a line each."""
+    """Return the differences between two versions of a module's source, one per line."""
     old_tree, new_tree = _tree(old), _tree(new)
     lines: list[str] = []
     pairs: Counter[tuple[str, str]] = Counter()
@@ -72,7 +72,7 @@
 
 
 def _definitions(tree):
-    """The functions of a module in their order, each with its qualified name, and the rest of module and classes."""
+    """Return (qualified name, node) of each function, each class without its functions, and the remaining statements."""
     found = []
 
     def walk(node, prefix):
@@ -94,7 +94,7 @@
 
 
 def _tree(text):
-    """The syntax tree of a module's text, without docstrings."""
+    """Return the syntax tree of a module's source, without docstrings."""
     tree = ast.parse(text)
     for node in ast.walk(tree):
         if hasattr(node, "body") and isinstance(node.body, list):
@@ -109,7 +109,7 @@
 
 
 class _Normaliser(ast.NodeVisitor):
-    """Writes a tree as a list in which names and texts are replaced by marks; imports are left out."""
+    """Converts a tree to a list in which placeholders replace names and texts; imports are left out."""
 
     def __init__(self):
         self.parts, self.names = [], []
@@ -163,7 +163,7 @@
 
 
 def _name_texts(tree):
-    """Texts that look like a name: they may leave the process."""
+    """Return the texts that look like names, and may therefore leave the process."""
     constants = (node.value for node in ast.walk(tree) if isinstance(node, ast.Constant))
     texts = (v.decode("latin-1") if isinstance(v, bytes) else v for v in constants if isinstance(v, str | bytes))
     return Counter(text for text in texts if NAME.fullmatch(text))
