--- a/examples/fleet/two_regions.py
+++ b/examples/fleet/two_regions.py
@@ -1,11 +1,11 @@
-"""Two regions that share the quota of one team, and are cut from one another for a while.
+"""Shows two regions that share the quota of one tenant during a network partition between them.
 
 Usage: python examples/fleet/two_regions.py [--before S] [--cut S] [--after S]
 
-It starts three controllers (`badgerroad control`): north's and south's, and a witness in a third region, which votes
-and stays in contact with north only. Beside them it plays dispatchers: they ask for twice the quota, and count
-what they are told is within it and over it. Between the regions lies a relay that can be cut. A line is printed for
-each second. All of it runs on loopback and ends by itself.
+Starts three controllers (`badgerroad control`): one each in north and south, and a witness in a third region, which
+votes and stays connected to north during the partition. Simulated dispatchers request twice the quota, and count the
+requests within the quota and over it. Relays connect south to the other regions, and are cut for the partition. Prints
+a line per second. Everything runs on loopback, and the example ends without input.
 """
 
 import argparse
@@ -34,11 +34,11 @@
 
 NORTH, SOUTH, WITNESS = "north", "south", "witness"
 REGIONS = (NORTH, SOUTH, WITNESS)
-TEAM, QUOTA = "team", 60  # requests a second over both regions
+TEAM, QUOTA = "team", 60  # requests per second in both regions together
 DISPATCHERS = 2  # in each of north and south
-RATE = QUOTA / DISPATCHERS  # requests a second of each dispatcher: twice the quota together
-# Shorter than the defaults, so that the cut's effects are seen within seconds.
-TIMES = {
+RATE = QUOTA / DISPATCHERS  # requests per second of each dispatcher; together twice the quota
+# Shorter than the defaults, so that the partition takes effect within seconds.
+LEASE_TIMES = {
     "ownership_lease_ms": 2000,
     "quota_lease_ms": 1200,
     "dispatcher_lease_ms": 800,
@@ -54,7 +54,7 @@
 
 
 class Dispatcher:
-    """A dispatcher without clients: requests at random times, and the leases of the real one."""
+    """A simulated dispatcher, which generates requests at random times and holds leases like a real one."""
 
     def __init__(self, settings, region, number):
         self.region, self.random = region, Random(f"{region} {number}")
@@ -67,9 +67,11 @@
         self.requests = self.within = self.over = 0
 
     def received(self, sender, message):
+        """Process a message; called by the connections."""
         self._perform(self.leases.receive(monotonic_us(), sender, message))
 
     def lost(self, name):
+        """Process the loss of a connection; called by the connections."""
         self._perform(self.leases.peer_lost(monotonic_us(), name))
 
     async def run(self):
@@ -94,7 +96,7 @@
 
 
 class Fleet:
-    """The files, relays, controllers and dispatchers of all regions."""
+    """The configuration files, relays, controllers and dispatchers of all regions."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -103,8 +105,8 @@
 
     async def start(self):
         for region in (NORTH, WITNESS):
-            for one, other in ((SOUTH, region), (region, SOUTH)):
-                self.relays[one, other] = await Relay(self.ports[other]).open()
+            for source, target in ((SOUTH, region), (region, SOUTH)):
+                self.relays[source, target] = await Relay(self.ports[target]).open()
         (self.folder / "quotas.toml").write_text(f"{TEAM} = {QUOTA}\n")
         for region in REGIONS:
             self.processes.append(await self.start_controller(region))
@@ -115,15 +117,15 @@
             asyncio.ensure_future(dispatcher.run())
 
     async def start_controller(self, region):
-        """With its own members file: other regions' controllers are reached through the relays."""
+        """Start a controller with its own members file, in which relays stand for the controllers behind the cut."""
         members = ""
         for other in REGIONS:
             port = self.relays[region, other].port if (region, other) in self.relays else self.ports[other]
             values = {"name": other, "zone": other, "region": other, "host": "127.0.0.1", "port": port, "voter": True}
             members += "[[controllers]]\n" + toml(values)
-        # A controller listens where its own entry says, which is never a relay.
+        # A controller listens at the address of its own entry, which is never that of a relay.
         (self.folder / f"{region}.members.toml").write_text(members)
-        fleet = {"name": region, "members": f"{region}.members.toml", "quotas": "quotas.toml", **TIMES}
+        fleet = {"name": region, "members": f"{region}.members.toml", "quotas": "quotas.toml", **LEASE_TIMES}
         operator = self.folder / f"{region}.toml"
         operator.write_text("[fleet]\n" + toml(fleet))
         with (self.folder / f"{region}.log").open("wb") as output:
@@ -131,19 +133,22 @@
             return await asyncio.create_subprocess_exec(*command, stderr=output, cwd=ROOT)
 
     def cut(self):
+        """Separate south from the other regions."""
         for relay in self.relays.values():
             relay.cut()
 
     def heal(self):
+        """End the partition."""
         for relay in self.relays.values():
             relay.heal()
 
     def counts(self, region):
-        mine = [d for d in self.dispatchers if d.region == region]
-        return sum(d.within for d in mine), sum(d.over for d in mine)
+        """Return the requests within the quota and over it so far."""
+        local = [dispatcher for dispatcher in self.dispatchers if dispatcher.region == region]
+        return sum(dispatcher.within for dispatcher in local), sum(dispatcher.over for dispatcher in local)
 
-    async def end(self):
-        """Returns the controllers' exit codes."""
+    async def stop(self):
+        """Stop dispatchers, controllers and relays, and return the exit codes of the controllers."""
         for dispatcher in self.dispatchers:
             for message in dispatcher.leases.release(monotonic_us()):
                 dispatcher.connections.send(message.to, message.message)
@@ -156,18 +161,20 @@
         return codes
 
 
-async def play(fleet, phase, seconds):
-    """Print a line a second; returns what was let through in each region, requests a second."""
-    first = {region: fleet.counts(region) for region in (NORTH, SOUTH)}
+async def print_counts(fleet, phase, seconds):
+    """Print a line per second, and return the requests per second within the quota of each region."""
+    initial = {region: fleet.counts(region) for region in (NORTH, SOUTH)}
     for _ in range(seconds):
         before = {region: fleet.counts(region) for region in (NORTH, SOUTH)}
         await asyncio.sleep(1)
         line = f"{phase:<12}"
         for region in (NORTH, SOUTH):
-            within, over = (now - then for now, then in zip(fleet.counts(region), before[region], strict=False))
+            within, over = (
+                after - earlier for after, earlier in zip(fleet.counts(region), before[region], strict=False)
+            )
             line += f"  {region} within {within:>3} over {over:>3}"
         print(line, flush=True)
-    return {region: (fleet.counts(region)[0] - first[region][0]) / max(seconds, 1) for region in first}
+    return {region: (fleet.counts(region)[0] - initial[region][0]) / max(seconds, 1) for region in initial}
 
 
 async def run(options):
@@ -177,32 +184,38 @@
         try:
             await fleet.start()
             await until_served(fleet)
-            rates = {"before": await play(fleet, "before", options.before)}
+            rates = {"before": await print_counts(fleet, "before", options.before)}
             print("the regions are cut from one another", flush=True)
             fleet.cut()
-            rates["cut"] = await play(fleet, "cut", options.cut)
+            rates["cut"] = await print_counts(fleet, "cut", options.cut)
             print("the relay passes again", flush=True)
             fleet.heal()
-            rates["after"] = await play(fleet, "after", options.after)
+            rates["after"] = await print_counts(fleet, "after", options.after)
         finally:
-            codes = await fleet.end()
+            codes = await fleet.stop()
     for phase, by_region in rates.items():
-        print(f"{phase}: within the quota, a second: " + ", ".join(f"{r} {v:.1f}" for r, v in by_region.items()))
+        print(
+            f"{phase}: within the quota, a second: "
+            + ", ".join(f"{region} {rate:.1f}" for region, rate in by_region.items())
+        )
     print(f"controllers ended with {codes}")
     return 0 if codes == [0] * len(REGIONS) else 1
 
 
 async def until_served(fleet):
-    """A voter that has just started waits for one ownership lease, so nothing is within the quota at first."""
-    end = time.monotonic() + START_LIMIT_S
+    """Wait until each region has a request within the quota.
+
+    A voter grants nothing during the first ownership lease after its start.
+    """
+    deadline = time.monotonic() + START_LIMIT_S
     while not all(fleet.counts(region)[0] for region in (NORTH, SOUTH)):
-        if time.monotonic() > end:
-            raise SystemExit("no request was within the quota; see whether other programs take the processor")
+        if time.monotonic() > deadline:
+            raise SystemExit("no request was within the quota; check that no other program uses the CPU")
         await asyncio.sleep(0.1)
 
 
 def free_ports(count):
-    """Below those ports that the system gives to connections by itself."""
+    """Return `count` free ports below the range of ephemeral ports."""
     ports = set()
     while len(ports) < count:
         port = SystemRandom().randrange(10_000, 32_000)
@@ -213,7 +226,7 @@
 
 
 def toml(values):
-    """TOML's texts, numbers and booleans are those of JSON."""
+    """Return `values` as TOML; its strings, numbers and booleans are written as in JSON."""
     return "".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items())
 
 
