--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -78,12 +78,12 @@
 
         await asyncio.gather(*(send_request(n) for n in range(60)))
         await until(lambda: not w.dispatcher.open_requests)
-        metrics = await w.figures()
+        metrics = await w.read_metrics()
         for metric in ("answered", "deferred", "errored"):
             assert metrics[metric] == {cls: expected[metric, cls] for cls in ("preview", "bundle")}
         assert {200, 503} < set(statuses)
         assert sum(expected.values()) == 60
-        attempts = [head for peer in w.hosts for head, _ in peer.got if head.startswith(b"POST")]
+        attempts = [head for peer in w.hosts for head, _ in peer.received if head.startswith(b"POST")]
         assert metrics["sends"] == len(attempts)
         assert metrics["current"] == 0
 
@@ -95,7 +95,7 @@
 
     async with World(ends_as_id_says, closes_connection, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        first = await w.figures()
+        first = await w.read_metrics()
         assert first["answered"] == first["errored"] == {"preview": 0, "bundle": 0}
         assert (first["current"], first["cluster_size"], first["cluster_unhealthy"]) == (0, 2, 0)
         assert (first["conf_loaded"], first["conf_invalid"]) == (0, 0)
@@ -104,8 +104,8 @@
         await until(lambda: "draining" in w.dispatcher.endpoint_watch.states.values())
         connection = await w.connect()
         connection[1].write(job("late1"))
-        await until(lambda: w.hosts[1].got)
-        seen = await w.figures()
+        await until(lambda: w.hosts[1].received)
+        seen = await w.read_metrics()
         assert (seen["current"], seen["cluster_size"]) == (1, 2)
         assert seen["cluster_unhealthy"] >= 1
 
@@ -161,11 +161,11 @@
         # Nearly exhausted: connections of clients are accepted, but their requests are rejected.
         w.dispatcher.descriptors.used -= 0.04 * w.dispatcher.descriptors.limit
         assert (await w.ask(job(), waiting[0]))[0] == 503
-        assert (await w.figures())["deferred"] == {"preview": 1, "bundle": 0}
+        assert (await w.read_metrics())["deferred"] == {"preview": 1, "bundle": 0}
         w.dispatcher.descriptors.used = 10
         w.dispatcher.decisions.handle = lambda now, event: []  # the policy never decides: the deadline timer responds
         assert (await w.ask(job("r1", "preview", 200)))[0] == 504
-        assert (await w.figures())["errored"]["preview"] == 1
+        assert (await w.read_metrics())["errored"]["preview"] == 1
 
 
 @async_test
@@ -205,7 +205,7 @@
         while figures.get(name) != count:
             await asyncio.sleep(0.02)
             with contextlib.suppress(OSError):
-                figures = await w.figures()
+                figures = await w.read_metrics()
     assert figures["conf_invalid"] == 2
     assert set(figures["answered"]) == {"preview", "bundle", "other"}
     os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/backend/test_job_events.py
+++ b/tests/backend/test_job_events.py
@@ -52,4 +52,4 @@
 
     async with World(slow_to_respond) as w:
         assert (await w.ask(job()))[2] == b"made"
-        assert len(w.hosts[0].got) == 1
+        assert len(w.hosts[0].received) == 1
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -18,7 +18,7 @@
     async with World(serve) as w:
         body = bytes(range(256)) * 256
         status, _, result = await w.ask(job("r1", "bundle", 3000, body, "Idempotency-Key: k  9", "Client-Retry: 1"))
-        head, forwarded_body = w.hosts[0].got[0]
+        head, forwarded_body = w.hosts[0].received[0]
         assert (status, result, forwarded_body) == (200, b"made", body)
         assert head.startswith(b"POST /bundle/7f3a?q=%20 HTTP/1.1\r\n")
         assert b"Idempotency-Key: k  9\r\n" in head
@@ -58,7 +58,7 @@
 async def test_client_error_of_a_worker_is_returned_and_does_not_count_against_it():
     async with World(*[lambda *_: reply(404)] * 2) as w:
         assert (await w.ask(job()))[0] == 404
-        assert sum(len(h.got) for h in w.hosts) == 1
+        assert sum(len(h.received) for h in w.hosts) == 1
         assert not w.dispatcher.open_requests
         assert [worker.consecutive_failures for worker in w.dispatcher.decisions.subsets.ready] == [0, 0]
         assert not w.dispatcher.decisions.requests
@@ -69,20 +69,20 @@
     monkeypatch.setattr(dispatcher_attempts, "ACCEPT_TIMEOUT_US", 100_000)
 
     async def ignores_first_request(world, head, body):
-        if sum(len(h.got) for h in world.hosts) == 1:
+        if sum(len(h.received) for h in world.hosts) == 1:
             await asyncio.sleep(60)
         return await serve(world, head, body)
 
     async with World(ignores_first_request, ignores_first_request) as w:
         assert (await w.ask(job()))[0] == 200
-        assert sorted(len(h.got) for h in w.hosts) == [1, 1]
+        assert sorted(len(h.received) for h in w.hosts) == [1, 1]
         assert sorted(worker.consecutive_failures for worker in w.dispatcher.decisions.subsets.ready) == [0, 1]
 
 
 @async_test
 async def test_first_attempt_determines_the_response_if_the_hedged_request_is_rejected():
     def accepts_first_request_only(world, _head, _body):
-        return reply(202 if sum(len(h.got) for h in world.hosts) == 1 else 409)
+        return reply(202 if sum(len(h.received) for h in world.hosts) == 1 else 409)
 
     async with World(accepts_first_request_only, accepts_first_request_only) as w:
         response = w.begin(w.ask(job()))
@@ -102,5 +102,5 @@
         status, _, _ = await w.ask(job("r1", "bundle", 1000))
         assert status == 504  # not 503, since the job may have run
         assert asyncio.get_running_loop().time() - started_at >= 0.9
-        await until(lambda: any(h.startswith(b"DELETE") for h, _ in w.hosts[0].got))
+        await until(lambda: any(h.startswith(b"DELETE") for h, _ in w.hosts[0].received))
         await until(lambda: not w.dispatcher.open_requests)
