--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -178,7 +178,7 @@
         (file_with(requestClasses=[{**CLASS, "name": "a", "deadlineUs": -5}]), "deadline"),
         (file_with(requestClasses=[{**CLASS, "name": "a", "deadlineUs": "soon"}]), "deadline"),
         (file_with(requestClasses=[{**CLASS}]), "name"),
-        (file_with(requestClasses=[{**CLASS, "name": "a"}, {**CLASS, "name": "a"}]), "two classes"),
+        (file_with(requestClasses=[{**CLASS, "name": "a"}, {**CLASS, "name": "a"}]), "class names are not unique"),
         (file_with(requestClasses=[]), "classes"),
         (file_with(requestClasses=7), "settings"),
         (file_with(permissions={**SETTINGS["permissions"], "tryLimit": 0}), "max_attempts"),
