--- a/benchmarks/fleet_broken_rules.py
+++ b/benchmarks/fleet_broken_rules.py
@@ -1,4 +1,4 @@
-"""Breaks the fleet's rules one at a time and tells by what the oracle finds each.
+"""Breaks the fleet's rules one at a time and reports which violation the oracle detects for each.
 
 python -m benchmarks.fleet_broken_rules --write
 """
@@ -13,9 +13,9 @@
 
 
 def main() -> int:
-    """The command."""
+    """Run every broken rule, print their table, and return the exit code: 1 if the oracle missed a rule."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--write", action="store_true", help="write the table into the page of results")
+    parser.add_argument("--write", action="store_true", help="write the table into the results page")
     arguments = parser.parse_args()
     lines = ["| broken rule | found by | as |", "|---|---|---|"]
     missed = 0
--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -1,4 +1,4 @@
-"""What many dispatchers do to one discovery and one fleet, counted over all of them in virtual time.
+"""Counts the load that many dispatchers put on one discovery service and one fleet, in virtual time.
 
 python benchmarks/fleet_counts.py examples/fleet.toml 1 2 3
 """
--- a/benchmarks/fleet_mutations.py
+++ b/benchmarks/fleet_mutations.py
@@ -1,4 +1,4 @@
-"""Changes one message at a time in recorded dialogues of the fleet, and counts what changed the outcome.
+"""Mutates one message at a time in recorded dialogues of the fleet, and counts the mutations that changed the outcome.
 
 python -m benchmarks.fleet_mutations --jobs 4 --write
 python -m benchmarks.fleet_mutations --target 120 --mutation "term - 1"
@@ -16,13 +16,13 @@
 
 from benchmarks.result_sections import PROOF_PAGE, write_section
 from tests.fleet.simulation.violations import Kind
-from tests.mutation.dialogue import Recording, chosen, dialogue_name, play, record
+from tests.mutation.dialogue import Recording, dialogue_name, play, record, selected_messages
 from tests.mutation.mutations import mutations
 
 
 @dataclass(frozen=True)
 class Case:
-    """One changed message."""
+    """One mutation of one message. `target`: the message's number in the recording."""
 
     target: int
     mutation: str
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True)
 class CaseResult:
-    """What became of it."""
+    """Outcome of one case. `changed`: whether any decision on a request differs; `breaches`: violated properties."""
 
     case: Case
     dialogue: str
     kind: str
     group: str
-    lies: bool
+    faulty_sender: bool
     changed: bool
     breaches: tuple[tuple[Kind, str], ...]
 
@@ -47,22 +47,22 @@
 
 @cache
 def recording() -> Recording:
-    """The unchanged dialogue, recorded once a process."""
+    """Return the unmutated dialogues, recorded once per process."""
     return record()
 
 
 def cases() -> list[Case]:
-    """Every change of every chosen message."""
+    """Return every mutation of every selected message."""
     recorded = recording()
     return [
         Case(number, mutation.name)
-        for number in chosen(recorded)
+        for number in selected_messages(recorded)
         for mutation in mutations(recorded.parcels[number], recorded.peers)
     ]
 
 
 def run_case(case: Case) -> CaseResult:
-    """Plays the dialogue with one message changed."""
+    """Run the dialogues with one message mutated."""
     recorded = recording()
     parcel = recorded.parcels[case.target]
     mutation = next(m for m in mutations(parcel, recorded.peers) if m.name == case.mutation)
@@ -72,14 +72,14 @@
         dialogue_name(parcel.message) or "",
         type(parcel.message).__name__,
         mutation.group,
-        mutation.lies,
+        mutation.faulty_sender,
         outcome.differs(recorded.outcome),
         tuple((kind, str(violation)) for kind, violation in outcome.result.findings.first.items()),
     )
 
 
 def table(results: Iterable[CaseResult]) -> str:
-    """Counts by dialogue and kind of change, as a table of a page."""
+    """Format the counts by dialogue and group of mutations as a Markdown table."""
     counted, changed, broke = Counter[tuple[str, str]](), Counter[tuple[str, str]](), Counter[tuple[str, str]]()
     for result in results:
         key = (result.dialogue, result.group)
@@ -96,12 +96,12 @@
 
 
 def main() -> int:
-    """The command."""
+    """Run one case or all, and return the exit code: 1 if a property was violated."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--jobs", type=int, default=1, help="processes at a time")
-    parser.add_argument("--target", type=int, help="number of the one message to change")
-    parser.add_argument("--mutation", help="with --target: the change's name")
-    parser.add_argument("--write", action="store_true", help="write the counts into the page of results")
+    parser.add_argument("--jobs", type=int, default=1, help="number of parallel processes")
+    parser.add_argument("--target", type=int, help="number of the only message to mutate")
+    parser.add_argument("--mutation", help="with --target: name of the mutation")
+    parser.add_argument("--write", action="store_true", help="write the counts into the results page")
     arguments = parser.parse_args()
     if arguments.target is not None:
         result = run_case(Case(arguments.target, arguments.mutation))
--- a/benchmarks/fleet_scenarios.py
+++ b/benchmarks/fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""Faults of a fleet at full size in virtual time: 19 controllers, 200 dispatchers, 510 teams called at twice the quota.
+"""Runs fault scenarios in virtual time on 19 controllers, 200 dispatchers and 510 teams loaded at twice their quota.
 
 python -m benchmarks.fleet_scenarios --jobs 2 --write
 """
@@ -14,37 +14,37 @@
 
 
 def run_number(number: int) -> tuple[Figures, list[str]]:
-    """One scenario: its figures, and what broke."""
+    """Run one scenario; return its figures and the first violation of each kind."""
     figures, findings = run_scenario(SCENARIOS[number]())
     return figures, [str(violation) for violation in findings.first.values()]
 
 
 def seconds(value: float | None) -> str:
-    """A time of the table."""
+    """Format a recovery time for the table."""
     return "not within the run" if value is None else f"{value:.0f}"
 
 
 def table(rows: list[Figures]) -> str:
-    """The figures as a table of a page."""
+    """Format the figures as a Markdown table."""
     lines = [
         "| scenario | shards looked at | of their quota used before | least used in a second, of that | unused, s of that | as much as before again after, s | and for good after, s | fullest meter, of its bound | properties broken |",
         "|---|---|---|---|---|---|---|---|---|",
     ]
     for row in rows:
         lines.append(
-            f"| {row.name} | {row.shards} | {row.before:.1%} | {row.least:.1%} | {row.unused_seconds:.2f} "
-            f"| {seconds(row.full_again_after)} | {seconds(row.full_for_good_after)} | {row.most_over:.1%} "
+            f"| {row.name} | {row.shards} | {row.before:.1%} | {row.lowest:.1%} | {row.unused_seconds:.2f} "
+            f"| {seconds(row.full_again_after)} | {seconds(row.full_for_good_after)} | {row.max_meter_ratio:.1%} "
             f"| {row.violations} |"
         )
     return "\n".join(lines)
 
 
 def main() -> int:
-    """The command."""
+    """Run the scenarios, print their table, and return the exit code: 1 if a property was violated."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--jobs", type=int, default=1, help="processes at a time")
-    parser.add_argument("--only", type=int, help="number of the only scenario to run")
-    parser.add_argument("--write", action="store_true", help="write the table into the page of results")
+    parser.add_argument("--jobs", type=int, default=1, help="number of parallel processes")
+    parser.add_argument("--only", type=int, help="index of the only scenario to run")
+    parser.add_argument("--write", action="store_true", help="write the table into the results page")
     arguments = parser.parse_args()
     numbers = range(len(SCENARIOS)) if arguments.only is None else [arguments.only]
     rows = []
--- a/tests/fleet/simulation/broken_rules.py
+++ b/tests/fleet/simulation/broken_rules.py
@@ -1,4 +1,4 @@
-"""Rules broken on purpose, one at a time: the oracle must find each."""
+"""Deliberately broken rules that check the oracle: it must report a violation for each of them."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from tests.fleet.simulation.violations import Kind
 
 FOREVER = 1 << 60
-MOST_SEEDS = 60
-"""Seeds within which a broken rule must be found, where no directed schedule is given."""
+MAX_SEEDS = 60
+"""Number of seeds within which the oracle must detect a broken rule."""
 
 
 @dataclass(frozen=True)
 class Patch:
-    """One replaced method."""
+    """Replacement of one method of a class."""
 
     owner: type
     attribute: str
@@ -38,7 +38,11 @@
 
 @dataclass(frozen=True)
 class BrokenRule:
-    """`kinds`: findings of which one must be made; `directed`: the name of a directed schedule, if chance is too slow."""
+    """One broken rule.
+
+    `kinds`: the violations of which the oracle must report at least one. `directed`: name of a directed schedule, for
+    rules that random faults seldom show to be broken; empty for random schedules.
+    """
 
     name: str
     patches: tuple[Patch, ...]
@@ -47,14 +51,14 @@
 
     @contextmanager
     def broken(self) -> Iterator[None]:
-        """Breaks the rule for a while."""
+        """Apply the patches for the duration of the context."""
         with _patched(self.patches):
             yield
 
     def find(self) -> Find | None:
-        """Runs the rule broken till the oracle finds it; None if it doesn't within `MOST_SEEDS`."""
+        """Run seeds with the rule broken until the oracle detects it; return None if `MAX_SEEDS` seeds do not."""
         with self.broken():
-            for seed in range(MOST_SEEDS):
+            for seed in range(MAX_SEEDS):
                 schedule = DIRECTED[self.directed](seed) if self.directed else draw_schedule(seed)
                 found = self.kinds & set(run_schedule(schedule).findings.first)
                 if found:
@@ -64,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Find:
-    """How a broken rule was found."""
+    """The seed and violations by which the oracle detected a broken rule."""
 
     rule: BrokenRule
     seed: int
--- a/tests/fleet/simulation/clock.py
+++ b/tests/fleet/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Clocks of the simulated machines: each monotonic, with an offset and a rate of its own. All times are microseconds."""
+"""Monotonic clocks of the simulated machines, each with its own offset and rate. All times are in microseconds."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 MILLISECOND = 1_000
 SECOND = 1_000_000
 RATE_ERROR = 0.01
-"""The most that a machine's clock runs fast or slow."""
+"""Maximum relative error of a machine's clock rate."""
 MAX_OFFSET = 10_000 * SECOND
 
 
 @dataclass(frozen=True)
 class Clock:
-    """Reads `offset + rate * true time`. A restarted process keeps its machine's clock."""
+    """A clock that reads `offset + rate * true time`. A restarted process keeps its machine's clock."""
 
     offset: int
     rate: float
 
     def read(self, true_time: int) -> int:
-        """What this clock shows at `true_time`."""
+        """Return this clock's reading at `true_time`."""
         return self.offset + int(true_time * self.rate)
 
     def when(self, reading: int) -> float:
-        """The true time at which this clock shows `reading`."""
+        """Return the true time at which this clock reads `reading`."""
         return (reading - self.offset) / self.rate
 
 
 def draw_clock(random: Random) -> Clock:
-    """A clock at one of the bounds of the allowed rates in half of the cases, and between them in the others."""
+    """Draw a clock: its rate is at a bound in half of the cases, exact in a quarter and in between in a quarter."""
     rate = 1 + random.choice((-RATE_ERROR, RATE_ERROR, random.uniform(-RATE_ERROR, RATE_ERROR), 0.0))
     return Clock(random.randrange(MAX_OFFSET), rate)
--- a/tests/fleet/simulation/directed.py
+++ b/tests/fleet/simulation/directed.py
@@ -1,4 +1,4 @@
-"""Schedules made by hand, for rules whose breach random faults seldom show."""
+"""Handwritten schedules for rules whose violation random faults seldom reveal."""
 
 from __future__ import annotations
 
@@ -39,8 +39,11 @@
 
 
 def voters_forget(seed: int) -> Schedule:
-    """Two of three voters restart while the owner is cut off, and one candidate has never heard of the owner but
-    through them: it stands at once, and only the voters' silence after their start keeps it from winning."""
+    """Restart two of three voters while the owner is partitioned.
+
+    One candidate can learn of the owner only through those voters, so it stands for election at once. Only the
+    abstention of voters after their start prevents it from becoming a second owner.
+    """
     setup = Setup(_settings(4, 2), {"team-a": 5.0}, {"dispatcher-0": "zone-0", "dispatcher-3": "zone-3"})
     cut_at, end = 6 * SECOND, 9 * SECOND
     others = ("zone-1", "zone-2", "zone-3")
@@ -54,8 +57,11 @@
 
 
 def late_release(seed: int) -> Schedule:
-    """A candidate hears of its votes too late, gives its claim up and wins the next; then the release of the first
-    claim arrives, and another candidate that doesn't hear the owner stands."""
+    """Deliver the release of an abandoned claim after the same candidate has won its next claim.
+
+    The votes for the first claim arrive too late, so the candidate gives it up. When the delayed release arrives,
+    another candidate, which is partitioned from the owner, stands for election.
+    """
     setup = Setup(_settings(4, 2), {"team-a": 5.0}, {"dispatcher-0": "zone-0", "dispatcher-3": "zone-3"})
     slow_until, end = 3 * SECOND, 9 * SECOND
     events = (
@@ -67,8 +73,11 @@
 
 
 def carried_twice(seed: int) -> Schedule:
-    """One zone uses all that the others don't hold; the owner hands over in a network that repeats every message;
-    then the others use what they have carried over. The flood waits till the first term's bucket is full."""
+    """Duplicate every message while the owner drains, so that carry-over could be counted twice.
+
+    One zone first uses all quota that the other zones do not hold; after the handover the other zones use what they
+    carried over. The first flood starts only when the bucket of the first term is full.
+    """
     zones = 10
     dispatchers = {f"dispatcher-{number}": f"zone-{number}" for number in range(zones)}
     quota = 2.0
--- a/tests/fleet/simulation/faults.py
+++ b/tests/fleet/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a schedule: each with its true times, applied to a world. Their text is what a replay prints."""
+"""Faults of a schedule, each with its true start and end time. A replay prints their `str`."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault. `at` and `end`: true times in microseconds; `end` is when nothing of it is left."""
+    """One fault. `at` and `end` are true times in microseconds; at `end` all its effects are over."""
 
     at: int
     end: int
 
     def apply(self, world: World) -> None:
-        """Puts the fault's events into the world's queue."""
+        """Schedule the fault's events in the world's queue."""
         raise NotImplementedError
 
 
 @dataclass(frozen=True)
 class Cut(Fault):
-    """No message in these directions between zones, for a time."""
+    """Network partition between zones, in the given (from zone, to zone) directions."""
 
     pairs: frozenset[tuple[str, str]]
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class BadNetwork(Fault):
-    """Other conditions on the whole network, for a time."""
+    """Changed conditions on the whole network. `holding`: partitions delay messages instead of dropping them."""
 
     conditions: Conditions
     holding: bool = False
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Slow(Fault):
-    """Some messages come later, for a time."""
+    """Additional delay of selected messages."""
 
     messages: SlowMessages
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class ConnectionLoss(Fault):
-    """The connection between two nodes ends with what is under way on it."""
+    """Loss of the connection between two nodes, with all messages in flight on it."""
 
     one: str
     other: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Stop(Fault):
-    """A process gets no processor time; then everything that waited is handled late."""
+    """Pause of a process: it gets no processor time, and handles its queued events late when it resumes."""
 
     node: str
     between_clock_and_send: bool = False
@@ -90,7 +90,10 @@
 
 @dataclass(frozen=True)
 class Kill(Fault):
-    """A process dies, and starts anew with a new incarnation and no memory."""
+    """Death of processes, which restart at `end` with a new incarnation and no state.
+
+    `silent`: whether their machines die too, so that no peer sees its connection closed.
+    """
 
     nodes: tuple[str, ...]
     silent: bool = False
@@ -104,7 +107,7 @@
 
 @dataclass(frozen=True)
 class Drain(Fault):
-    """A controller ends gracefully and starts anew `away` later."""
+    """Graceful shutdown of a controller, which restarts `away` microseconds after its end."""
 
     node: str
     away: int = 100 * MILLISECOND
@@ -124,7 +127,7 @@
 
 @dataclass(frozen=True)
 class Release(Fault):
-    """A dispatcher ends gracefully and starts anew."""
+    """Graceful shutdown of a dispatcher, which restarts at `end`."""
 
     node: str
 
@@ -136,7 +139,7 @@
 
 @dataclass(frozen=True)
 class Handover(Fault):
-    """A dispatcher's upgrade: another process takes over; the older one is gone at `end`."""
+    """Upgrade of a dispatcher: a new process takes over, and the old one exits at `end`."""
 
     node: str
 
@@ -147,7 +150,7 @@
 
 @dataclass(frozen=True)
 class QuotaChange(Fault):
-    """New quotas, which the controllers learn at different times."""
+    """Change of quotas, which reaches each controller at its own time before `end`."""
 
     quotas: tuple[tuple[str, float], ...]
 
@@ -157,7 +160,7 @@
 
 @dataclass(frozen=True)
 class Flood(Fault):
-    """Many requests of one team at once, at some of the dispatchers."""
+    """Burst of requests of one team at the given dispatchers, evenly spaced over `length` microseconds."""
 
     team: str
     count: int
--- a/tests/fleet/simulation/inspect.py
+++ b/tests/fleet/simulation/inspect.py
@@ -1,4 +1,4 @@
-"""The one place that reads the state inside a controller's rules; it changes nothing."""
+"""Read-only access to the internal state of a controller's rules, kept in one module."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class BucketState(NamedTuple):
-    """An owner's bucket of one team, in requests. `total`: its level and all that is out or may come back."""
+    """State of an owner's bucket of one team, in requests.
+
+    `out`: outstanding or suspended. `total`: the level, `out`, and what may be carried over from an earlier term.
+    """
 
     team: str
     total: float
@@ -19,12 +22,12 @@
 
 
 def owned(rules: ControllerRules, now: int) -> dict[int, tuple[int, int]]:
-    """Shard -> (term, end of its ownership by the controller's own clock)."""
+    """Return shard -> (term, end of the ownership by the controller's own clock)."""
     return {shard: (ownership.term, ownership.valid_until) for shard, ownership in rules.candidate.owned(now).items()}
 
 
 def buckets(rules: ControllerRules, shards: Iterable[int]) -> Iterator[BucketState]:
-    """The buckets of all teams of the shards that it owns."""
+    """Yield the buckets of all teams of those `shards` that the controller owns."""
     for shard in shards:
         if shard in rules.owners:
             for name, team in rules.owners[shard].teams.items():
@@ -36,7 +39,7 @@
 
 
 def lending(rules: ControllerRules, owned_until: dict[int, int]) -> Iterator[tuple[int, str, int]]:
-    """(shard, zone controller, own time until which it mints that zone's reserve) of the shards that it owns."""
+    """Yield (shard, zone controller, local time until which this owner mints that zone's reserve) per owned shard."""
     for shard, end in owned_until.items():
         if shard in rules.owners:
             for name, until in rules.owners[shard].lending.lent_until.items():
@@ -44,17 +47,17 @@
 
 
 def reserve_starts(rules: ControllerRules) -> Iterator[tuple[int, int]]:
-    """(shard, own time from which this zone's own reserve accrues)."""
+    """Yield (shard, local time from which this zone's own reserve accrues)."""
     for shard in rules.zone.shards:
         yield shard.shard, shard.reserve.usable_from
 
 
 def used_reserve(rules: ControllerRules) -> bool:
-    """Whether this zone has lent out any of its reserve."""
+    """Return whether this zone has granted leases from its own reserve."""
     return rules.zone.from_reserve > 0
 
 
 def session_end(rules: ControllerRules, shard: int) -> int | None:
-    """Own time until which this zone's session with the shard's owner runs; None if it has none now."""
+    """Return the local time at which this zone's session with the shard's owner ends; None without an open session."""
     session = rules.zone.shards[shard]
     return session.end if session.open else None
--- a/tests/fleet/simulation/meter.py
+++ b/tests/fleet/simulation/meter.py
@@ -1,4 +1,4 @@
-"""What the whole fleet may let through of one team: a leaky bucket in true time."""
+"""Meter of the requests that the whole fleet admits for one team: a leaky bucket in true time."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 
 class QuotaMeter:
-    """A leaky bucket of rate quota: it overflows if any window of T s has let through more than depth + rate * T.
+    """A leaky bucket that drains at the quota's rate.
 
-    A change of quota takes the larger rate until `settled`, and the largest depth so far for ever: what was granted
-    under the larger quota may be used later.
+    Its level exceeds `depth` if more than depth + rate * T requests were admitted in any window of T seconds. After a
+    change of quota the larger rate applies until `settled`, and the largest depth so far applies for the rest of the
+    run, because leases granted under the larger quota may be used later.
     """
 
     def __init__(self, quota: float, depth: float) -> None:
         self.level = 0.0
-        self.most = 0.0
+        self.max_level = 0.0
         self.depth = depth
         self._rate = quota
         self._former_rate = 0.0
@@ -24,7 +25,7 @@
         self._last = 0
 
     def change(self, now: int, quota: float, depth: float, settled: int) -> None:
-        """A new quota, known to everyone at `settled`."""
+        """Set a new quota, which every process knows by the time `settled`."""
         self._drain(now)
         self._former_rate = max(self._rate, self._former_rate if now < self._settled else 0.0)
         self._rate = quota
@@ -32,10 +33,10 @@
         self.depth = max(self.depth, depth)
 
     def add(self, now: int) -> float:
-        """One request let through as within quota; the level after it, in requests."""
+        """Record one request admitted within quota; return the level after it, in requests."""
         self._drain(now)
         self.level += 1
-        self.most = max(self.most, self.level)
+        self.max_level = max(self.max_level, self.level)
         return self.level
 
     def _drain(self, now: int) -> None:
--- a/tests/fleet/simulation/nodes.py
+++ b/tests/fleet/simulation/nodes.py
@@ -1,4 +1,4 @@
-"""The simulated processes: each holds one rules object, is killed, restarted, stopped and woken by the world."""
+"""The simulated processes. Each holds one rules object; the world kills, restarts, pauses and resumes them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tests.fleet.simulation.clock import Clock
 
 Event = Callable[["Node"], list[Any]]
-"""What a process does at one event; it returns the rules' actions."""
+"""Handler of one event at a process; returns the rules' actions."""
 
 
 @dataclass
 class Node:
-    """One process on one machine. `rules` is None while it is dead."""
+    """One process on one machine. `rules` is None while the process is dead."""
 
     name: str
     zone: str
@@ -28,29 +28,29 @@
     stopped: bool = False
     stop_count: int = 0
     hold_output: bool = False
-    """Stopped between reading its clock and sending: what the next event sends goes out only when it wakes."""
-    sends_held: bool = False
-    """What it sends now was decided before it was stopped."""
+    """Whether the process pauses between reading its clock and sending at the next event, and sends when it resumes."""
+    sending_held_output: bool = False
+    """Whether the messages being sent now were decided before the process was paused."""
     held_actions: list[Any] = field(default_factory=list)
     backlog: deque[Event] = field(default_factory=deque)
     silent: bool = False
-    """A dead machine, which refuses no connections, in place of a dead process."""
+    """Whether the whole machine is dead, so that it does not refuse connections as the host of a dead process does."""
     connected: set[str] = field(default_factory=set)
     next_wakeup: int | None = None
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs (also when it is stopped)."""
+        """Whether the process exists, running or paused."""
         return self.rules is not None
 
     @property
     def controller(self) -> ControllerRules:
-        """The rules of a live controller."""
+        """The rules of a controller that is alive."""
         assert isinstance(self.rules, ControllerRules)
         return self.rules
 
     @property
     def dispatcher(self) -> DispatcherLeases:
-        """The rules of a live dispatcher."""
+        """The rules of a dispatcher that is alive."""
         assert isinstance(self.rules, DispatcherLeases)
         return self.rules
--- a/tests/fleet/simulation/owners_oracle.py
+++ b/tests/fleet/simulation/owners_oracle.py
@@ -1,4 +1,4 @@
-"""Ownership, buckets and reserves: what is checked inside the controllers, by true time, after every step."""
+"""Oracle for the controllers: checks ownership, buckets and reserves in true time after every step."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Ownership:
-    """Who owns a shard, until which true time by its own clock."""
+    """A process's ownership of a shard. `end`: the true time at which it ends by the process's own clock."""
 
     name: str
     incarnation: int
@@ -28,7 +28,11 @@
 
 
 class OwnersOracle:
-    """Checks (a) and (c): one owner a shard and a term; full buckets at most; reserves used or lent, never both."""
+    """Checks the state of the controllers.
+
+    At most one owner per shard and per term; no bucket above its depth; no reserve both used by its zone and minted by
+    the owner; no grant without ownership; no lease that outlives the lease it depends on.
+    """
 
     def __init__(self, world: World, findings: Findings, reserve_seen: Callable[[str], None]) -> None:
         self._world = world
@@ -37,9 +41,9 @@
         self._owners: dict[int, dict[str, Ownership]] = {}
         self._terms: dict[tuple[int, int], tuple[str, int]] = {}
         self._highest: dict[int, tuple[int, tuple[int, ...]]] = {}
-        """Shard -> the highest term that was won, and the voters' incarnations then."""
-        self._asked: dict[tuple[str, int, str, int | None, int], int] = {}
-        """(who, its incarnation, whom, shard of a QuotaRequest, sequence) -> true sending time."""
+        """Shard -> the highest term won, and the voters' incarnations at that time."""
+        self._request_times: dict[tuple[str, int, str, int | None, int], int] = {}
+        """(sender, its incarnation, receiver, shard of a QuotaRequest or None, sequence) -> true time of sending."""
         self._lent: dict[str, dict[tuple[int, str], float]] = {}
         """Owner's name -> (shard, zone) -> true time until which it mints the zone's reserve."""
         self._reserves: dict[tuple[int, str], float] = {}
@@ -50,11 +54,11 @@
 
     @property
     def terms_won(self) -> int:
-        """How many terms there have been, of all shards."""
+        """Number of terms won so far, over all shards."""
         return len(self._terms)
 
     def owner_of(self, shard: int) -> Ownership | None:
-        """The owner whose lease has not ended, by its own clock."""
+        """Return the owner whose ownership has not ended by its own clock; None without one."""
         for ownership in self._owners.get(shard, {}).values():
             if ownership.end > self._world.now:
                 return ownership
@@ -77,10 +81,10 @@
             owners = self._owners.setdefault(shard, {})
             owners[node.name] = ownership
             if ownership.end > self._world.now:
-                self._check_alone(shard, ownership, owners)
+                self._check_single_owner(shard, ownership, owners)
                 self._check_term(shard, term, node)
 
-    def _check_alone(self, shard: int, ownership: Ownership, owners: dict[str, Ownership]) -> None:
+    def _check_single_owner(self, shard: int, ownership: Ownership, owners: dict[str, Ownership]) -> None:
         for other in owners.values():
             if other.name != ownership.name and other.end > self._world.now:
                 self._add(Kind.TWO_OWNERS, f"shard {shard}: {ownership} and {other}")
@@ -93,7 +97,7 @@
         self._check_term_grows(shard, term)
 
     def _check_term_grows(self, shard: int, term: int) -> None:
-        """As long as no voter has restarted since the highest term was won, every later one is higher."""
+        """Check that terms grow, as long as no voter has restarted since the highest term was won."""
         voters = tuple(self._world.nodes[name].incarnation for name in self._world.setup.settings.voters)
         highest, remembered_by = self._highest.get(shard, (0, voters))
         if term > highest:
@@ -135,10 +139,10 @@
     def sent(self, node: Node, to: str, message: Any) -> None:
         if isinstance(message, QuotaRequest | LeaseRequest):
             shard = message.shard if isinstance(message, QuotaRequest) else None
-            self._asked.setdefault((node.name, node.incarnation, to, shard, message.sequence), self._world.now)
-        elif isinstance(message, QuotaGrant) and not node.sends_held:
+            self._request_times.setdefault((node.name, node.incarnation, to, shard, message.sequence), self._world.now)
+        elif isinstance(message, QuotaGrant) and not node.sending_held_output:
             self._check_quota_grant(node, to, message)
-        elif isinstance(message, LeaseGrant) and not node.sends_held:
+        elif isinstance(message, LeaseGrant) and not node.sending_held_output:
             self._check_lease_grant(node, to, message)
 
     def _check_quota_grant(self, node: Node, to: str, grant: QuotaGrant) -> None:
@@ -150,23 +154,23 @@
         if term != grant.term or node.clock.when(end) < self._world.now:
             self._add(Kind.GRANT_WITHOUT_OWNERSHIP, f"{node.name}: shard {grant.shard}, term {grant.term}")
         elif grant.valid_ms:
-            self._check_outlives(self._world.nodes[to], node, grant.shard, grant.sequence, grant.valid_ms, end)
+            self._check_lease_end(self._world.nodes[to], node, grant.shard, grant.sequence, grant.valid_ms, end)
 
     def _check_lease_grant(self, node: Node, to: str, grant: LeaseGrant) -> None:
         for credit in grant.credits:
             shard = self._world.setup.settings.shard_of(credit.team)
             end = inspect.session_end(node.controller, shard)
             if end is not None and credit.valid_ms:
-                self._check_outlives(self._world.nodes[to], node, None, grant.sequence, credit.valid_ms, end)
+                self._check_lease_end(self._world.nodes[to], node, None, grant.sequence, credit.valid_ms, end)
 
-    def _check_outlives(
+    def _check_lease_end(
         self, holder: Node, granter: Node, shard: int | None, sequence: int, valid_ms: int, end: int
     ) -> None:
-        """`end`: of the lease that the granted one hangs on, by the granter's clock."""
-        asked = self._asked.get((holder.name, holder.incarnation, granter.name, shard, sequence))
-        if asked is None:
+        """Check that a granted lease ends by `end`, the end of the granter's own lease on the granter's clock."""
+        requested_at = self._request_times.get((holder.name, holder.incarnation, granter.name, shard, sequence))
+        if requested_at is None:
             return
-        excess = asked + valid_ms * MILLISECOND / holder.clock.rate - granter.clock.when(end)
+        excess = requested_at + valid_ms * MILLISECOND / holder.clock.rate - granter.clock.when(end)
         if excess > 1:
             self._add(Kind.LEASE_OUTLIVES, f"{granter.name} to {holder.name}, shard {shard}: by {excess:.0f} us")
 
@@ -178,19 +182,19 @@
             del self._reserves[key]
 
     def delivered(self, node: Node, parcel: Parcel) -> None:
-        """Nothing to check."""
+        """Ignored: the request checks are in `RequestsOracle`."""
 
     def requested(self, node: Node, request: int, team: str) -> None:
-        """Nothing to check."""
+        """Ignored: the request checks are in `RequestsOracle`."""
 
-    def forgotten(self, node: Node, request: int) -> None:
-        """Nothing to check."""
+    def canceled(self, node: Node, request: int) -> None:
+        """Ignored: the request checks are in `RequestsOracle`."""
 
     def decided(self, node: Node, request: int, over_quota: bool) -> None:
-        """Nothing to check."""
+        """Ignored: the request checks are in `RequestsOracle`."""
 
     def handed_over(self, node: Node, successor: Node, exported: LeaseExport) -> None:
-        """Nothing to check."""
+        """Ignored: the request checks are in `RequestsOracle`."""
 
     def quotas_changed(self, quotas: dict[str, float]) -> None:
-        """Nothing to check."""
+        """Ignored: the request checks are in `RequestsOracle`."""
--- a/tests/fleet/simulation/run.py
+++ b/tests/fleet/simulation/run.py
@@ -1,4 +1,4 @@
-"""Runs a schedule under the oracle."""
+"""Runs one schedule, checked by the oracle."""
 
 from __future__ import annotations
 
@@ -16,18 +16,20 @@
 from tests.fleet.simulation.violations import Findings, Kind, Violation
 from tests.fleet.simulation.world import World
 
-FEW_OVER_AT_HALF = 3
-"""Requests that may be called over at half the quota, beside a share of them."""
-MOST_OVER_AT_HALF = 0.02
-"""That share."""
-FEW_OVER_A_HANDOVER = 3
-"""Further requests that may be called over for each shard handed to a better owner in that time: 10 s after a restart
-a controller takes its shards back, and the new term's bucket begins empty."""
+MAX_OVER_AT_HALF = 3
+"""Constant part of the number of requests that may be marked over quota while the load is at half the quota."""
+MAX_OVER_SHARE_AT_HALF = 0.02
+"""Share of the requests that may be marked over quota at half the quota, in addition to the constant part."""
+MAX_OVER_PER_HANDOVER = 3
+"""Further requests that may be marked over quota for each shard handed over while the load is at half the quota.
+
+A controller takes its shards back 10 s after its restart, and the bucket of the new term starts empty.
+"""
 
 
 @dataclass(frozen=True)
 class Counts:
-    """Requests decided and called over, and terms won, up to some time."""
+    """Totals at one time of the run: requests decided, requests marked over quota, and terms won."""
 
     decisions: int
     over: int
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What a run found. Counts are over the whole run, but for the two at half the quota."""
+    """Result of a run. Counts cover the whole run, except for the two measured at half the quota."""
 
     seed: int
     findings: Findings
@@ -48,12 +50,15 @@
 
 
 def run_seed(seed: int, trace: TextIO | None = None) -> Result:
-    """Draws and runs a seed's schedule."""
+    """Draw and run the schedule of a seed."""
     return run_schedule(draw_schedule(seed), trace)
 
 
 def run_schedule(schedule: Schedule, trace: TextIO | None = None, world: World | None = None) -> Result:
-    """Runs a schedule to its end, or to the first exception of the rules. `world`: one just made, of its set-up."""
+    """Run a schedule to its end or to the first exception of the rules.
+
+    `world`: an unused world built from the schedule's set-up; created here if None.
+    """
     random = Random(schedule.seed + 1)
     world = world or World(schedule.setup, random)
     findings = Findings()
@@ -88,12 +93,12 @@
 def _run_to_measure(
     schedule: Schedule, world: World, requests: RequestsOracle, owners: OwnersOracle, findings: Findings
 ) -> Counts | None:
-    """Runs everything; the counts at the time of measurement, or None after a crash."""
+    """Run to the end; return the totals at the start of the measurement, or None if the rules raised an exception."""
     try:
         world.run_until(schedule.measure_at)
         before = Counts(requests.decisions, requests.over, owners.terms_won)
         world.run_until(schedule.end + SECOND)
-    except Exception:  # the rules may raise anything; that is a finding of its own
+    except Exception:  # any exception of the rules is a violation
         findings.add(Violation(Kind.CRASH, world.now, world.steps, traceback.format_exc()))
         return None
     return before
@@ -112,6 +117,6 @@
             findings.add(Violation(Kind.NO_OWNER, world.now, world.steps, f"shard {shard}"))
     decisions, over = requests.decisions - before.decisions, requests.over - before.over
     handovers = owners.terms_won - before.terms
-    if over > FEW_OVER_AT_HALF + FEW_OVER_A_HANDOVER * handovers + MOST_OVER_AT_HALF * decisions:
+    if over > MAX_OVER_AT_HALF + MAX_OVER_PER_HANDOVER * handovers + MAX_OVER_SHARE_AT_HALF * decisions:
         text = f"{over} of {decisions} requests"
         findings.add(Violation(Kind.OVER_AT_HALF, world.now, world.steps, text))
--- a/tests/fleet/simulation/scenarios.py
+++ b/tests/fleet/simulation/scenarios.py
@@ -1,4 +1,4 @@
-"""Single scenarios at full size: what a fault leaves unused of the quotas, what goes over them, and for how long."""
+"""Scenarios with one fault at full fleet size, measuring quota left unused, quota exceeded, and the recovery time."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 from tests.fleet.simulation.violations import Findings
 from tests.fleet.simulation.world import World
 
-FAULT_AT = 60 * SECOND
-"""Before it the fleet starts and fills its stocks."""
-AFTER = 30 * SECOND
-"""How long a scenario goes on after its last fault."""
-FULL = 0.95
-"""Share of what was used in a second before the fault from which on the quota counts as fully used again."""
-WINDOW = 3
-"""Seconds over which use is averaged to tell whether it is full again: a single one has too few requests."""
-DEMAND = 2.0
-"""Requests as a multiple of the quota."""
+FAULT_AT_US = 60 * SECOND
+"""True time of the fault. The time before it lets the fleet start and the zones and dispatchers acquire leases."""
+OBSERVATION_US = 30 * SECOND
+"""Time simulated after the last fault has ended."""
+FULL_USAGE_SHARE = 0.95
+"""Share of the usage before the fault at or above which the quota counts as fully used."""
+WINDOW_S = 3
+"""Length of the moving average of usage: a single second has too few requests to judge recovery."""
+DEMAND_FACTOR = 2.0
+"""Request rate of each team as a multiple of its quota."""
 
 
 @dataclass
 class Usage:
-    """Requests let through, by second and shard or zone."""
+    """Counts requests admitted within quota, by second and shard and by second and zone."""
 
     world: World
     by_shard: defaultdict[tuple[int, int], int] = field(default_factory=lambda: defaultdict(int))
@@ -45,7 +45,7 @@
     def requested(self, node: Node, request: int, team: str) -> None:
         self.teams[request] = team
 
-    def forgotten(self, node: Node, request: int) -> None:
+    def canceled(self, node: Node, request: int) -> None:
         self.teams.pop(request, None)
 
     def decided(self, node: Node, request: int, over_quota: bool) -> None:
@@ -56,57 +56,65 @@
             self.by_zone[second, node.zone] += 1
 
     def sent(self, node: Node, to: str, message: Any) -> None:
-        """Not counted."""
+        """Ignored: only decisions on requests are counted."""
 
     def delivered(self, node: Node, parcel: Parcel) -> None:
-        """Not counted."""
+        """Ignored: only decisions on requests are counted."""
 
     def stepped(self, node: Node) -> None:
-        """Not counted."""
+        """Ignored: only decisions on requests are counted."""
 
     def died(self, node: Node) -> None:
-        """Not counted."""
+        """Ignored: only decisions on requests are counted."""
 
     def handed_over(self, node: Node, successor: Node, exported: LeaseExport) -> None:
-        """Not counted."""
+        """Ignored: only decisions on requests are counted."""
 
     def quotas_changed(self, quotas: dict[str, float]) -> None:
-        """Not counted."""
+        """Ignored: only decisions on requests are counted."""
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """`faults`: drawn up when the fault begins, so that they can name the owner of that time."""
+    """One fault scenario.
+
+    `duration`: time from the first fault's start to the last fault's end, in microseconds. `faults` is called when the
+    first fault begins, so that it can name the shard's owner at that time. `measured_shards` returns the shards whose
+    quota usage is measured.
+    """
 
     name: str
-    lasts: int
+    duration: int
     faults: Callable[[World, OwnersOracle], list[Fault]]
-    only_shards: Callable[[World, OwnersOracle], list[int]]
+    measured_shards: Callable[[World, OwnersOracle], list[int]]
 
 
 @dataclass(frozen=True)
 class Figures:
-    """What a scenario showed, of the shards that the fault concerns."""
+    """Measurements of one scenario, over the shards that the fault affects."""
 
     name: str
     shards: int
     before: float
-    """Share of the quota that was used in the ten seconds before the fault."""
-    least: float
-    """The least that was used in a second since, as a share of what was used before."""
+    """Share of the quota used in the ten seconds before the fault."""
+    lowest: float
+    """Lowest usage in any second after the fault, as a share of `before`."""
     unused_seconds: float
-    """What was used less than before, as seconds of what was used before."""
+    """Usage lost compared with `before`, in seconds of usage at that level."""
     full_again_after: float | None
-    """Seconds from the fault's begin till as much is used as before for the first time since; None: never."""
+    """Seconds from the fault's start until usage first recovers; None if it does not recover during the run."""
     full_for_good_after: float | None
-    """The same for the last time: chance and shards handed back count too. None: not within the scenario."""
-    most_over: float
-    """The largest ratio of any team's meter to its bound."""
+    """Seconds from the fault's start until usage recovers for the last time; None if it is low at the end of the run.
+
+    Random dips and dips while shards are handed back to a restarted controller count as well.
+    """
+    max_meter_ratio: float
+    """Highest ratio of a team's quota meter to its bound, over all teams."""
     violations: int
 
 
 def run_scenario(scenario: Scenario, setup: Setup | None = None, seed: int = 1) -> tuple[Figures, Findings]:
-    """Runs one scenario under the oracle."""
+    """Run one scenario, checked by the oracle, and return its measurements and violations."""
     setup = setup or large_setup()
     random = Random(seed)
     world = World(setup, random)
@@ -115,66 +123,68 @@
     owners = OwnersOracle(world, findings, requests.reserve_zones.add)
     usage = Usage(world)
     world.watchers += [requests, owners, usage]
-    end = FAULT_AT + scenario.lasts + AFTER
-    demand = {team: DEMAND * quota for team, quota in setup.quotas.items()}
+    end = FAULT_AT_US + scenario.duration + OBSERVATION_US
+    demand = {team: DEMAND_FACTOR * quota for team, quota in setup.quotas.items()}
     Traffic(world, random, even=True).add(Phase(5 * SECOND, end, demand))
     world.start_all()
-    world.run_until(FAULT_AT)
-    shards = scenario.only_shards(world, owners)
+    world.run_until(FAULT_AT_US)
+    shards = scenario.measured_shards(world, owners)
     for fault in scenario.faults(world, owners):
         fault.apply(world)
     world.run_until(end)
     requests.finish()
-    most_over = max(meter.most / (meter.depth + requests.reserve_stock(t)) for t, meter in requests.meters.items())
-    return _figures(scenario, setup, usage, shards, most_over, sum(findings.counts.values())), findings
+    max_meter_ratio = max(
+        meter.max_level / (meter.depth + requests.reserve_stock(t)) for t, meter in requests.meters.items()
+    )
+    return _figures(scenario, setup, usage, shards, max_meter_ratio, sum(findings.counts.values())), findings
 
 
 def _figures(
-    scenario: Scenario, setup: Setup, usage: Usage, shards: list[int], most_over: float, violations: int
+    scenario: Scenario, setup: Setup, usage: Usage, shards: list[int], max_meter_ratio: float, violations: int
 ) -> Figures:
     quota = sum(rate for team, rate in setup.quotas.items() if setup.settings.shard_of(team) in shards)
-    begin = FAULT_AT // SECOND
-    last = (FAULT_AT + scenario.lasts + AFTER) // SECOND
+    begin = FAULT_AT_US // SECOND
+    last = (FAULT_AT_US + scenario.duration + OBSERVATION_US) // SECOND
     shares = [sum(usage.by_shard[second, shard] for shard in shards) / quota for second in range(last)]
     before = sum(shares[begin - 10 : begin]) / 10
     relative = [share / before for share in shares]
-    means = [sum(relative[second - WINDOW + 1 : second + 1]) / WINDOW for second in range(begin, last)]
+    means = [sum(relative[second - WINDOW_S + 1 : second + 1]) / WINDOW_S for second in range(begin, last)]
     return Figures(
         scenario.name,
         len(shards),
         before,
         min(relative[begin:]),
-        sum(1 - mean for mean in means if mean < FULL),
+        sum(1 - mean for mean in means if mean < FULL_USAGE_SHARE),
         _full_again_after(means),
         _full_for_good_after(means),
-        most_over,
+        max_meter_ratio,
         violations,
     )
 
 
 def _full_again_after(means: list[float]) -> float | None:
-    """Seconds till the first full window after the first that isn't."""
-    low = next((second for second, mean in enumerate(means) if mean < FULL), None)
+    """Return the seconds until the first full window after a low one; 0 if none is low, None if none follows."""
+    low = next((second for second, mean in enumerate(means) if mean < FULL_USAGE_SHARE), None)
     if low is None:
         return 0.0
-    return next((float(second) for second in range(low, len(means)) if means[second] >= FULL), None)
+    return next((float(second) for second in range(low, len(means)) if means[second] >= FULL_USAGE_SHARE), None)
 
 
 def _full_for_good_after(means: list[float]) -> float | None:
-    """Seconds till the last window that isn't full is over."""
-    low = [second for second, mean in enumerate(means) if mean < FULL]
+    """Return the seconds until the end of the last low window; 0 if none is low, None if the run ends low."""
+    low = [second for second, mean in enumerate(means) if mean < FULL_USAGE_SHARE]
     if not low:
         return 0.0
     return float(low[-1] + 1) if low[-1] + 1 < len(means) else None
 
 
 def all_shards(world: World, owners: OwnersOracle) -> list[int]:
-    """Every shard."""
+    """Return every shard."""
     return list(range(world.setup.settings.shards))
 
 
 def shards_of_first_owner(world: World, owners: OwnersOracle) -> list[int]:
-    """The shards of the owner of shard 0."""
+    """Return the shards owned by the owner of shard 0."""
     name = _owner_name(owners)
     return [shard for shard in all_shards(world, owners) if (o := owners.owner_of(shard)) and o.name == name]
 
@@ -186,33 +196,33 @@
 
 
 def region_cut(minutes: int) -> Scenario:
-    """The zones of one region hear nobody outside of it."""
-    lasts = minutes * 60 * SECOND
+    """Partition one region from all others, in both directions."""
+    duration = minutes * 60 * SECOND
 
     def draw(world: World, owners: OwnersOracle) -> list[Fault]:
         inside = set(world.setup.zones_of_region(world.setup.regions[1]))
         outside = set(world.setup.zones) - inside
         pairs = {(one, other) for one in inside for other in outside}
         pairs |= {(other, one) for one, other in pairs}
-        return [faults.Cut(world.now, world.now + lasts, frozenset(pairs))]
+        return [faults.Cut(world.now, world.now + duration, frozenset(pairs))]
 
-    return Scenario(f"a region cut off for {minutes} min", lasts, draw, all_shards)
+    return Scenario(f"a region cut off for {minutes} min", duration, draw, all_shards)
 
 
 def zone_lost() -> Scenario:
-    """A zone's controller and dispatchers die, and come back after half a minute."""
-    lasts = 30 * SECOND
+    """Kill a zone's controller and dispatchers with their machines, and restart them after 30 s."""
+    duration = 30 * SECOND
 
     def draw(world: World, owners: OwnersOracle) -> list[Fault]:
         zone = world.nodes[_owner_name(owners)].zone
         names = tuple(name for name, node in world.nodes.items() if node.zone == zone)
-        return [faults.Kill(world.now, world.now + lasts, names, silent=True)]
+        return [faults.Kill(world.now, world.now + duration, names, silent=True)]
 
-    return Scenario("a zone lost for 30 s", lasts, draw, all_shards)
+    return Scenario("a zone lost for 30 s", duration, draw, all_shards)
 
 
 def owner_killed() -> Scenario:
-    """An owner dies for good."""
+    """Kill the owner of shard 0 and do not restart it within the scenario."""
 
     def draw(world: World, owners: OwnersOracle) -> list[Fault]:
         return [faults.Kill(world.now, world.now + 600 * SECOND, (_owner_name(owners),))]
@@ -221,17 +231,17 @@
 
 
 def owner_stopped() -> Scenario:
-    """An owner is stopped for longer than its lease, and goes on."""
-    lasts = 8 * SECOND
+    """Pause the owner of shard 0 for longer than its ownership lease, then resume it."""
+    duration = 8 * SECOND
 
     def draw(world: World, owners: OwnersOracle) -> list[Fault]:
-        return [faults.Stop(world.now, world.now + lasts, _owner_name(owners), between_clock_and_send=True)]
+        return [faults.Stop(world.now, world.now + duration, _owner_name(owners), between_clock_and_send=True)]
 
-    return Scenario("an owner stopped for 8 s (its shards)", lasts, draw, shards_of_first_owner)
+    return Scenario("an owner stopped for 8 s (its shards)", duration, draw, shards_of_first_owner)
 
 
 def dispatchers_restarted() -> Scenario:
-    """Seven in ten dispatchers die at once and come back after a second."""
+    """Kill 70% of the dispatchers at once and restart them after one second."""
 
     def draw(world: World, owners: OwnersOracle) -> list[Fault]:
         names = [node.name for node in world.dispatchers]
@@ -242,7 +252,7 @@
 
 
 def rolling_restart() -> Scenario:
-    """Each controller ends gracefully in its turn and is back half a second later."""
+    """Drain the controllers one after another; each restarts half a second after its drain."""
     step = 3 * SECOND
 
     def draw(world: World, owners: OwnersOracle) -> list[Fault]:
@@ -255,7 +265,7 @@
 
 
 def no_fault() -> Scenario:
-    """Nothing happens: what the others are compared with."""
+    """Inject no fault: the baseline for the other scenarios."""
     return Scenario("no fault", 30 * SECOND, lambda world, owners: [], all_shards)
 
 
--- a/tests/fleet/simulation/schedule.py
+++ b/tests/fleet/simulation/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules: a set-up, faults and traffic, all drawn from one seed."""
+"""Schedules of a set-up, faults and traffic, all drawn from one seed."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 from tests.fleet.simulation.faults import Fault
 from tests.fleet.simulation.network import Conditions
 from tests.fleet.simulation.setups import Setup, small_setup
-from tests.fleet.simulation.traffic import LEAVING_SHARE, Phase
+from tests.fleet.simulation.traffic import CANCELED_SHARE, Phase
 
 FAULTS_FROM = 2 * SECOND
 FAULTS_TO = 7 * SECOND
-FEWEST_FAULTS, MOST_FAULTS = 2, 7
+MIN_FAULTS, MAX_FAULTS = 2, 7
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """What one run does. `calm_at`: the true time from which there is no fault."""
+    """Input of one run.
+
+    `calm_at`: true time from which no fault is in effect. `measure_at`: start of the measurement at half the quota.
+    """
 
     seed: int
     setup: Setup
@@ -32,10 +35,10 @@
 
 
 def settling_time(setup: Setup) -> int:
-    """How long after the last fault every shard must have an owner and the zones their stocks, in microseconds.
+    """Return the time after the last fault within which shards have owners and zones have leases, in microseconds.
 
-    A voter's silence after its start, an ownership lease that has to end, the back-offs of an election, a new
-    try at a dispatcher's own controller (5 s) and a few renewals.
+    It covers the abstention of a voter after its start, the expiry of an ownership lease, the back-offs of an
+    election, a dispatcher's next attempt to reach its own controller (5 s) and a few renewals.
     """
     settings = setup.settings
     milliseconds = 2.5 * settings.ownership_lease_ms + 4 * settings.renew_ms + 4_000
@@ -43,10 +46,10 @@
 
 
 def draw_schedule(seed: int) -> Schedule:
-    """The schedule of a seed; equal seeds give equal schedules."""
+    """Draw the schedule of a seed; equal seeds give equal schedules."""
     random = Random(seed)
     setup = small_setup(random)
-    drawn = tuple(_draw_fault(random, setup) for _ in range(random.randint(FEWEST_FAULTS, MOST_FAULTS)))
+    drawn = tuple(_draw_fault(random, setup) for _ in range(random.randint(MIN_FAULTS, MAX_FAULTS)))
     ordered = tuple(sorted(drawn, key=lambda fault: fault.at))
     calm_at = max(FAULTS_TO, *(fault.end for fault in ordered))
     measure_at = calm_at + settling_time(setup)
@@ -58,7 +61,7 @@
     half = {team: quota / 2 for team, quota in final.items()}
     end = measure_at + 3 * SECOND
     at_half = Phase(calm_at + (measure_at - calm_at) // 2, end, half, steady=True)
-    phases = (Phase(0, calm_at, busy, LEAVING_SHARE), at_half)
+    phases = (Phase(0, calm_at, busy, CANCELED_SHARE), at_half)
     return Schedule(seed, setup, ordered, phases, calm_at, measure_at, end)
 
 
@@ -89,8 +92,8 @@
 
 def _draw_network(random: Random, setup: Setup, at: int) -> Fault:
     conditions = Conditions(
-        least_delay=random.choice((100, 1_000)),
-        most_delay=random.choice((2_000, 20_000, 100_000)),
+        min_delay=random.choice((100, 1_000)),
+        max_delay=random.choice((2_000, 20_000, 100_000)),
         loss=random.choice((0.0, 0.05, 0.3)),
         repeated=random.choice((0.0, 0.1, 0.5)),
         late=random.choice((0.0, 0.05, 0.3)),
--- a/tests/fleet/simulation/setups.py
+++ b/tests/fleet/simulation/setups.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Setup:
-    """What a simulated fleet is made of."""
+    """Settings, quotas and dispatchers of a simulated fleet."""
 
     settings: FleetSettings
     quotas: dict[str, float]
@@ -20,26 +20,26 @@
     """Dispatcher's name -> its zone."""
 
     def zones_of_region(self, region: str) -> list[str]:
-        """The zones in a region."""
+        """Return the zones in a region."""
         return [controller.zone for controller in self.settings.controllers if controller.region == region]
 
     @property
     def zones(self) -> list[str]:
-        """Every zone, one a controller."""
+        """All zones; each has one controller."""
         return [controller.zone for controller in self.settings.controllers]
 
     @property
     def regions(self) -> list[str]:
-        """Every region."""
+        """All regions, sorted."""
         return sorted({controller.region for controller in self.settings.controllers})
 
     def depth(self, quota: float) -> float:
-        """The depth of an owner's bucket, in requests."""
+        """Return the depth of an owner's bucket for this quota, in requests."""
         return self.settings.requests_per_zone * len(self.zones) + self.settings.burst_s * quota
 
 
 def controllers(zones: int, regions: int) -> tuple[Controller, ...]:
-    """One controller a zone, the zones dealt to the regions in turn, the first of each region a voter."""
+    """Return one controller per zone; zones are assigned to regions round-robin, and the first of each region votes."""
     return tuple(
         Controller(
             name=f"control-{number}",
@@ -54,7 +54,7 @@
 
 
 def small_setup(random: Random) -> Setup:
-    """3 to 5 controllers, 3 voters, 4 to 8 dispatchers, 2 to 4 shards and 3 to 6 teams, with short leases."""
+    """Draw 3 to 5 controllers, 3 voters, 4 to 8 dispatchers, 2 to 4 shards and 3 to 6 teams, with short leases."""
     zones = random.randint(3, 5)
     ownership_ms = random.choice((1_000, 1_500, 2_000))
     settings = FleetSettings(
@@ -76,7 +76,7 @@
 
 
 def large_setup(dispatchers: int = 200, teams: int = 510, quota_sum: float = 1_000.0) -> Setup:
-    """19 controllers in 7 regions, all settings as by default; the teams' quotas fall as 1 / rank."""
+    """Return 19 controllers in 7 regions with default settings; the teams' quotas are proportional to 1 / rank."""
     zones = 19
     settings = FleetSettings(controllers=controllers(zones, 7))
     weight = sum(1 / rank for rank in range(1, teams + 1))
--- a/tests/fleet/simulation/trace.py
+++ b/tests/fleet/simulation/trace.py
@@ -1,4 +1,4 @@
-"""A readable record of a run, for the replay of a seed."""
+"""Human-readable trace of a run, for the replay of a seed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Trace:
-    """Writes one line for each message sent or handled, each request, decision and death, with the true time."""
+    """Writes one line, with the true time, for each message sent or received, request, decision and process death."""
 
     def __init__(self, world: World, output: TextIO) -> None:
         self._world = world
@@ -23,8 +23,8 @@
     def requested(self, node: Node, request: int, team: str) -> None:
         self._write(node, f"request {request} of {team}")
 
-    def forgotten(self, node: Node, request: int) -> None:
-        self._write(node, f"request {request} forgotten")
+    def canceled(self, node: Node, request: int) -> None:
+        self._write(node, f"request {request} canceled")
 
     def decided(self, node: Node, request: int, over_quota: bool) -> None:
         self._write(node, f"request {request} {'over quota' if over_quota else 'let through'}")
@@ -36,7 +36,7 @@
         self._write(node, f"<- {parcel.sender}/{parcel.sender_incarnation}: {parcel.message}")
 
     def stepped(self, node: Node) -> None:
-        """Writes nothing: a line a tick says nothing."""
+        """Ignored: a line per step would hide the other lines."""
 
     def died(self, node: Node) -> None:
         self._write(node, "died")
--- a/tests/fleet/simulation/traffic.py
+++ b/tests/fleet/simulation/traffic.py
@@ -1,4 +1,4 @@
-"""Requests by team at the dispatchers: Poisson or nearly even arrivals, each team's skewed over the dispatchers in its own way."""
+"""Request arrivals per team: Poisson or nearly even, distributed over the dispatchers with a skew drawn per team."""
 
 from __future__ import annotations
 
@@ -13,26 +13,29 @@
 from tests.fleet.simulation.world import World
 
 STEADY_GAPS = (0.75, 1.25)
-"""Bounds of the gaps between arrivals of a steady phase, as multiples of the mean."""
-LEAVING_SHARE = 0.02
-LEAVES_AFTER = 5 * MILLISECOND
+"""Bounds of the gaps between arrivals in a steady phase, as multiples of the mean gap."""
+CANCELED_SHARE = 0.02
+MAX_CANCEL_DELAY_US = 5 * MILLISECOND
 
 
 @dataclass(frozen=True)
 class Phase:
-    """A time in which each team is called at a constant mean rate (requests a second)."""
+    """A period in which each team has a constant mean request rate, in requests per second."""
 
     start: int
     end: int
     rates: Mapping[str, float]
-    leaving: float = 0.0
-    """Share of requests whose client leaves within `LEAVES_AFTER`."""
+    canceled_share: float = 0.0
+    """Share of requests whose client disconnects within `MAX_CANCEL_DELAY_US`."""
     steady: bool = False
-    """Arrivals at nearly even times in place of Poisson's: then it is no accident if requests are called over."""
+    """Whether arrivals are nearly even instead of Poisson: then requests over quota cannot come from random bursts."""
 
 
 def skewed_weights(random: Random, count: int) -> list[float]:
-    """Even, all at one, at a tenth (at least one), or falling as 1 / rank."""
+    """Draw weights of the dispatchers: equal, one only, a tenth of them (at least one), or 1 / rank.
+
+    Those of the tenth are 1 / rank too.
+    """
     kind = random.choice(("even", "one", "tenth", "falling"))
     if kind == "even":
         return [1.0] * count
@@ -42,7 +45,7 @@
 
 
 class Traffic:
-    """Puts arrivals into a world's queue, one ahead a team and phase."""
+    """Schedules arrivals in a world's queue, one at a time per team and phase."""
 
     def __init__(self, world: World, random: Random, even: bool = False) -> None:
         self._world = world
@@ -54,12 +57,12 @@
         }
 
     def add(self, phase: Phase) -> None:
-        """Arrivals from a phase's start to its end."""
+        """Schedule the arrivals of a phase from its start to its end."""
         for team, rate in sorted(phase.rates.items()):
             if rate > 0:
-                self._next(phase, team, rate, phase.start)
+                self._schedule_next(phase, team, rate, phase.start)
 
-    def _next(self, phase: Phase, team: str, rate: float, after: int) -> None:
+    def _schedule_next(self, phase: Phase, team: str, rate: float, after: int) -> None:
         gap = self._random.uniform(*STEADY_GAPS) if phase.steady else self._random.expovariate(1.0)
         time = after + int(gap / rate * SECOND)
         if time < phase.end:
@@ -69,6 +72,6 @@
         world, random = self._world, self._random
         node: Node = random.choices(world.dispatchers, cum_weights=self._cumulative[team])[0]
         request = world.request(node, team)
-        if request is not None and phase.leaving and random.random() < phase.leaving:
-            world.at(world.now + random.randrange(LEAVES_AFTER), partial(world.forget, node, request))
-        self._next(phase, team, rate, world.now)
+        if request is not None and phase.canceled_share and random.random() < phase.canceled_share:
+            world.at(world.now + random.randrange(MAX_CANCEL_DELAY_US), partial(world.cancel, node, request))
+        self._schedule_next(phase, team, rate, world.now)
--- a/tests/fleet/simulation/violations.py
+++ b/tests/fleet/simulation/violations.py
@@ -1,4 +1,4 @@
-"""What the oracle finds, and one who collects it."""
+"""Violations reported by the oracle, and their collection."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One breach. `at`: true time in microseconds; `step`: number of the world's step."""
+    """One violation. `at`: true time in microseconds; `step`: number of the world's step."""
 
     kind: Kind
     at: int
@@ -41,13 +41,13 @@
 
 @dataclass
 class Findings:
-    """The breaches of a run: all counted, the first of each kind kept."""
+    """The violations of a run: all are counted, and the first of each kind is kept."""
 
     first: dict[Kind, Violation] = field(default_factory=dict)
     counts: dict[Kind, int] = field(default_factory=dict)
 
     def add(self, violation: Violation) -> None:
-        """Takes one more breach."""
+        """Record a violation."""
         self.first.setdefault(violation.kind, violation)
         self.counts[violation.kind] = self.counts.get(violation.kind, 0) + 1
 
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -1,4 +1,4 @@
-"""The event queue: one true clock, the nodes with clocks of their own, and the network between them."""
+"""The simulated world: an event queue in true time, nodes with their own clocks, and the network between them."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from tests.fleet.simulation.setups import Setup
 
 REFUSAL_DELAY = 2 * MILLISECOND
-"""How long after a process's death the others hear of their connections' end."""
+"""Delay after which peers see that a connection to a dead process is closed or refused."""
 DRAIN_POLL = 50 * MILLISECOND
 NO_TIME = 1 << 62
 
 
 class Watcher(Protocol):
-    """What sees every step: the oracle, or one that measures."""
+    """Observer of every step: the oracle, a trace or a measurement."""
 
     def requested(self, node: Node, request: int, team: str) -> None: ...
-    def forgotten(self, node: Node, request: int) -> None: ...
+    def canceled(self, node: Node, request: int) -> None: ...
     def decided(self, node: Node, request: int, over_quota: bool) -> None: ...
     def sent(self, node: Node, to: str, message: Any) -> None: ...
     def delivered(self, node: Node, parcel: Parcel) -> None: ...
@@ -38,7 +38,7 @@
 
 
 class World:
-    """Runs the rules of a whole fleet. Nothing is drawn but from `random`."""
+    """Runs the rules of a whole fleet. All random numbers derive from `random`, so equal seeds give equal runs."""
 
     def __init__(self, setup: Setup, random: Random) -> None:
         self.setup = setup
@@ -51,7 +51,7 @@
         self.nodes: dict[str, Node] = {}
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._sequence = 0
-        self._requests = 0
+        self._request_count = 0
         for controller in setup.settings.controllers:
             self.nodes[controller.name] = Node(controller.name, controller.zone, draw_clock(random), True)
         for name, zone in setup.dispatchers.items():
@@ -62,12 +62,12 @@
     # The queue.
 
     def at(self, time: int, action: Callable[[], None]) -> None:
-        """Runs `action` at a true time, not before now."""
+        """Schedule `action` at a true time; a time in the past means now."""
         self._sequence += 1
         heapq.heappush(self._queue, (max(time, self.now), self._sequence, action))
 
     def run_until(self, end: int) -> None:
-        """Handles everything up to a true time."""
+        """Run all events up to and including a true time."""
         queue = self._queue
         while queue and queue[0][0] <= end:
             self.now, _, action = heapq.heappop(queue)
@@ -78,7 +78,7 @@
     # Processes.
 
     def start(self, node: Node) -> None:
-        """Starts a process with a new incarnation and no memory."""
+        """Start a process with a new incarnation and no state."""
         assert not node.alive
         node.incarnation += 1 + self.random.randrange(1_000)
         settings, own_now = self.setup.settings, node.clock.read(self.now)
@@ -93,13 +93,13 @@
         self._schedule_tick(node, node.incarnation, self.random.randrange(settings.tick_ms * MILLISECOND))
 
     def start_all(self) -> None:
-        """Starts every process that is dead."""
+        """Start every process that is not alive."""
         for node in self.nodes.values():
             if not node.alive:
                 self.start(node)
 
     def kill(self, node: Node, silent: bool = False) -> None:
-        """Ends a process at once. `silent`: with its machine, so that nobody's connections are refused."""
+        """Kill a process. `silent`: kill its machine too, so that peers see no closed or refused connection."""
         if not node.alive:
             return
         node.rules = None
@@ -111,11 +111,14 @@
         for other in sorted(node.connected):
             self.network.lose_connection(node.name, other)
             if not silent:
-                self.at(self.now + REFUSAL_DELAY, partial(self._tell_lost, self.nodes[other], node.name))
+                self.at(self.now + REFUSAL_DELAY, partial(self._notify_connection_lost, self.nodes[other], node.name))
         node.connected.clear()
 
     def stop(self, node: Node, between_clock_and_send: bool = False) -> None:
-        """Stops a process (SIGSTOP): its events wait. Or it stops half-way through its next event."""
+        """Pause a process (SIGSTOP) and queue its events.
+
+        `between_clock_and_send`: pause during its next event, after reading the clock and before sending.
+        """
         if not node.alive:
             return
         node.stop_count += 1
@@ -125,20 +128,20 @@
             node.stopped = True
 
     def wake(self, node: Node) -> None:
-        """Lets a stopped process go on: what waited is handled now, late."""
+        """Resume a paused process (SIGCONT): send its held output and handle its queued events."""
         if not node.alive or not (node.stopped or node.hold_output):
             return
         node.stopped = node.hold_output = False
         actions, node.held_actions = node.held_actions, []
-        node.sends_held = True
-        self._carry_out(node, actions)
-        node.sends_held = False
+        node.sending_held_output = True
+        self._execute(node, actions)
+        node.sending_held_output = False
         waiting, node.backlog = list(node.backlog), type(node.backlog)()
         for event in waiting:
             self.act(node, event)
 
     def act(self, node: Node, event: Event) -> None:
-        """One event at a node: handled now, or once it wakes, or never if it is dead."""
+        """Handle one event at a node; queue it if the node is paused, drop it if the node is dead."""
         if not node.alive:
             return
         if node.stopped:
@@ -149,11 +152,11 @@
             node.stopped = True
             node.held_actions = list(actions)
         else:
-            self._carry_out(node, actions)
+            self._execute(node, actions)
         for watcher in self.watchers:
             watcher.stepped(node)
 
-    def _carry_out(self, node: Node, actions: Iterable[Any]) -> None:
+    def _execute(self, node: Node, actions: Iterable[Any]) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
                 self._send(node, action)
@@ -203,7 +206,7 @@
             self.at(self.now + delay, partial(self._arrive, delivered))
 
     def deliveries(self, parcel: Parcel) -> list[tuple[int, Parcel]]:
-        """What arrives of a message that is sent now, each with its delay; mutations of messages override this."""
+        """Return the copies of a message sent now that arrive, each with its delay; mutation tests override this."""
         return [(delay, parcel) for delay in self.network.delays(parcel)]
 
     def _arrive(self, parcel: Parcel) -> None:
@@ -217,7 +220,7 @@
             return
         if not receiver.alive:
             if not receiver.silent:
-                self.at(self.now + REFUSAL_DELAY, partial(self._tell_lost, sender, receiver.name))
+                self.at(self.now + REFUSAL_DELAY, partial(self._notify_connection_lost, sender, receiver.name))
             return
         self.act(receiver, partial(self._receive, parcel=parcel))
 
@@ -227,55 +230,55 @@
         peer = Peer(parcel.sender, parcel.sender_incarnation)
         return list(node.rules.receive(node.clock.read(self.now), peer, parcel.message))
 
-    def _tell_lost(self, node: Node, other: str) -> None:
+    def _notify_connection_lost(self, node: Node, other: str) -> None:
         if self.network.is_blocked(self.nodes[other].zone, node.zone):
             return
         self.act(node, lambda host: host.rules.peer_lost(host.clock.read(self.now), other) or [])
 
     def lose_connection(self, one: str, other: str) -> None:
-        """A connection ends: what was under way is lost and both ends hear of it."""
+        """Close a connection: drop the messages in flight and notify both ends."""
         self.network.lose_connection(one, other)
-        self._tell_lost(self.nodes[one], other)
-        self._tell_lost(self.nodes[other], one)
+        self._notify_connection_lost(self.nodes[one], other)
+        self._notify_connection_lost(self.nodes[other], one)
 
     def cut(self, pairs: set[tuple[str, str]]) -> None:
-        """Cuts directions between zones."""
+        """Start a partition in the given (from zone, to zone) directions."""
         self.network.block(pairs)
 
     def heal(self, pairs: set[tuple[str, str]]) -> None:
-        """Ends a cut; what it held comes out now."""
+        """End a partition and deliver the messages held back by it."""
         for parcel in self.network.unblock(pairs):
             self.at(self.now + self.random.randrange(REFUSAL_DELAY), partial(self._arrive, parcel))
 
-    # What operators and clients do.
+    # Actions of operators and clients.
 
     def request(self, node: Node, team: str) -> int | None:
-        """A client's request at a dispatcher; None if the dispatcher is dead."""
+        """Send a client's request to a dispatcher; return its number, or None if the dispatcher is dead."""
         if not node.alive:
             return None
-        self._requests += 1
-        number = self._requests
+        self._request_count += 1
+        number = self._request_count
 
-        def ask(host: Node) -> list[Any]:
+        def send_request(host: Node) -> list[Any]:
             for watcher in self.watchers:
                 watcher.requested(host, number, team)
             return list(host.dispatcher.request(host.clock.read(self.now), number, team))
 
-        self.act(node, ask)
+        self.act(node, send_request)
         return number
 
-    def forget(self, node: Node, request: int) -> None:
-        """The client of a request leaves."""
+    def cancel(self, node: Node, request: int) -> None:
+        """Cancel a request because its client has disconnected."""
 
-        def leave(host: Node) -> list[Any]:
+        def cancel_request(host: Node) -> list[Any]:
             for watcher in self.watchers:
-                watcher.forgotten(host, request)
+                watcher.canceled(host, request)
             return list(host.dispatcher.cancel(host.clock.read(self.now), request) or [])
 
-        self.act(node, leave)
+        self.act(node, cancel_request)
 
     def change_quotas(self, quotas: dict[str, float], spread: int) -> None:
-        """New quotas, known to each controller at its own time within `spread`."""
+        """Change the quotas; each controller learns them at a random time within `spread` microseconds."""
         self.quotas = dict(quotas)
         for watcher in self.watchers:
             watcher.quotas_changed(quotas)
@@ -286,8 +289,8 @@
         node.controller.set_quotas(node.clock.read(self.now), dict(self.quotas))
         return []
 
-    def drain(self, node: Node, give_up_after: int, then: Callable[[], None]) -> None:
-        """A graceful end (SIGTERM): `then` runs once the controller is drained and dead."""
+    def drain(self, node: Node, give_up_after: int, on_end: Callable[[], None]) -> None:
+        """Drain a controller (SIGTERM), kill it when it is drained or after `give_up_after`, and call `on_end`."""
         incarnation, deadline = node.incarnation, self.now + give_up_after
 
         def poll() -> None:
@@ -296,7 +299,7 @@
             is_drained = not node.stopped and node.controller.drained(node.clock.read(self.now))
             if is_drained or self.now >= deadline:
                 self.kill(node)
-                then()
+                on_end()
             else:
                 self.at(self.now + DRAIN_POLL, poll)
 
@@ -304,7 +307,7 @@
         self.at(self.now + DRAIN_POLL, poll)
 
     def release(self, node: Node) -> None:
-        """A dispatcher's graceful end: what it holds goes back, then it is dead."""
+        """Shut a dispatcher down gracefully: return its leases, then kill it."""
         if not node.alive or node.stopped:
             return
         self.act(node, lambda host: list(host.dispatcher.release(host.clock.read(self.now))))
@@ -312,8 +315,11 @@
             self.at(self.now + DRAIN_POLL, partial(self.kill, node))
 
     def hand_over(self, node: Node, older_goes_on: int) -> None:
-        """A dispatcher's upgrade: a process with a name of its own on the same machine takes over what it holds and
-        its clients; the older one goes on for a while with what waits."""
+        """Upgrade a dispatcher: a new process on the same machine takes over its leases and its new requests.
+
+        The new process has its own name. The old one still handles its waiting requests and exits after
+        `older_goes_on` microseconds.
+        """
         if not node.alive or node.stopped or node not in self.dispatchers:
             return
         own_now = node.clock.read(self.now)
--- a/tests/mutation/dialogue.py
+++ b/tests/mutation/dialogue.py
@@ -1,4 +1,4 @@
-"""The dialogues that are recorded: an election, quotas and leases, a graceful end of an owner and of a dispatcher."""
+"""Recorded dialogues: an election, quotas and leases, and the graceful shutdown of an owner and of a dispatcher."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
     "zone and dispatcher": (messages.LeaseRequest, messages.LeaseGrant, messages.LeaseReturn),
 }
 DRAIN_AT = 3_500 * MILLISECOND
-BYSTANDER_AT = 4_900 * MILLISECOND
+SECOND_DRAIN_AT = 4_900 * MILLISECOND
 RELEASE_AT = 5 * SECOND
-BUSY = 5
-"""Requests before `CALM_AT` as a multiple of the quota: enough for a meter to overflow soon if nothing holds them."""
+DEMAND_FACTOR = 5
+"""Request rate before `CALM_AT` as a multiple of the quota: a meter overflows soon if quotas are not enforced."""
 CALM_AT = 6 * SECOND
-SAMPLES = (0.0, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.65, 0.8, 0.95)
-"""Which of a kind's messages are changed, as shares of their number."""
+SAMPLE_POSITIONS = (0.0, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.65, 0.8, 0.95)
+"""Positions of the mutated messages among all messages of one kind, as shares of their number."""
 
 
 def dialogue_name(message: Any) -> str | None:
-    """The dialogue that a message belongs to."""
+    """Return the name of the dialogue that a message belongs to; None without one."""
     for name, kinds in DIALOGUES.items():
         if isinstance(message, kinds):
             return name
@@ -53,7 +53,10 @@
 
 
 def dialogue_schedule(drained: str) -> Schedule:
-    """Three zones, one shard, two dispatchers; `drained`, a controller that owns nothing, and a dispatcher end gracefully."""
+    """Return a schedule with three zones, one shard and two dispatchers.
+
+    The controller `drained`, a controller that owns nothing and a dispatcher shut down gracefully.
+    """
     settings = FleetSettings(
         controllers=controllers(3, 3),
         shards=1,
@@ -67,12 +70,12 @@
     setup = Setup(settings, {"team-a": 8.0, "team-b": 4.0}, {"dispatcher-0": "zone-0", "dispatcher-1": "zone-1"})
     events = (
         faults.Drain(DRAIN_AT, DRAIN_AT + 1_500 * MILLISECOND, drained),
-        faults.Drain(BYSTANDER_AT, CALM_AT, "control-2"),
+        faults.Drain(SECOND_DRAIN_AT, CALM_AT, "control-2"),
         faults.Release(RELEASE_AT, RELEASE_AT + 200 * MILLISECOND, "dispatcher-0"),
     )
     measure_at = CALM_AT + settling_time(setup)
     end = measure_at + 2 * SECOND
-    busy = {team: BUSY * quota for team, quota in setup.quotas.items()}
+    busy = {team: DEMAND_FACTOR * quota for team, quota in setup.quotas.items()}
     half = {team: quota / 2 for team, quota in setup.quotas.items()}
     phases = (Phase(0, CALM_AT, busy), Phase(measure_at - SECOND, end, half, steady=True))
     return Schedule(SEED, setup, events, phases, CALM_AT, measure_at, end)
@@ -80,20 +83,20 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a run decided. `decisions`: (request, over quota) in order; `sent`: messages of each kind."""
+    """Outcome of a run. `decisions`: (request, over quota) in order; `sent`: number of messages of each kind."""
 
     result: Result
     decisions: tuple[tuple[int, bool], ...]
     sent: tuple[tuple[str, int], ...]
 
     def differs(self, other: Outcome) -> bool:
-        """Whether any request was decided otherwise."""
+        """Return whether the decisions on requests differ from those of another run."""
         return self.decisions != other.decisions
 
 
 @dataclass
 class Recorder:
-    """Keeps the decisions and counts the messages."""
+    """Records the decisions and counts the sent messages by kind."""
 
     decisions: list[tuple[int, bool]] = field(default_factory=list)
     sent_kinds: Counter[str] = field(default_factory=Counter)
@@ -105,29 +108,32 @@
         self.sent_kinds[type(message).__name__] += 1
 
     def requested(self, node: Node, request: int, team: str) -> None:
-        """Not kept."""
+        """Ignored: only decisions and sent messages are recorded."""
 
-    def forgotten(self, node: Node, request: int) -> None:
-        """Not kept."""
+    def canceled(self, node: Node, request: int) -> None:
+        """Ignored: only decisions and sent messages are recorded."""
 
     def delivered(self, node: Node, parcel: Parcel) -> None:
-        """Not kept."""
+        """Ignored: only decisions and sent messages are recorded."""
 
     def stepped(self, node: Node) -> None:
-        """Not kept."""
+        """Ignored: only decisions and sent messages are recorded."""
 
     def died(self, node: Node) -> None:
-        """Not kept."""
+        """Ignored: only decisions and sent messages are recorded."""
 
     def handed_over(self, node: Node, successor: Node, exported: LeaseExport) -> None:
-        """Not kept."""
+        """Ignored: only decisions and sent messages are recorded."""
 
     def quotas_changed(self, quotas: dict[str, float]) -> None:
-        """Not kept."""
+        """Ignored: only decisions and sent messages are recorded."""
 
 
 class DialogueWorld(World):
-    """Records each message, and changes the one with number `target`. Delays don't depend on earlier messages."""
+    """A world that records each message and mutates the one with number `target`.
+
+    The delay of a message depends on its number alone, so that a mutation does not change the delays of later messages.
+    """
 
     def __init__(self, setup: Setup, target: int | None = None, mutation: Mutation | None = None) -> None:
         super().__init__(setup, Random(SEED))
@@ -146,15 +152,15 @@
 
     def _earlier(self, parcel: Parcel) -> Parcel | None:
         for earlier in self.parcels[:-1]:
-            same_way = (earlier.sender, earlier.to) == (parcel.sender, parcel.to)
-            if same_way and type(earlier.message) is type(parcel.message):
+            same_direction = (earlier.sender, earlier.to) == (parcel.sender, parcel.to)
+            if same_direction and type(earlier.message) is type(parcel.message):
                 return earlier
         return None
 
 
 @dataclass(frozen=True)
 class Recording:
-    """The dialogue without a change."""
+    """The dialogues without a mutation. `peers`: names and incarnations of all processes."""
 
     schedule: Schedule
     parcels: list[Parcel]
@@ -163,7 +169,7 @@
 
 
 def play(schedule: Schedule, target: int | None = None, mutation: Mutation | None = None) -> tuple[World, Outcome]:
-    """Runs the dialogue, with message number `target` changed."""
+    """Run the dialogues with message number `target` mutated."""
     world = DialogueWorld(schedule.setup, target, mutation)
     recorder = Recorder()
     world.watchers.append(recorder)
@@ -172,7 +178,7 @@
 
 
 def record() -> Recording:
-    """The unchanged dialogue, in which the controller that owns the shard is the one that ends gracefully."""
+    """Record the unmutated dialogues, with the drain at the controller that owns the shard."""
     for controller in ("control-0", "control-1"):
         schedule = dialogue_schedule(controller)
         world, outcome = play(schedule)
@@ -183,15 +189,18 @@
     raise AssertionError("no owner released its shard")
 
 
-def chosen(recording: Recording) -> list[int]:
-    """Numbers of the messages to change: of each kind the first, some, and one of the last, with and without content."""
+def selected_messages(recording: Recording) -> list[int]:
+    """Return the numbers of the messages to mutate.
+
+    Of each kind, with and without elements in its lists, these are the first, some in between and one of the last.
+    """
     numbers: dict[tuple[type, bool], list[int]] = {}
     for number, parcel in enumerate(recording.parcels):
-        numbers.setdefault((type(parcel.message), _has_content(parcel.message)), []).append(number)
-    picked = {group[int(share * len(group))] for group in numbers.values() for share in SAMPLES}
-    return sorted(picked)
+        numbers.setdefault((type(parcel.message), _has_list_elements(parcel.message)), []).append(number)
+    selected = {group[int(share * len(group))] for group in numbers.values() for share in SAMPLE_POSITIONS}
+    return sorted(selected)
 
 
-def _has_content(message: Any) -> bool:
-    """Whether a list in it has elements."""
+def _has_list_elements(message: Any) -> bool:
+    """Return whether any list of the message has elements."""
     return any(isinstance(value, tuple) and value for value in msgspec.structs.astuple(message))
--- a/tests/mutation/mutations.py
+++ b/tests/mutation/mutations.py
@@ -1,4 +1,4 @@
-"""Changes of one message: what a network, a clock, an old process or a broken sender can make of it."""
+"""Mutations of one message, as a network, a clock, an outdated process or a faulty sender can cause them."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from tests.fleet.simulation.network import Parcel
 
 Deliveries = list[tuple[int, Parcel]]
-"""What arrives: delay (us) and parcel."""
+"""Messages that arrive, each with its delay in microseconds."""
 Change = Callable[[int, Parcel, "Parcel | None"], Deliveries]
-"""(usual delay, the parcel, an earlier one of its kind and direction or None) -> what arrives."""
+"""(normal delay, message, an earlier message of its kind and direction or None) -> messages that arrive."""
 
-TWICE_AFTER = 30 * MILLISECOND
-LATE_BY = (100 * MILLISECOND, 700 * MILLISECOND, 2_500 * MILLISECOND)
+DUPLICATE_DELAY_US = 30 * MILLISECOND
+LATE_DELAYS_US = (100 * MILLISECOND, 700 * MILLISECOND, 2_500 * MILLISECOND)
 TRUNCATIONS = (0.0, 0.3, 0.6, 0.9)
-"""Shares of a message's bytes that are left."""
+"""Shares of a message's bytes that remain after truncation."""
 
 
 @dataclass(frozen=True)
 class Mutation:
-    """One change. `group`: what kind of change it is; `lies`: whether only a faulty sender could send this."""
+    """One mutation. `group`: its kind; `faulty_sender`: whether only a faulty sender could cause it."""
 
     group: str
     name: str
     change: Change
-    lies: bool = False
+    faulty_sender: bool = False
 
 
 def _lost(delay: int, parcel: Parcel, earlier: Parcel | None) -> Deliveries:
@@ -39,7 +39,7 @@
 
 
 def _twice(delay: int, parcel: Parcel, earlier: Parcel | None) -> Deliveries:
-    return [(delay, parcel), (delay + TWICE_AFTER, parcel)]
+    return [(delay, parcel), (delay + DUPLICATE_DELAY_US, parcel)]
 
 
 def _late(by: int) -> Change:
@@ -80,10 +80,10 @@
 
 
 def mutations(parcel: Parcel, peers: dict[str, int]) -> Iterator[Mutation]:
-    """Every change of one message. `peers`: names and incarnations of all processes."""
+    """Yield every mutation of one message. `peers`: names and incarnations of all processes."""
     yield Mutation("lost", "lost", _lost)
     yield Mutation("twice", "twice", _twice)
-    for by in LATE_BY:
+    for by in LATE_DELAYS_US:
         yield Mutation("late", f"late by {by // MILLISECOND} ms", _late(by))
     yield Mutation("early", "early", _early)
     yield Mutation("stale", "an earlier message in its place", _stale)
@@ -91,17 +91,17 @@
         yield Mutation("cut short", f"cut short to {share:.0%}", _truncated(share))
     for name, incarnation in sorted(peers.items()):
         if name not in (parcel.sender, parcel.to):
-            yield Mutation("other sender", f"from {name}", _from(name, incarnation), lies=True)
+            yield Mutation("other sender", f"from {name}", _from(name, incarnation), faulty_sender=True)
     old = max(0, parcel.sender_incarnation - 1)
     yield Mutation("other sender", "from an older incarnation", _from(parcel.sender, old))
     for text, message in older_terms(parcel.message):
         yield Mutation("older term", text, _replaced(message))
     for text, message in at_bounds(parcel.message):
-        yield Mutation("field at a bound", text, _replaced(message), lies=True)
+        yield Mutation("field at a bound", text, _replaced(message), faulty_sender=True)
 
 
 def older_terms(message: Any) -> Iterator[tuple[str, Any]]:
-    """The message with its terms one lower."""
+    """Yield the message with its term, or the terms of its claims, decremented."""
     if getattr(message, "term", 0) > 0:
         yield "term - 1", msgspec.structs.replace(message, term=message.term - 1)
     claims = getattr(message, "claims", ())
@@ -111,7 +111,7 @@
 
 
 def at_bounds(struct: Any, path: str = "") -> Iterator[tuple[str, Any]]:
-    """The struct with each field, also of the first element of its lists, at its bounds."""
+    """Yield the struct with one field at a time set to a bound, including fields of the first element of its lists."""
     info = inspect.type_info(type(struct))
     assert isinstance(info, inspect.StructType)
     for described in info.fields:
--- a/tests/mutation/test_mutations.py
+++ b/tests/mutation/test_mutations.py
@@ -1,6 +1,6 @@
-"""One message lost, repeated, late, early, changed or cut short breaks no property, and all comes back to normal.
+"""A single lost, duplicated, late, early, altered or truncated message violates no property, and the fleet recovers.
 
-Every 27th case runs here; `python -m benchmarks.fleet_mutations` runs all.
+Every 27th case runs here; `python -m benchmarks.fleet_mutations` runs all of them.
 """
 
 import pytest
@@ -13,7 +13,7 @@
 CHUNKS = 4
 
 
-def test_the_dialogue_without_a_change_breaks_nothing_and_holds_every_kind_of_message() -> None:
+def test_unmutated_dialogues_violate_no_property_and_contain_every_kind_of_message() -> None:
     recorded = recording()
     assert not recorded.outcome.result.findings
     kinds = {type(parcel.message).__name__ for parcel in recorded.parcels}
@@ -21,7 +21,7 @@
     assert expected - kinds <= {"NotOwner"}
 
 
-def test_every_group_of_changes_occurs_in_every_dialogue() -> None:
+def test_every_group_of_mutations_occurs_in_every_dialogue() -> None:
     recorded = recording()
     groups: dict[str, set[str]] = {}
     for parcel in recorded.parcels:
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("chunk", range(CHUNKS))
-def test_one_changed_message_breaks_no_property_and_all_comes_back_to_normal(chunk: int) -> None:
+def test_one_mutated_message_violates_no_property_and_the_fleet_recovers(chunk: int) -> None:
     results = [run_case(case) for case in cases()[chunk * EVERY :: EVERY * CHUNKS]]
     failed = [str(result) for result in results if result.breaches]
     assert not failed, "\n".join(failed)
