--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""The fleet at size on loopback: 19 controllers, 200 or 600 hollow dispatchers, faults, and an oracle from the outside.
+"""Load benchmark of the fleet on loopback: 19 controllers, hollow dispatchers, faults and an external oracle.
 
     python -m benchmarks.fleet --scenario half --scenario double --dispatchers 200
 
@@ -6,16 +6,16 @@
   benchmarks.fleet [options] [--scenario NAME]...
 
 Options:
-  --dispatchers N  How many [default: 200].
-  --scenario NAME  Of these alone, may be repeated; without it all of them, one after the other.
-  --seconds S      Measured, after the warm-up; without it what the scenario says.
-  --seed N         Of arrivals, of choices and of the relay's noise [default: 1].
-  --quick          Short: 3 s of warm-up and 12 s measured.
-  --json FILE      Add the results to this file; a result of the same scenario and number of dispatchers is replaced.
-  --keep DIR       Keep logs and records here.
-  --page FILE      Write the page from the JSON file.
-  --only-page      Run nothing.
-  --topology KIND  zone: dispatchers talk to their zone's controller; owners: to all 19 [default: zone].
+  --dispatchers N  Number of dispatchers [default: 200].
+  --scenario NAME  Run this scenario only; may be repeated. Without it all scenarios run, one after the other.
+  --seconds S      Measured time after the warm-up, in place of that of the scenario.
+  --seed N         Seed of arrivals, random choices and the noise of the relays [default: 1].
+  --quick          Use a warm-up of 3 s and a measured time of 12 s.
+  --json FILE      Add the results to this file, replacing those of the same scenario, dispatchers and topology.
+  --keep DIR       Keep logs and records in this directory.
+  --page FILE      Write the results page from the JSON file.
+  --only-page      Run no scenario.
+  --topology KIND  zone: dispatchers connect to their zone's controller; owners: to all 19 [default: zone].
 """
 
 from __future__ import annotations
@@ -36,13 +36,16 @@
 QUICK_WARM_S, QUICK_SECONDS = 3.0, 12.0
 
 
-def chosen(options: dict[str, object]) -> list[Scenario]:
-    """The scenarios, with the lengths that were asked for. Raises SystemExit at an unknown name."""
+def selected_scenarios(options: dict[str, object]) -> list[Scenario]:
+    """Return the selected scenarios with the requested durations.
+
+    Raises SystemExit if a name is unknown.
+    """
     names = options["--scenario"]
     assert isinstance(names, list)
     for name in names:
         if name not in BY_NAME:
-            sys.exit(f"no scenario {name}; there are: {', '.join(BY_NAME)}")
+            sys.exit(f"unknown scenario {name}; scenarios are: {', '.join(BY_NAME)}")
     scenarios = [BY_NAME[name] for name in names] or list(SCENARIOS)
     if options["--quick"]:
         scenarios = [one._replace(warm_s=QUICK_WARM_S, seconds=QUICK_SECONDS) for one in scenarios]
@@ -51,20 +54,20 @@
     return scenarios
 
 
-def stored(path: Path) -> Document:
+def load_document(path: Path) -> Document:
     return msgspec.json.decode(path.read_bytes(), type=Document) if path.exists() else Document([])
 
 
 def store(path: Path, result: Result) -> None:
-    """Add it to the document at `path`, in place of an earlier one of the same scenario, size and topology."""
-    document = stored(path)
+    """Store a result in the document at `path`, replacing that of the same scenario, dispatchers and topology."""
+    document = load_document(path)
     key = (result.scenario, result.dispatchers, result.topology)
-    kept = [old for old in document.results if (old.scenario, old.dispatchers, old.topology) != key]
-    document.results = sorted([*kept, result], key=order)
+    others = [old for old in document.results if (old.scenario, old.dispatchers, old.topology) != key]
+    document.results = sorted([*others, result], key=sort_key)
     path.write_bytes(msgspec.json.format(msgspec.json.encode(document), indent=1) + b"\n")
 
 
-def order(result: Result) -> tuple[int, int, str]:
+def sort_key(result: Result) -> tuple[int, int, str]:
     names = list(BY_NAME)
     return result.dispatchers, names.index(result.scenario), result.topology
 
@@ -72,7 +75,7 @@
 def main() -> None:
     options = docopt(__doc__)
     logs.configure(logs.LogSettings(level="warning"))
-    for scenario in [] if options["--only-page"] else chosen(options):
+    for scenario in [] if options["--only-page"] else selected_scenarios(options):
         result = play(
             scenario,
             int(options["--dispatchers"]),
@@ -84,7 +87,7 @@
         if options["--json"]:
             store(Path(options["--json"]), result)
     if options["--page"] and options["--json"]:
-        Path(options["--page"]).write_text(page.page(stored(Path(options["--json"]))))
+        Path(options["--page"]).write_text(page.page(load_document(Path(options["--json"]))))
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/aims.py
+++ b/benchmarks/fleet/aims.py
@@ -1,4 +1,4 @@
-"""What the fleet is to reach, and whether a set of results does. No I/O."""
+"""Performance targets of the fleet, and their evaluation against results. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Limit(NamedTuple):
-    """One aim: of which scenario, and how a result shows it."""
+    """One target of a scenario. `figure` formats a result's measured value; `reached` checks it against the target."""
 
     scenario: str
     name: str
@@ -111,7 +111,7 @@
 
 
 def judged(results: Iterable[Result]) -> list[Aim]:
-    """Each aim against the results of one size and topology."""
+    """Evaluate every target against the results of one number of dispatchers and one topology."""
     by_name = {result.scenario: result for result in results}
     aims = []
     for limit in LIMITS:
--- a/benchmarks/fleet/children.py
+++ b/benchmarks/fleet/children.py
@@ -1,4 +1,4 @@
-"""Processes that are started, told things on their standard input, and ended by their process id in any case."""
+"""Child processes of a run: started with pipes, limited in number and memory, and always ended by process id."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-MOST_PROCESSES = 300
-MOST_MEMORY_SHARE = 0.5  # of the machine's
+MAX_PROCESSES = 300
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
 LINE_LIMIT = 1 << 26
 END_TIMEOUT_S = 8.0
 ROOT = Path(__file__).resolve().parents[2]
@@ -23,23 +23,23 @@
 
 
 class TooLargeErrorError(Exception):
-    """More processes or memory than a run may take."""
+    """A run needs more processes or memory than allowed."""
 
 
 class Usage(NamedTuple):
-    """Of one process, from /proc: seconds of CPU since its start, and resident bytes."""
+    """Resource usage of one process from /proc: CPU seconds since its start, and resident bytes."""
 
     cpu_s: float
     resident: int
 
 
 def end_with_parent() -> None:
-    """In the child, before it runs its program: it is killed when who started it dies."""
+    """Make the kernel kill this child when its parent dies. Runs in the child before its program."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def usage(pid: int) -> Usage:
-    """Raises OSError where there is no such process any more."""
+    """Return the usage of a process. Raises OSError if it no longer exists."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return Usage((int(fields[11]) + int(fields[12])) / CLOCK_TICKS, int(fields[21]) * PAGE)
 
@@ -55,7 +55,7 @@
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def start(self, arguments: list[str], log: Path) -> asyncio.subprocess.Process:
-        """A Python process with pipes on its standard input and output; its standard error goes to `log`."""
+        """Start a Python process with pipes on standard input and output; standard error goes to `log`."""
         self._check_count()
         with log.open("ab") as errors:
             process = await asyncio.create_subprocess_exec(
@@ -72,7 +72,7 @@
         return process
 
     async def start_logged(self, arguments: list[str], log: Path) -> asyncio.subprocess.Process:
-        """A Python process without pipes; all it says goes to `log`."""
+        """Start a Python process without pipes; standard output and error go to `log`."""
         self._check_count()
         with log.open("ab") as output:
             process = await asyncio.create_subprocess_exec(
@@ -89,22 +89,25 @@
 
     def _check_count(self) -> None:
         running = sum(process.returncode is None for process in self.processes)
-        if running >= MOST_PROCESSES:
-            raise TooLargeErrorError(f"{running} processes run already")
+        if running >= MAX_PROCESSES:
+            raise TooLargeErrorError(f"{running} processes are running, the limit is {MAX_PROCESSES}")
 
     def check_memory(self) -> int:
-        """Resident bytes of all processes. Raises TooLargeErrorError."""
+        """Return the resident bytes of all processes.
+
+        Raises TooLargeErrorError above the allowed share of the machine's memory.
+        """
         total = 0
         for process in self.processes:
             if process.returncode is None:
-                with contextlib.suppress(OSError):  # it has ended just now
+                with contextlib.suppress(OSError):  # the process has just ended
                     total += usage(process.pid).resident
-        if total > memory_of_machine() * MOST_MEMORY_SHARE:
-            raise TooLargeErrorError(f"{total >> 20} MiB resident in all processes")
+        if total > memory_of_machine() * MAX_MEMORY_SHARE:
+            raise TooLargeErrorError(f"the processes use {total >> 20} MiB of resident memory, more than a run may use")
         return total
 
     async def end_all(self) -> None:
-        """Whatever still runs is killed, by its process id, and waited for."""
+        """Kill every process that still runs, by its process id, and wait for all."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -113,23 +116,23 @@
             await asyncio.wait_for(asyncio.gather(*waits), END_TIMEOUT_S)
 
 
-async def tell(process: asyncio.subprocess.Process, line: str) -> None:
+async def send_line(process: asyncio.subprocess.Process, line: str) -> None:
     assert process.stdin is not None
     process.stdin.write(line.encode() + b"\n")
     await process.stdin.drain()
 
 
-async def hear(process: asyncio.subprocess.Process, timeout: float) -> bytes:
-    """The next line. Raises TimeoutError, or EOFError where the process has ended."""
+async def read_line(process: asyncio.subprocess.Process, timeout: float) -> bytes:
+    """Return the next line of output. Raises TimeoutError, or EOFError if the process has ended."""
     assert process.stdout is not None
     line = await asyncio.wait_for(process.stdout.readline(), timeout)
     if not line:
-        raise EOFError(f"process {process.pid} has ended")
+        raise EOFError(f"process {process.pid} closed its output")
     return line
 
 
 async def finish(process: asyncio.subprocess.Process, timeout: float) -> bytes:
-    """End its input, and take its last line."""
+    """Close the process's input and return the line that it prints at its end."""
     assert process.stdin is not None
     process.stdin.close()
-    return await hear(process, timeout)
+    return await read_line(process, timeout)
--- a/benchmarks/fleet/hollow.py
+++ b/benchmarks/fleet/hollow.py
@@ -1,8 +1,9 @@
 """A process of hollow dispatchers: the rules and connections of real dispatchers, without HTTP and without workers.
 
-Started by `benchmarks.fleet.processes` with its orders on standard input as one line of JSON; says "ready", then reads a line with the
-epoch (seconds of CLOCK_MONOTONIC from which the times of the script count). At the end of its input it prints what it has measured
-and ends, so that it never outlives who started it. Each decision is written to a file with the time of the shared clock.
+The benchmark starts it and writes its `Orders` to its standard input as one line of JSON. The process prints "ready"
+and then reads a line with the epoch: the CLOCK_MONOTONIC time, in seconds, at which script time 0 falls. When its input
+is closed it prints its `Report` and exits, so that it never outlives its parent process. It writes each decision to a
+file with its CLOCK_MONOTONIC time.
 """
 
 from __future__ import annotations
@@ -31,19 +32,19 @@
 from . import traffic
 
 RECORD = struct.Struct("<dHHBI")  # time in s, team, dispatcher, over quota, wait in microseconds
-ALL_OWNERS = "owners"  # topology: a connection to each controller
-OWN_ZONE = "zone"  # topology: the zone's controller alone
+ALL_OWNERS = "owners"  # topology: each dispatcher connects to every controller
+OWN_ZONE = "zone"  # topology: each dispatcher connects to its zone's controller only
 
 
 class Load(msgspec.Struct, frozen=True):
-    """From `start` on, seconds of the script, a busy dispatcher gets `rate` requests a second."""
+    """Request rate of a busy dispatcher, in requests per second, from script time `start` in seconds."""
 
     start: float
     rate: float
 
 
 class Restart(msgspec.Struct, frozen=True):
-    """At `at` these dispatchers are gone at once; they start anew `pause_s` later, or never if it is None."""
+    """Kills the dispatchers at script time `at` and restarts them `pause_s` later; None: they are not restarted."""
 
     at: float
     dispatchers: tuple[int, ...]
@@ -51,7 +52,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One hollow dispatcher. `settings`: the place in Orders.settings of what its zone sees of the controllers."""
+    """One hollow dispatcher. `settings`: index in Orders.settings of the settings that its zone uses."""
 
     index: int
     name: str
@@ -61,7 +62,7 @@
 
 
 class Orders(msgspec.Struct, frozen=True):
-    """What one process is told at its start."""
+    """Configuration of one process. Times are seconds of script time; `record` is the file of its decisions."""
 
     seed: int
     members: tuple[Member, ...]
@@ -76,7 +77,7 @@
 
 
 class Mark(msgspec.Struct):
-    """Totals of the process at one time of the script. `resident`: bytes."""
+    """Totals of the process at script time `at`. `resident`: resident memory in bytes."""
 
     at: float
     cpu_s: float
@@ -86,8 +87,11 @@
 
 
 class Report(msgspec.Struct):
-    """What a process says at its end. `latest_s`: the longest that an arrival came later than intended; `lost`: requests that waited
-    at a dispatcher that was killed."""
+    """Measurements that a process prints at its end.
+
+    `lost`: requests that were waiting at a dispatcher when it was killed. `latest_s`: the longest delay of an arrival
+    after its scheduled time. `resident_before`: resident bytes before the dispatchers were created.
+    """
 
     marks: list[Mark]
     arrivals: int
@@ -105,7 +109,7 @@
 
 
 class LeaseSet:
-    """What one dispatcher asks with: one DispatcherLeases for its zone, or one for each owner."""
+    """The leases of one dispatcher: one DispatcherLeases for its zone's controller, or one for each controller."""
 
     def __init__(self, orders: Orders, member: Member, incarnation: int) -> None:
         settings = orders.settings[member.settings]
@@ -134,7 +138,7 @@
 
 
 class HollowDispatcher:
-    """One dispatcher: its rules, its connections and the requests that wait."""
+    """One dispatcher: its rules, its connections and its waiting requests."""
 
     def __init__(self, process: HollowProcess, member: Member, incarnation: int) -> None:
         self.process, self.member = process, member
@@ -153,25 +157,25 @@
         now = now_us()
         self.waiting[number] = (team, now)
         leases = self.leases.for_team(team)
-        self.carry_out(leases.request(now, number, self.process.teams[team]))
+        self.execute(leases.request(now, number, self.process.teams[team]))
         self.wake_for(leases)
 
     def received(self, sender: Peer, message: Message) -> None:
         if not self.closed:
             leases = self.leases.for_peer(sender.name)
-            self.carry_out(leases.receive(now_us(), sender, message))
+            self.execute(leases.receive(now_us(), sender, message))
             self.wake_for(leases)
 
     def lost(self, name: str) -> None:
         if not self.closed:
-            self.carry_out(self.leases.for_peer(name).peer_lost(now_us(), name))
+            self.execute(self.leases.for_peer(name).peer_lost(now_us(), name))
 
     def tick(self) -> None:
         if self.closed:
             return
         asyncio.get_running_loop().call_later(self.tick_s, self.tick)
         for leases in self.leases.by_controller.values():
-            self.carry_out(leases.tick(now_us()))
+            self.execute(leases.tick(now_us()))
             self.wake_for(leases)
 
     def wake_for(self, leases: DispatcherLeases) -> None:
@@ -184,9 +188,9 @@
     def wake(self, leases: DispatcherLeases) -> None:
         when = leases.next_wakeup()
         if not self.closed and when is not None and when <= now_us():
-            self.carry_out(leases.tick(now_us()))
+            self.execute(leases.tick(now_us()))
 
-    def carry_out(self, actions: Any) -> None:
+    def execute(self, actions: Any) -> None:
         for action in actions:
             if isinstance(action, SendMessage):
                 self.connections.send(action.to, action.message)
@@ -199,19 +203,19 @@
         self.process.record(now / 1_000_000, team, self.member.index, action.over_quota, now - asked)
 
     def close(self) -> None:
-        """As a kill: nothing is given back."""
+        """Close the connections without returning leases, as a killed process does."""
         self.closed = True
         self.connections.close()
 
 
 class HollowProcess:
-    """All hollow dispatchers of this process, the script and the measurements."""
+    """Runs all hollow dispatchers of this process by the script, and measures them."""
 
     def __init__(self, orders: Orders) -> None:
         self.orders = orders
         self.random = Random(f"{orders.seed} {orders.record}")
         self.teams = traffic.team_names(len(orders.quotas))
-        self.file = open(orders.record, "wb")  # noqa: SIM115 - closed at the end of the process
+        self.file = open(orders.record, "wb")  # noqa: SIM115 - closed by `report`
         self.number = 0
         self.lost = 0
         self.latest_s = 0.0
@@ -274,7 +278,7 @@
         self.marks.append(Mark(at, time.process_time(), resident_bytes(), total, self.figures()))
 
     def figures(self) -> dict[str, float]:
-        """The sums of the rules' own counters."""
+        """Return the sums of the rules' counters over all dispatchers."""
         sums: dict[str, float] = {}
         now = now_us()
         for dispatcher in self.dispatchers.values():
--- a/benchmarks/fleet/in_memory.py
+++ b/benchmarks/fleet/in_memory.py
@@ -1,8 +1,9 @@
-"""The rules of controllers and dispatchers at size in one process and in virtual time: a quick look before the processes run.
+"""Runs the rules of a full-size fleet in one process and in virtual time, as a quick trial before the load benchmark.
 
     python -m benchmarks.fleet.in_memory [--dispatchers 200] [--load 0.5] [--share 1.0] [--seconds 60] [--warm 20] [--kill-owner]
 
-No sockets, no losses: a message takes the delay of its two places. Its figures are trials; those of the pages come from processes.
+There are no sockets and no message losses; a message takes the delay between its two places. The figures on the result
+pages come from the load benchmark with real processes, not from here.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 
 SECOND = 1_000_000
 TICK = 50_000
-ELECTION_S = 6.0  # after a start nobody owns anything for so long
+ELECTION_S = 6.0  # time after a start until the shards have owners
 
 
 class Network:
-    """Virtual time, and delivery of messages between named rules."""
+    """Virtual time, and delivery of messages between the rules of named processes."""
 
     def __init__(self) -> None:
         self.now = 10 * SECOND
@@ -55,7 +56,7 @@
         self.place[name] = place
         self.rules[name] = rules
 
-    def carry_out(self, name: str, actions: list[Any]) -> None:
+    def execute(self, name: str, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, QuotaDecision):
                 self.decided(name, action)
@@ -70,22 +71,22 @@
 
     def deliver(self, name: str, action: SendMessage) -> None:
         if action.to not in self.dead and name not in self.dead:
-            self.carry_out(action.to, self.rules[action.to].receive(self.now, self.peers[name], action.message))
+            self.execute(action.to, self.rules[action.to].receive(self.now, self.peers[name], action.message))
 
     def tick(self, name: str) -> None:
         if name not in self.dead:
-            self.carry_out(name, self.rules[name].tick(self.now))
+            self.execute(name, self.rules[name].tick(self.now))
             self.at(self.now + TICK, lambda: self.tick(name))
 
     def kill(self, name: str) -> None:
         self.dead.add(name)
         for other in self.rules:
             if other not in self.dead:
-                self.carry_out(other, self.rules[other].peer_lost(self.now, name) or [])
+                self.execute(other, self.rules[other].peer_lost(self.now, name) or [])
 
 
 class Trial:
-    """One run: 19 controllers, the dispatchers and their traffic."""
+    """One run of 19 controllers, the dispatchers and their traffic."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -132,14 +133,17 @@
             self.next_arrival(index, traffic.arrivals(self.quotas, rate, options.seed, index), network.now)
 
     def first_quotas(self) -> list[float]:
-        """Higher ones for FILLING_S, so that the run starts with the stocks of the long run."""
+        """Return the initial quotas.
+
+        With `--filled` they are raised for FILLING_S, so that the run starts with the bucket levels of a long run.
+        """
         if not self.options.filled:
             return self.quotas
         scenario = scenarios.Scenario("in memory", "", self.options.load)
         return scenario.filling_quotas(self.quotas, len(self.places))
 
     def set_quotas(self) -> None:
-        """The true ones, after the buckets were filled."""
+        """Set the actual quotas, after the buckets have been filled."""
         for place in self.places:
             rules = self.network.rules[place.controller]
             rules.set_quotas(self.network.now, dict(zip(self.names, self.quotas, strict=False)))
@@ -154,7 +158,7 @@
             self.requests[name, number] = arrival.team
             self.asked[name, number] = self.network.now
             rules = self.network.rules[name]
-            self.network.carry_out(name, rules.request(self.network.now, number, self.names[arrival.team]))
+            self.network.execute(name, rules.request(self.network.now, number, self.names[arrival.team]))
             self.wake(name)
 
         self.network.at(began + int(arrival.at * SECOND), arrive)
@@ -164,7 +168,7 @@
         when = rules.next_wakeup()
         if when is not None:
             when = max(when, self.network.now)
-            self.network.at(when, lambda: self.network.carry_out(name, rules.tick(self.network.now)))
+            self.network.at(when, lambda: self.network.execute(name, rules.tick(self.network.now)))
 
 
 def report(trial: Trial, start: float, end: float) -> None:
--- a/benchmarks/fleet/installation.py
+++ b/benchmarks/fleet/installation.py
@@ -1,4 +1,4 @@
-"""Brings up one installation on loopback: relays, 19 controllers, processes of hollow dispatchers; and ends all of it."""
+"""Starts and ends one installation on loopback: relays, 19 controllers and processes of hollow dispatchers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Plan(NamedTuple):
-    """What is brought up. `rates`: requests a second of each dispatcher; times are seconds of the script."""
+    """Plan of an installation. `rates`: requests per second of each dispatcher; times are seconds of script time."""
 
     dispatchers: int
     seed: int
@@ -42,53 +42,59 @@
 
 
 class Ended(NamedTuple):
-    """What the processes said at their end."""
+    """Reports that the processes printed at their end."""
 
     hollow: list[hollow.Report]
     relays: list[list[relay.Snapshot]]
 
 
 class Installation:
-    """One run's processes. `folder`: for settings, logs and records."""
+    """The processes of one run. `folder` holds their settings, logs and records."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.children = children.Children()
         self.controllers: dict[str, asyncio.subprocess.Process] = {}
         self.relays: list[asyncio.subprocess.Process] = []
-        self.hollows: list[asyncio.subprocess.Process] = []
-        self.ways: dict[tuple[str, str, str], int] = {}
+        self.hollow_processes: list[asyncio.subprocess.Process] = []
+        self.relay_ports: dict[tuple[str, str, str], int] = {}
         self.epoch = 0.0
 
     # Addresses.
 
     def address_of(self, place: layout.Place) -> tuple[str, int]:
-        """A controller's own: an address of loopback that no other run on this machine uses."""
+        """Return a controller's listening address, on a loopback IP derived from this process id.
+
+        So runs on the same machine do not collide.
+        """
         pid = os.getpid()
         return f"127.{64 + pid % 128}.{pid // 128 % 256}.{1 + self.plan.places.index(place)}", PORT
 
     def links(self, role: str) -> list[relay.Link]:
-        """From each zone to each controller."""
+        """Return the links from each zone to each controller."""
         return [
             relay.Link(role, source.zone, target.zone, *self.address_of(target), layout.delay_ms(source, target))
             for source in self.plan.places
             for target in self.plan.places
         ]
 
-    def seen_from(self, role: str, zone: str) -> list[Controller]:
-        """The controllers with the addresses that a process of `zone` uses: those of the relays, but its own."""
-        seen = []
+    def controllers_for(self, role: str, zone: str) -> list[Controller]:
+        """Return the controllers with the addresses that a process in `zone` uses.
+
+        These are addresses of relays, except that a controller has its own listening address.
+        """
+        found = []
         for place in self.plan.places:
-            host, port = "127.0.0.1", self.ways.get((role, zone, place.zone), 0)
+            host, port = "127.0.0.1", self.relay_ports.get((role, zone, place.zone), 0)
             if role == "controller" and place.zone == zone:
                 host, port = self.address_of(place)
-            seen.append(Controller(place.controller, place.zone, place.region, host, port, place.voter))
-        return seen
+            found.append(Controller(place.controller, place.zone, place.region, host, port, place.voter))
+        return found
 
     # Bringing up.
 
     async def start(self) -> None:
-        """Relays and controllers; the quotas have been written."""
+        """Start relays and controllers. The quotas must have been written before."""
         await self.start_relays("dispatcher", DISPATCHER_RELAYS)
         await self.start_relays("controller", CONTROLLER_RELAYS)
         for place in self.plan.places:
@@ -100,26 +106,28 @@
     async def start_relays(self, role: str, count: int) -> None:
         links = self.links(role)
         for index in range(count):
-            some = tuple(links[index::count])
+            assigned = tuple(links[index::count])
             seed = f"{self.plan.seed} {role} {index}"
-            script = relay.Script(seed, some, self.plan.cuts, self.plan.noise, self.plan.marks)
+            script = relay.Script(seed, assigned, self.plan.cuts, self.plan.noise, self.plan.marks)
             process = await self.children.start(["-m", "benchmarks.fleet.relay"], self.folder / "relay.log")
             self.relays.append(process)
-            await children.tell(process, msgspec.json.encode(script).decode())
-            ports = msgspec.json.decode(await children.hear(process, START_TIMEOUT_S), type=list[int])
-            self.ways.update({(role, link.source, link.target): port for link, port in zip(some, ports, strict=False)})
+            await children.send_line(process, msgspec.json.encode(script).decode())
+            ports = msgspec.json.decode(await children.read_line(process, START_TIMEOUT_S), type=list[int])
+            self.relay_ports.update(
+                {(role, link.source, link.target): port for link, port in zip(assigned, ports, strict=False)}
+            )
 
     def write_quotas(self, quotas: list[float]) -> None:
         lines = [
             f'"{name}" = {float(quota)}' for name, quota in zip(traffic.team_names(len(quotas)), quotas, strict=False)
         ]
-        whole = self.folder / "quotas.toml.new"
-        whole.write_text("\n".join(lines) + "\n")
-        whole.replace(self.folder / "quotas.toml")
+        temporary = self.folder / "quotas.toml.new"
+        temporary.write_text("\n".join(lines) + "\n")
+        temporary.replace(self.folder / "quotas.toml")
 
     def write_settings(self, place: layout.Place) -> None:
         lines = ["[fleet]", f'name = "{place.controller}"', 'quotas = "quotas.toml"']
-        for controller in self.seen_from("controller", place.zone):
+        for controller in self.controllers_for("controller", place.zone):
             lines += ["[[fleet.controllers]]"]
             for field, value in msgspec.structs.asdict(controller).items():
                 lines.append(f"{field} = {msgspec.json.encode(value).decode()}")
@@ -134,29 +142,39 @@
         return self.folder / f"{place.controller}.log"
 
     async def wait_for_listening(self, place: layout.Place, starts: int = 1) -> None:
-        """Until the controller has said so at this many starts. Raises EOFError or TimeoutError."""
+        """Wait until the controller has logged that it listens, at this many starts.
+
+        Raises EOFError if it has ended, TimeoutError after START_TIMEOUT_S.
+        """
         end = time.monotonic() + START_TIMEOUT_S
         while self.log_of(place).read_text().count("listening") < starts:
             if self.controllers[place.controller].returncode is not None:
-                raise EOFError(f"{place.controller} has ended: {self.log_of(place).read_text()[-500:]}")
+                raise EOFError(f"{place.controller} ended before it listened: {self.log_of(place).read_text()[-500:]}")
             if time.monotonic() > end:
-                raise TimeoutError(f"{place.controller} does not listen")
+                raise TimeoutError(f"{place.controller} did not listen within {START_TIMEOUT_S} s")
             await asyncio.sleep(0.05)
 
     async def wait_for_owners(self) -> None:
-        """A voter that has just started grants nothing for as long as a lease lasts; then the elections take some hundred ms."""
+        """Wait until all shards have owners.
+
+        A voter abstains for one ownership lease after its start; the elections then take some hundred milliseconds.
+        """
         settings = FleetSettings(controllers=())
         await asyncio.sleep(settings.longer(settings.ownership_lease_ms) / 1000 + ELECTION_S)
 
     def owners(self) -> dict[int, str]:
-        """Shard -> controller, while all controllers are up and have been for some 10 s: the first in the order of each shard."""
-        settings = FleetSettings(controllers=tuple(self.seen_from("controller", self.plan.places[0].zone)))
+        """Return shard -> owner, the first controller in the shard's order.
+
+        This holds once all controllers have been up for about 10 s.
+        """
+        settings = FleetSettings(controllers=tuple(self.controllers_for("controller", self.plan.places[0].zone)))
         return {shard: shard_order(settings, shard)[0] for shard in range(settings.shards)}
 
     async def start_hollows(self) -> None:
-        views = {place.zone: number for number, place in enumerate(self.plan.places)}
+        settings_index = {place.zone: number for number, place in enumerate(self.plan.places)}
         settings = tuple(
-            FleetSettings(controllers=tuple(self.seen_from("dispatcher", place.zone))) for place in self.plan.places
+            FleetSettings(controllers=tuple(self.controllers_for("dispatcher", place.zone)))
+            for place in self.plan.places
         )
         count = min(HOLLOW_PROCESSES, self.plan.dispatchers)
         for number in range(count):
@@ -164,7 +182,7 @@
             for index in range(number, self.plan.dispatchers, count):
                 zone = layout.place_of_dispatcher(index, self.plan.places).zone
                 name = layout.dispatcher_name(index)
-                members.append(hollow.Member(index, name, zone, views[zone], self.plan.rates[index]))
+                members.append(hollow.Member(index, name, zone, settings_index[zone], self.plan.rates[index]))
             orders = hollow.Orders(
                 seed=self.plan.seed,
                 members=tuple(members),
@@ -178,22 +196,22 @@
                 owners={str(shard): owner for shard, owner in self.owners().items()},
             )
             process = await self.children.start(["-m", "benchmarks.fleet.hollow"], self.folder / "hollow.log")
-            self.hollows.append(process)
-            await children.tell(process, msgspec.json.encode(orders).decode())
-        for process in self.hollows:
-            await children.hear(process, START_TIMEOUT_S)
+            self.hollow_processes.append(process)
+            await children.send_line(process, msgspec.json.encode(orders).decode())
+        for process in self.hollow_processes:
+            await children.read_line(process, START_TIMEOUT_S)
 
     async def begin(self) -> None:
-        """The script starts now."""
+        """Set the epoch of script time and send it to all processes."""
         self.epoch = time.monotonic() + 0.5
-        for process in self.relays + self.hollows:
-            await children.tell(process, repr(self.epoch))
+        for process in self.relays + self.hollow_processes:
+            await children.send_line(process, repr(self.epoch))
 
     async def until(self, at: float) -> None:
-        """Wait for a time of the script."""
+        """Wait until script time `at`, in seconds."""
         await asyncio.sleep(max(0.0, self.epoch + at - time.monotonic()))
 
-    # What happens to controllers.
+    # Faults and usage of controllers.
 
     def signal(self, controller: str, number: signal.Signals) -> None:
         process = self.controllers[controller]
@@ -201,7 +219,7 @@
             process.send_signal(number)
 
     def usages(self) -> dict[str, children.Usage]:
-        """Of the controllers that run now."""
+        """Return the usage of each running controller."""
         found = {}
         for name, process in self.controllers.items():
             if process.returncode is None:
@@ -211,10 +229,10 @@
     # The end.
 
     async def finish(self) -> Ended:
-        """What the processes have measured; they end."""
+        """End the hollow dispatchers and relays, and return their reports."""
         reports = [
             msgspec.json.decode(await children.finish(process, REPORT_TIMEOUT_S), type=hollow.Report)
-            for process in self.hollows
+            for process in self.hollow_processes
         ]
         snapshots = [
             msgspec.json.decode(await children.finish(process, REPORT_TIMEOUT_S), type=list[relay.Snapshot])
@@ -223,7 +241,7 @@
         return Ended(reports, snapshots)
 
     async def end(self) -> None:
-        """In any case: no process stays."""
+        """Kill all processes. Paused controllers are resumed first."""
         for process in self.controllers.values():
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
@@ -231,7 +249,7 @@
 
 
 def read_decisions(folder: Path) -> list[Any]:
-    """All records of hollow dispatchers, by time."""
+    """Return all decision records of the hollow dispatchers, sorted by time."""
     records = []
     for path in folder.glob("decisions-*"):
         data = path.read_bytes()
--- a/benchmarks/fleet/judge.py
+++ b/benchmarks/fleet/judge.py
@@ -1,4 +1,4 @@
-"""From what was seen in a run to its result. No I/O."""
+"""Evaluates the observations of one run. No I/O."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from .scenarios import COLD, ChangeQuotas, CutRegion, KillOwner, LoseZone, RestartDispatchers, Scenario, StopOwner
 
 MIB = 1 << 20
-LARGE_QUOTA = 1.0  # requests a second: teams with more are large, the others small
-IN_FORCE_S = 15.0  # a changed quota is in force everywhere after so long
-RESERVE_LATE_S = 2.0  # docs/fleet.md, Bounds: of a zone's part, beside the stock of its reserve
-IN_FORCE = 1.05  # of the new quota: a lower quota is in force once no more than this is used
+LARGE_QUOTA = 1.0  # requests per second; teams with a higher quota count as large, the others as small
+QUOTA_CHANGE_LIMIT_S = 15.0  # time until a changed quota is in force everywhere
+RESERVE_LATE_S = 2.0  # docs/fleet.md, Bounds: seconds of a zone's share added to the stock of its reserve
+LOWERED_USE_LIMIT = 1.05  # multiple of the new quota: a lower quota is in force once usage is at most this
 
 
 class Outcome(NamedTuple):
-    """What was seen. `records`: (time, team, dispatcher, over, wait in microseconds), by time."""
+    """Observations of one run. `records`: (time, team, dispatcher, over, wait in microseconds), sorted by time."""
 
     scenario: Scenario
     dispatchers: int
@@ -40,7 +40,7 @@
 
 
 class Judge:
-    """Judges one run from its decisions."""
+    """Evaluates one run from its decisions."""
 
     def __init__(self, outcome: Outcome) -> None:
         self.outcome = outcome
@@ -63,7 +63,7 @@
         return sum(place.region == fault.region for place in self.outcome.places)
 
     def depth(self, quota: float) -> float:
-        """What a team may have beyond quota * length in any window."""
+        """Return how many requests a team may have beyond quota * length in any window."""
         zones = len(self.outcome.places)
         part = self.settings.reserve_share * quota / zones
         reserve = max(1.0, part) + RESERVE_LATE_S * part
@@ -71,11 +71,11 @@
         return bucket + self.zones_cut_off * reserve
 
     def changes(self, team: int) -> list[oracle.RateChange]:
-        """How a team's quota went: a lower one counts from when it must be in force, a higher one at once."""
+        """Return the changes of a team's quota: a lower one applies once it must be in force, a higher one at once."""
         quota, fault = self.outcome.quotas[team], self.scenario.fault
         changes = [oracle.RateChange(0.0, quota)]
         if isinstance(fault, ChangeQuotas) and self.outcome.changed_quotas is not None:
-            lowered = self.start + fault.at + IN_FORCE_S
+            lowered = self.start + fault.at + QUOTA_CHANGE_LIMIT_S
             changes.append(oracle.RateChange(lowered, self.outcome.changed_quotas[team]))
             changes.append(oracle.RateChange(self.start + fault.at + fault.seconds, quota))
         return changes
@@ -88,7 +88,7 @@
     # Shares.
 
     def used_by(self, teams: Iterable[int]) -> list[float]:
-        """Ascending times of the requests within quota of some teams."""
+        """Return the ascending times of the requests within quota of the given teams."""
         return sorted(at for team in teams for at in self.times[team])
 
     def over_share_of(self, teams: set[int]) -> float:
@@ -96,7 +96,7 @@
         return oracle.over_share(some, self.start, self.end)
 
     def undecided(self) -> int:
-        """Requests that came and were never let go on, but for those whose dispatcher was killed."""
+        """Return the number of requests without a decision, except those waiting at a killed dispatcher."""
         reports = self.outcome.ended.hollow
         return sum(report.arrivals - report.lost for report in reports) - len(self.outcome.records)
 
@@ -124,12 +124,12 @@
         return []
 
     def teams_of(self, owner: str) -> set[int]:
-        """The teams of all shards that the controller owned at the start."""
+        """Return the teams of all shards that the controller owned at the start."""
         names = traffic.team_names(len(self.outcome.quotas))
         return {n for n, name in enumerate(names) if self.outcome.owners[self.settings.shard_of(name)] == owner}
 
     def recovery(self, of: str, since: str, teams: set[int], at: float, until: float | None = None) -> Recovery:
-        """Full use: of the quotas at twice the quota, of what comes in where that is less."""
+        """Return the time to full use of the teams' quotas, or of the offered load where that is lower."""
         ordered = self.used_by(teams)
         quota = sum(self.outcome.quotas[team] for team in teams) * min(1.0, self.scenario.load)
         fault = self.start + at
@@ -139,12 +139,12 @@
         return Recovery(of, since, seconds, before, oracle.least_use(ordered, fault, end, quota))
 
     def lowered(self, fault: ChangeQuotas) -> Recovery:
-        """After how long no more than the lower quotas was used."""
+        """Return the time until usage was no higher than the lowered quotas."""
         assert self.outcome.changed_quotas is not None
         quota = sum(self.outcome.changed_quotas[: fault.teams])
         ordered = self.used_by(range(fault.teams))
         at, end = self.start + fault.at, self.start + fault.at + fault.seconds
-        seconds = oracle.time_to_use_at_most(ordered, at, end, quota * IN_FORCE)
+        seconds = oracle.time_to_use_at_most(ordered, at, end, quota * LOWERED_USE_LIMIT)
         before = oracle.use(ordered, self.start, at, quota)
         return Recovery(
             f"{fault.teams} teams", "the lower quota", seconds, before, oracle.least_use(ordered, at, end, quota)
@@ -189,7 +189,7 @@
         )
 
     def relayed(self) -> tuple[float, float]:
-        """Bytes and messages in and out of all controllers over the measured time; between controllers they count twice."""
+        """Return bytes and messages in and out of all controllers; those between two controllers count twice."""
         total_bytes = total_messages = 0
         for snapshots in self.outcome.ended.relays:
             for before, after in zip(snapshots[0].counts, snapshots[-1].counts, strict=False):
@@ -198,7 +198,7 @@
                 total_messages += ends * (after.up_frames + after.down_frames - before.up_frames - before.down_frames)
         return total_bytes, total_messages
 
-    # All together.
+    # The result.
 
     def result(self) -> Result:
         outcome, quotas = self.outcome, self.outcome.quotas
--- a/benchmarks/fleet/layout.py
+++ b/benchmarks/fleet/layout.py
@@ -1,4 +1,7 @@
-"""The installation that is measured: 7 regions, 19 zones with a controller each, one voter a region, and the network's delays. Pure."""
+"""Layout of the measured installation: 7 regions, 19 zones with one controller each, one voter per region.
+
+It also gives the network delays. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class Place(NamedTuple):
-    """Where a controller stands. Its name is that of its zone with a prefix."""
+    """Location of a controller, which is named after its zone."""
 
     zone: str
     region: str
@@ -23,7 +26,7 @@
 
 
 def places(zones_of_regions: tuple[int, ...] = ZONES_OF_REGIONS) -> list[Place]:
-    """All zones in the order of their regions; the first of a region has the voter."""
+    """Return all zones, ordered by region; the first zone of each region has the voter."""
     return [
         Place(zone=f"r{region + 1}{chr(ord('a') + zone)}", region=f"r{region + 1}", voter=zone == 0)
         for region, zones in enumerate(zones_of_regions)
@@ -32,7 +35,7 @@
 
 
 def delay_ms(one: Place, other: Place) -> float:
-    """The one-way delay of a message between two places."""
+    """Return the one-way delay of a message between two places, in milliseconds."""
     if one.zone == other.zone:
         return SAME_ZONE_MS
     return SAME_REGION_MS if one.region == other.region else ACROSS_MS
@@ -43,5 +46,5 @@
 
 
 def place_of_dispatcher(index: int, all_places: list[Place]) -> Place:
-    """Dispatchers are spread over the zones in turn."""
+    """Return the place of a dispatcher; dispatchers are assigned to the zones round-robin."""
     return all_places[index % len(all_places)]
--- a/benchmarks/fleet/oracle.py
+++ b/benchmarks/fleet/oracle.py
@@ -1,8 +1,8 @@
-"""What the fleet let through, judged from the outside. Pure: it sees decisions with the time of one clock and nothing else.
+"""Oracle that checks quotas from the recorded decisions and their times alone, without state of the fleet. No I/O.
 
-The clock is CLOCK_MONOTONIC, which all processes of one machine share. The bound is that of a leaky bucket: in any window of T seconds
-a team has at most depth + quota * T requests within its quota, where depth = requests_per_zone * zones + burst_s * quota + the stocks
-of reserves of zones that were cut off.
+Times are of CLOCK_MONOTONIC, which all processes of one machine share. The bound is that of a leaky bucket: in any
+window of T seconds a team has at most depth + quota * T requests within its quota, where
+depth = requests_per_zone * zones + burst_s * quota + the reserves held by partitioned zones.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Decision(NamedTuple):
-    """One request that a dispatcher let go on. `at`: seconds by the shared clock; `over`: it was called over its quota."""
+    """Decision on one request. `at`: seconds of the shared clock; `over`: whether it was marked over quota."""
 
     at: float
     team: int
@@ -26,14 +26,14 @@
 
 
 class RateChange(NamedTuple):
-    """From `at` on the rate of a team's quota is `rate`, in requests a second."""
+    """Change of a team's quota to `rate` requests per second at the time `at`."""
 
     at: float
     rate: float
 
 
 class Overshoot(NamedTuple):
-    """The most requests that came within quota in any window beyond quota * its length, and the depth that was allowed."""
+    """Maximum, over all windows, of the requests within quota beyond quota * length, and the depth allowed for it."""
 
     team: int
     requests: float
@@ -41,14 +41,14 @@
 
     @property
     def beyond(self) -> float:
-        """By how many requests the bound was broken; negative: what was left of it."""
+        """Requests beyond the bound; negative if the bound held."""
         return self.requests - self.depth
 
 
 def overshoot(times: Iterable[float], changes: Sequence[RateChange]) -> float:
-    """The largest value, over all windows, of the requests in it less the quota for its length (`times` ascending).
+    """Return the maximum, over all windows, of the requests in the window minus the quota for its length.
 
-    `changes`: ascending; the first one's rate also holds before it.
+    `times` and `changes` are ascending; the first rate also applies before its time.
     """
     level = worst = 0.0
     before: float | None = None
@@ -62,7 +62,7 @@
 
 
 def allowance(start: float, end: float, changes: Sequence[RateChange]) -> float:
-    """How many requests a quota allows from `start` to `end`, seconds, while its rate changes."""
+    """Return the requests that a quota with changing rate allows from `start` to `end`, in seconds."""
     total = 0.0
     for index, change in enumerate(changes):
         begins = start if index == 0 else max(start, change.at)
@@ -72,7 +72,7 @@
 
 
 def times_within(decisions: Iterable[Decision], teams: int) -> list[list[float]]:
-    """For each team the ascending times of its requests within quota."""
+    """Return for each team the ascending times of its requests within quota."""
     times: list[list[float]] = [[] for _ in range(teams)]
     for decision in decisions:
         if not decision.over:
@@ -85,7 +85,7 @@
 def worst_overshoot(
     times: Sequence[Sequence[float]], changes: Sequence[Sequence[RateChange]], depths: Sequence[float]
 ) -> Overshoot:
-    """The team that came nearest to its bound, or went furthest beyond it."""
+    """Return the overshoot of the team that exceeded its bound most or came closest to it."""
     found = [
         Overshoot(team, overshoot(column, changes[team]), depths[team]) for team, column in enumerate(times) if column
     ]
@@ -93,19 +93,22 @@
 
 
 def over_share(decisions: Sequence[Decision], start: float, end: float) -> float:
-    """The share of requests from `start` to `end` that were called over."""
+    """Return the share of requests from `start` to `end` that were marked over quota."""
     window = [decision for decision in decisions if start <= decision.at < end]
     return sum(decision.over for decision in window) / len(window) if window else 0.0
 
 
 def use(ordered: Sequence[float], start: float, end: float, quota: float) -> float:
-    """The share of `quota` (requests a second) that the ascending times of requests within it used from `start` to `end`."""
+    """Return the share of `quota` (requests per second) used from `start` to `end`.
+
+    `ordered`: ascending times of requests within quota.
+    """
     count = bisect_left(ordered, end) - bisect_left(ordered, start)
     return count / ((end - start) * quota)
 
 
 def worst_use(ordered: Sequence[float], start: float, end: float, quota: float) -> tuple[float, float]:
-    """The least and the greatest use of a window of WORST_WINDOW_S between `start` and `end`."""
+    """Return the lowest and the highest use in any window of WORST_WINDOW_S between `start` and `end`."""
     length = min(WORST_WINDOW_S, end - start)
     steps = int((end - start - length) / USE_STEP_S) + 1
     found = [use(ordered, start + n * USE_STEP_S, start + n * USE_STEP_S + length, quota) for n in range(steps)]
@@ -113,10 +116,10 @@
 
 
 def time_to_full_use(ordered: Sequence[float], fault: float, end: float, target: float) -> float | None:
-    """Seconds from `fault` to the first window of USE_WINDOW_S from which on FULL_USE of `target` requests a second is used.
+    """Return the seconds from `fault` until use recovers; None if it does not recover before `end`.
 
-    From which on: in that window, and in all the time from its start to `end` together. `ordered`: ascending times of requests within
-    quota. None: not reached before `end`.
+    Use has recovered at the start of the first window of USE_WINDOW_S in which at least FULL_USE of `target` requests
+    per second is used, if the average from there to `end` is as high. `ordered`: ascending times of requests within quota.
     """
     steps = int((end - fault - USE_WINDOW_S) / USE_STEP_S) + 1
     for step in range(steps):
@@ -128,7 +131,10 @@
 
 
 def time_to_use_at_most(ordered: Sequence[float], change: float, end: float, target: float) -> float | None:
-    """Seconds from `change` to the first window of USE_WINDOW_S from which on at most `target` requests a second are used."""
+    """Return the seconds from `change` until at most `target` requests per second are used; None if not before `end`.
+
+    This is the first window of USE_WINDOW_S in which, and from whose start to `end`, use is no higher than that.
+    """
     steps = int((end - change - USE_WINDOW_S) / USE_STEP_S) + 1
     for step in range(steps):
         start = change + step * USE_STEP_S
@@ -138,7 +144,7 @@
 
 
 def least_use(ordered: Sequence[float], start: float, end: float, quota: float) -> float:
-    """The least use of a window of USE_WINDOW_S between `start` and `end`; 0.0 where none fits."""
+    """Return the lowest use in any window of USE_WINDOW_S between `start` and `end`; 0.0 if none fits."""
     steps = int((end - start - USE_WINDOW_S) / USE_STEP_S) + 1
     starts = (start + step * USE_STEP_S for step in range(steps))
     return min((use(ordered, begin, begin + USE_WINDOW_S, quota) for begin in starts), default=0.0)
--- a/benchmarks/fleet/page.py
+++ b/benchmarks/fleet/page.py
@@ -1,4 +1,4 @@
-"""The results as a page in Markdown. No I/O."""
+"""Formats the results as a Markdown page. No I/O."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def page(document: Document) -> str:
-    """The whole page."""
+    """Return the whole page."""
     main = [result for result in document.results if result.topology == "zone"]
     sizes = sorted({result.dispatchers for result in main})
     parts = [HEAD]
@@ -50,7 +50,7 @@
 
 
 def table(head: list[str], rows: list[list[str]], texts: int = 1) -> str:
-    """`texts`: so many columns at the left are text, the others numbers."""
+    """Format a Markdown table. The first `texts` columns are text, the others are right-aligned numbers."""
     rule = ["---"] * texts + ["---:"] * (len(head) - texts)
     return "".join(f"| {' | '.join(row)} |\n" for row in [head, rule, *rows])
 
@@ -125,7 +125,7 @@
 
 
 def topology_results(results: list[Result]) -> list[Result]:
-    """Those of the other topology, each after the one of the same scenario and size that it is held against."""
+    """Return the results of other topologies, each preceded by the zone result that it is compared with."""
     compared = []
     for other in results:
         if other.topology == "zone":
--- a/benchmarks/fleet/relay.py
+++ b/benchmarks/fleet/relay.py
@@ -1,9 +1,9 @@
-"""A relay process: every connection between two processes of the fleet goes through one, and it breaks them by script and seed.
+"""A relay process for the connections between processes of the fleet, which injects faults by script and seed.
 
-It speaks the framing of the fleet (a 4-byte big-endian length, then the message) and knows nothing of what is in a message. Started by
-`benchmarks.fleet.processes` with its links on standard input as one line of JSON; answers with one line, the port of each link. Then it
-reads a line with the epoch (seconds of CLOCK_MONOTONIC from which the times of the script count), and at the end of its input it
-prints its counts and ends, so that it never outlives who started it.
+It parses the framing of the fleet (a 4-byte big-endian length, then the message), but not the messages. The benchmark
+writes a `Script` to its standard input as one line of JSON, and the relay answers with one line, the port of each link.
+Then it reads a line with the epoch: the CLOCK_MONOTONIC time, in seconds, at which script time 0 falls. When its input
+is closed it prints its counts and exits, so that it never outlives its parent process.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Link(msgspec.Struct, frozen=True):
-    """One way to a controller. `role`: of who connects; `source` and `target`: the zones of both ends."""
+    """A path to one controller. `role`: that of the connecting process; `source` and `target`: zones of both ends."""
 
     role: str
     source: str
@@ -32,7 +32,7 @@
 
 
 class Cut(msgspec.Struct, frozen=True):
-    """From `start` to `end`, seconds of the script, nothing passes between inside and outside of `places` (zones)."""
+    """Partition between the zones in `places` and all others, from script time `start` to `end`, in seconds."""
 
     start: float
     end: float
@@ -40,7 +40,7 @@
 
 
 class Noise(msgspec.Struct, frozen=True):
-    """Chances for each frame: to be sent twice, to be late (up to late_ms), and that its connection is dropped instead."""
+    """Probabilities per frame: sent twice, delayed by up to `late_ms`, or its connection dropped."""
 
     twice: float = 0.0
     late: float = 0.0
@@ -49,7 +49,7 @@
 
 
 class Script(msgspec.Struct, frozen=True):
-    """What one relay process is told at its start. `marks`: when counts are taken, seconds of the script."""
+    """Configuration of one relay process. `marks`: script times, in seconds, at which counts are recorded."""
 
     seed: str
     links: tuple[Link, ...]
@@ -59,7 +59,7 @@
 
 
 class Count(msgspec.Struct):
-    """What one link has carried: frames and bytes towards the controller (up) and back (down)."""
+    """Traffic of one link: frames and bytes towards the controller (up) and back (down)."""
 
     role: str
     source: str
@@ -75,14 +75,14 @@
 
 
 class Snapshot(msgspec.Struct):
-    """The counts of all links at a mark."""
+    """The counts of all links at script time `at`."""
 
     at: float
     counts: list[Count]
 
 
 class Relay:
-    """The links of one process, and the time of the script."""
+    """The links of one relay process, and the script time."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -90,7 +90,7 @@
         self.epoch: float | None = None
         self.counts = [Count(link.role, link.source, link.target) for link in script.links]
         self.snapshots: list[Snapshot] = []
-        self.ways: set[Way] = set()
+        self.connections: set[RelayedConnection] = set()
 
     def script_time(self) -> float:
         return -1.0 if self.epoch is None else time.monotonic() - self.epoch
@@ -103,7 +103,9 @@
         loop = asyncio.get_running_loop()
         ports = []
         for link, count in zip(self.script.links, self.counts, strict=False):
-            server = await loop.create_server(lambda link=link, count=count: Inner(self, link, count), "127.0.0.1", 0)
+            server = await loop.create_server(
+                lambda link=link, count=count: ClientSide(self, link, count), "127.0.0.1", 0
+            )
             ports.append(server.sockets[0].getsockname()[1])
         return ports
 
@@ -119,29 +121,29 @@
         self.snapshots.append(Snapshot(mark, [msgspec.structs.replace(count) for count in self.counts]))
 
     def heal(self, cut: Cut) -> None:
-        """What lay in buffers is delivered late on one half of the connections; the other half is reset."""
-        for way in list(self.ways):
-            if not crosses(cut, way.link):
+        """End a partition: at random deliver the buffered frames of a connection late, or reset the connection."""
+        for connection in list(self.connections):
+            if not crosses(cut, connection.link):
                 continue
             if self.random.random() < 0.5:
-                way.close()
+                connection.close()
             else:
-                way.flush()
+                connection.flush()
 
 
 def crosses(cut: Cut, link: Link) -> bool:
     return (link.source in cut.places) != (link.target in cut.places)
 
 
-class Way:
-    """One connection through the relay: both sides of it, and a queue of frames for each direction."""
+class RelayedConnection:
+    """One connection through the relay, with a queue of frames for each direction."""
 
     def __init__(self, relay: Relay, link: Link, count: Count) -> None:
         self.relay, self.link, self.count = relay, link, count
         self.up = Direction(self)
         self.down = Direction(self)
         self.closed = False
-        relay.ways.add(self)
+        relay.connections.add(self)
 
     def flush(self) -> None:
         self.up.send_due()
@@ -151,17 +153,17 @@
         if self.closed:
             return
         self.closed = True
-        self.relay.ways.discard(self)
+        self.relay.connections.discard(self)
         for direction in (self.up, self.down):
             if direction.transport is not None:
                 direction.transport.abort()
 
 
 class Direction:
-    """Frames on their way to `transport`, in order, each with the time when it is due."""
+    """Queue of frames to be sent on `transport`, in order, each with the time at which it is due."""
 
-    def __init__(self, way: Way) -> None:
-        self.way = way
+    def __init__(self, connection: RelayedConnection) -> None:
+        self.connection = connection
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.queue: deque[tuple[float, bytes]] = deque()
@@ -170,7 +172,7 @@
         self.frames = 0
 
     def take(self, data: bytes) -> int:
-        """Cut `data` into frames and queue them; the number of whole frames."""
+        """Split `data` into frames and queue them; return the number of complete frames."""
         self.buffer += data
         taken = 0
         while len(self.buffer) >= HEADER:
@@ -185,26 +187,26 @@
         return taken
 
     def put(self, frame: bytes) -> None:
-        relay, count = self.way.relay, self.way.count
+        relay, count = self.connection.relay, self.connection.count
         noise, random = relay.script.noise, relay.random
         self.frames += 1
-        due = time.monotonic() + self.way.link.delay_ms / 1000
+        due = time.monotonic() + self.connection.link.delay_ms / 1000
         if noise.late and random.random() < noise.late:
             count.delayed += 1
             due += random.random() * noise.late_ms / 1000
         self.last_due = max(self.last_due, due)
         self.queue.append((self.last_due, frame))
         if self.frames == 1:
-            return  # the first frame says who speaks
+            return  # the first frame identifies the sender, so it is neither duplicated nor dropped
         if noise.twice and random.random() < noise.twice:
             count.doubled += 1
             self.queue.append((self.last_due, frame))
         if noise.dropped and random.random() < noise.dropped:
             count.dropped += 1
-            asyncio.get_running_loop().call_soon(self.way.close)
+            asyncio.get_running_loop().call_soon(self.connection.close)
 
     def send_due(self) -> None:
-        if self.transport is None or self.way.closed or self.way.relay.is_cut(self.way.link):
+        if self.transport is None or self.connection.closed or self.connection.relay.is_cut(self.connection.link):
             return
         now = time.monotonic()
         ready = []
@@ -221,59 +223,61 @@
         self.send_due()
 
 
-class Inner(asyncio.Protocol):
-    """The side of who connected."""
+class ClientSide(asyncio.Protocol):
+    """The side of the connecting process."""
 
     def __init__(self, relay: Relay, link: Link, count: Count) -> None:
-        self.way = Way(relay, link, count)
+        self.connection = RelayedConnection(relay, link, count)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.way.down.transport = transport  # type: ignore[assignment]
-        self.way.count.connections += 1
+        self.connection.down.transport = transport  # type: ignore[assignment]
+        self.connection.count.connections += 1
         self.connecting = asyncio.ensure_future(self.connect())
 
     async def connect(self) -> None:
-        way = self.way
+        connection = self.connection
         loop = asyncio.get_running_loop()
-        if way.relay.is_cut(way.link):
+        if connection.relay.is_cut(connection.link):
             await asyncio.sleep(CONNECT_TIMEOUT_S)
-            way.close()
+            connection.close()
             return
         try:
-            connecting = loop.create_connection(lambda: Outer(way), way.link.host, way.link.port)
+            connecting = loop.create_connection(
+                lambda: ControllerSide(connection), connection.link.host, connection.link.port
+            )
             await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S)
         except (TimeoutError, OSError):
-            way.close()
+            connection.close()
 
     def data_received(self, data: bytes) -> None:
-        count = self.way.count
+        count = self.connection.count
         count.up_bytes += len(data)
-        count.up_frames += self.way.up.take(data)
+        count.up_frames += self.connection.up.take(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.way.close()
+        self.connection.close()
 
 
-class Outer(asyncio.Protocol):
+class ControllerSide(asyncio.Protocol):
     """The side of the controller."""
 
-    def __init__(self, way: Way) -> None:
-        self.way = way
+    def __init__(self, connection: RelayedConnection) -> None:
+        self.connection = connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        if self.way.closed:
+        if self.connection.closed:
             transport.abort()  # type: ignore[attr-defined]
             return
-        self.way.up.transport = transport  # type: ignore[assignment]
-        self.way.up.send_due()
+        self.connection.up.transport = transport  # type: ignore[assignment]
+        self.connection.up.send_due()
 
     def data_received(self, data: bytes) -> None:
-        count = self.way.count
+        count = self.connection.count
         count.down_bytes += len(data)
-        count.down_frames += self.way.down.take(data)
+        count.down_frames += self.connection.down.take(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.way.close()
+        self.connection.close()
 
 
 async def run() -> None:
--- a/benchmarks/fleet/report.py
+++ b/benchmarks/fleet/report.py
@@ -1,4 +1,4 @@
-"""The pages' tables, made of results. No I/O."""
+"""Formats a result for the terminal. No I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def lines_of(result: Result) -> str:
-    """A result for a terminal."""
+    """Return the lines that summarize a result."""
     lines = [
         f"{result.scenario}: {result.what}; {result.dispatchers} dispatchers, seed {result.seed}, topology {result.topology}",
         f"  {result.requests} requests in {result.seconds:.0f} s ({result.offered:.1%} of the quotas), {result.undecided} undecided",
-        f"  called over {result.over_share:.2%} (large teams {result.over_share_large:.2%}, small {result.over_share_small:.2%})",
+        f"  marked over quota {result.over_share:.2%} (large teams {result.over_share_large:.2%}, small {result.over_share_small:.2%})",
         f"  used {result.use_share:.2%} of the quotas, windows of 10 s {result.use_window_least:.1%} to {result.use_window_most:.1%}",
         f"  worst overshoot {result.overshoot:.1f} requests ({result.overshoot_team}), bound {result.bound:.1f}: {'BROKEN' if result.bound_broken else 'held'}",
         f"  wait ms: median {result.wait_ms_median:.2f}, p99 {result.wait_ms_p99:.1f}, most {result.wait_ms_most:.0f}; latest arrival {result.late_arrival_ms:.0f} ms",
--- a/benchmarks/fleet/results.py
+++ b/benchmarks/fleet/results.py
@@ -1,4 +1,4 @@
-"""What a run found, as typed records that are stored as JSON."""
+"""Results of a run as typed records that are stored as JSON."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class Cost(msgspec.Struct):
-    """Of one process kind over the measured time. Shares are of one core; bytes and messages are a second, in + out."""
+    """Cost of one kind of process over the measured time.
+
+    CPU shares are of one core; bytes and messages are per second, in and out.
+    """
 
     cpu_share: float
     cpu_share_most: float
@@ -17,7 +20,7 @@
 
 
 class Recovery(msgspec.Struct):
-    """`of`: which teams; `seconds`: from `since` to full use again, None where the run ended before."""
+    """Recovery from a fault. `of`: the teams; `seconds`: from `since` to full use, None if the run ended before."""
 
     of: str
     since: str
@@ -27,7 +30,7 @@
 
 
 class Result(msgspec.Struct):
-    """One run of one scenario. Shares are of 1; times are seconds."""
+    """Result of one run of one scenario. Shares are fractions of 1; times are in seconds unless named otherwise."""
 
     scenario: str
     what: str
@@ -65,7 +68,7 @@
 
 
 class Aim(msgspec.Struct):
-    """A figure to reach. `reached`: None where it was not measured."""
+    """A target and the measured figure. `reached`: None if it was not measured."""
 
     name: str
     aim: str
@@ -74,6 +77,6 @@
 
 
 class Document(msgspec.Struct):
-    """docs/results/fleet.json: the last result of each scenario, number of dispatchers and topology."""
+    """Content of docs/results/fleet.json: the last result per scenario, number of dispatchers and topology."""
 
     results: list[Result]
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run of one scenario: bring up, warm up, break what the scenario says, measure, judge, end."""
+"""Runs one scenario: starts the installation, warms up, injects the fault, measures and evaluates."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Run:
-    """One run. After `play`, `outcome` holds what was seen."""
+    """One run of one scenario. `play` returns its observations."""
 
     def __init__(self, scenario: Scenario, dispatchers: int, seed: int, topology: str, folder: Path) -> None:
         self.scenario, self.dispatchers, self.seed, self.topology = scenario, dispatchers, seed, topology
@@ -106,7 +106,9 @@
             for mark in self.installation.plan.marks:
                 await self.installation.until(mark)
                 self.controller_marks.append(self.installation.usages())
-            await self.installation.until(self.end_s + 0.5)  # the marks of the others are taken too
+            await self.installation.until(
+                self.end_s + 0.5
+            )  # until then the other processes have recorded their last mark
         finally:
             for task in tasks:
                 task.cancel()
@@ -121,11 +123,11 @@
             await asyncio.sleep(1.0)
 
     async def fill(self) -> None:
-        """The end of the time in which stocks are filled."""
+        """Set the actual quotas at the end of the time in which buckets and leases are filled."""
         await self.installation.until(min(FILLING_S, self.scenario.warm_s / 2))
         await self.change_quotas(self.quotas)
 
-    # Faults that the harness makes itself; relays and hollow dispatchers play their own.
+    # Faults injected here; relays and hollow dispatchers inject the others.
 
     async def fault(self) -> None:
         fault = self.scenario.fault
@@ -150,7 +152,7 @@
 
     @property
     def first_owner(self) -> str:
-        """Who owns the shard of the team with the largest quota."""
+        """The owner of the shard of the team with the largest quota."""
         return self.owners[shard_of(0)]
 
     @property
@@ -165,31 +167,31 @@
             self.installation.signal(name, signal.SIGHUP)
 
     async def restart_all(self, fault: RollingRestart) -> None:
-        """One at a time: a voter, then others while that one doesn't vote yet, then the next voter."""
+        """Restart the controllers one at a time: a voter, then non-voters until it votes again, then the next voter."""
         voters = [place for place in self.places if place.voter]
         others = [place for place in self.places if not place.voter]
-        took: list[float] = []
+        shutdown_times: list[float] = []
         for voter in voters:
-            took.append(await self.restart(voter))
-            votes_again = time.monotonic() + fault.voter_pause_s
-            while others and time.monotonic() + fault.pause_s < votes_again:
-                took.append(await self.restart(others.pop()))
+            shutdown_times.append(await self.restart(voter))
+            votes_again_at = time.monotonic() + fault.voter_pause_s
+            while others and time.monotonic() + fault.pause_s < votes_again_at:
+                shutdown_times.append(await self.restart(others.pop()))
                 await asyncio.sleep(fault.pause_s)
-            await asyncio.sleep(max(0.0, votes_again - time.monotonic()))
+            await asyncio.sleep(max(0.0, votes_again_at - time.monotonic()))
         for place in others:
-            took.append(await self.restart(place))
+            shutdown_times.append(await self.restart(place))
             await asyncio.sleep(fault.pause_s)
-        whole = time.monotonic() - self.installation.epoch - self.scenario.warm_s - fault.at
+        total = time.monotonic() - self.installation.epoch - self.scenario.warm_s - fault.at
         self.notes.append(
-            f"{len(took)} controllers restarted in {whole:.1f} s; the slowest took {max(took):.1f} s to end"
+            f"{len(shutdown_times)} controllers restarted in {total:.1f} s; the slowest took {max(shutdown_times):.1f} s to end"
         )
 
     async def restart(self, place: layout.Place) -> float:
-        """One controller ends and starts again; the seconds that it took to end."""
-        began = time.monotonic()
+        """Restart one controller gracefully; return the seconds that its shutdown took."""
+        started = time.monotonic()
         self.installation.signal(place.controller, signal.SIGTERM)
         await self.installation.controllers[place.controller].wait()
-        took = time.monotonic() - began
+        took = time.monotonic() - started
         await self.installation.start_controller(place)
         await self.installation.wait_for_listening(place, starts=2)
         return took
@@ -219,7 +221,7 @@
 
 
 def play(scenario: Scenario, dispatchers: int, seed: int, topology: str = hollow.OWN_ZONE, keep: str = "") -> Result:
-    """Run one scenario and judge it. `keep`: a folder for logs and records; without it they are thrown away."""
+    """Run one scenario and evaluate it. `keep`: folder for logs and records; if empty they are deleted."""
     with tempfile.TemporaryDirectory(prefix="fleet-") as temporary:
         folder = Path(keep or temporary)
         folder.mkdir(parents=True, exist_ok=True)
@@ -230,6 +232,6 @@
 
 
 def present_commit() -> str:
-    """Of the working tree, shortened; empty where there is none."""
+    """Return the short commit hash of the working tree; empty outside of a repository."""
     found = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=children.ROOT, capture_output=True, text=True)
     return found.stdout.strip()
--- a/benchmarks/fleet/scenarios.py
+++ b/benchmarks/fleet/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios: how much traffic, where, and what breaks when. Pure data; all times are seconds after the warm-up."""
+"""Scenarios of the load benchmark: traffic and faults. Times of faults are in seconds after the warm-up."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class KillOwner(NamedTuple):
-    """The owner of the shard with the largest quotas is killed and does not come back."""
+    """Kill the owner of the shard of the largest quota, without a restart."""
 
     at: float
 
 
 class StopOwner(NamedTuple):
-    """That owner is stopped (SIGSTOP) for longer than its lease, then goes on (SIGCONT)."""
+    """Pause the owner of the shard of the largest quota (SIGSTOP) beyond its lease, then resume it (SIGCONT)."""
 
     at: float
     seconds: float
 
 
 class CutRegion(NamedTuple):
-    """Nothing passes between a region and the others; what lay in buffers then comes late, or its connection is reset."""
+    """Partition a region from the others. At the end, buffered frames are delivered late or connections are reset."""
 
     at: float
     seconds: float
@@ -30,7 +30,7 @@
 
 
 class RestartDispatchers(NamedTuple):
-    """A share of the dispatchers is killed at once and starts again."""
+    """Kill a share of the dispatchers at once and restart them after `pause_s`."""
 
     at: float
     share: float
@@ -38,15 +38,18 @@
 
 
 class LoseZone(NamedTuple):
-    """A zone's controller and dispatchers are killed and do not come back."""
+    """Kill a zone's controller and dispatchers, without a restart."""
 
     at: float
     zone: str
 
 
 class RollingRestart(NamedTuple):
-    """Each controller in turn gets SIGTERM, ends, and starts again. The next voter follows `voter_pause_s` after one is back, when that one
-    votes again; the others come in between, `pause_s` apart."""
+    """Restart the controllers one after another with SIGTERM.
+
+    The next voter follows `voter_pause_s` after the previous voter's restart, when that one votes again. The other
+    controllers are restarted in between, `pause_s` apart.
+    """
 
     at: float
     pause_s: float
@@ -54,7 +57,7 @@
 
 
 class ChangeQuotas(NamedTuple):
-    """The quotas of the first `teams` teams are multiplied by `factor` (SIGHUP to all controllers), and `seconds` later restored."""
+    """Multiply the quotas of the first `teams` teams by `factor` (SIGHUP to controllers); restore them after `seconds`."""
 
     at: float
     seconds: float
@@ -63,18 +66,19 @@
 
 
 FILLING_S = 10.0
-REQUESTS_PER_ZONE = 2  # the fleet's defaults: a bucket's depth is so many for each zone,
-BURST_S = 2.0  # and so many seconds of the quota
+REQUESTS_PER_ZONE = 2  # the fleet's default: requests per zone in a bucket's depth
+BURST_S = 2.0  # the fleet's default: seconds of the quota in a bucket's depth
 COLD = "cold"
 
 Fault = KillOwner | StopOwner | CutRegion | RestartDispatchers | LoseZone | RollingRestart | ChangeQuotas
 
 
 class Scenario(NamedTuple):
-    """`load`: traffic as a multiple of the quotas; `share`: of the dispatchers, that get all the traffic.
+    """One scenario. `load`: traffic as a multiple of the quotas; `share`: share of dispatchers that get all traffic.
 
-    A run starts with the stocks of the long run, since a team of 0.13 requests a second would need minutes to come to them: in the first
-    FILLING_S of the warm-up its quotas are higher (`filling_quotas`). Nothing of that time is judged.
+    Quotas are raised in the first FILLING_S of the warm-up (`filling_quotas`), so that the run starts with the bucket
+    levels and leases of a long run: a team with 0.13 requests per second would need minutes to reach them. That time
+    is not evaluated.
     """
 
     name: str
@@ -87,8 +91,11 @@
     seconds: float = 40.0
 
     def filling_quotas(self, quotas: Sequence[float], zones: int) -> list[float]:
-        """What the quotas are until FILLING_S. Below the quota buckets are full in the long run; at twice the quota they are empty,
-        and the zone controllers hold about half a request each (more is let through while they are being filled)."""
+        """Return the quotas that apply until FILLING_S.
+
+        In a long run, buckets are full at a load below the quota. At twice the quota they are empty and the zone
+        controllers hold about half a request each (more requests are admitted while they are being filled).
+        """
         if self.name == COLD:
             return list(quotas)
         if self.load < 1:
--- a/benchmarks/fleet/slopes.py
+++ b/benchmarks/fleet/slopes.py
@@ -1,4 +1,4 @@
-"""How the costs of a controller and of a dispatcher grow with the number of dispatchers: short runs at four sizes, and a straight line.
+"""Fits the costs of controllers and dispatchers to lines over the number of dispatchers, by runs at four sizes.
 
 python -m benchmarks.fleet.slopes [--json FILE] [--sizes 50,100,200,400] [--seconds 20] [--seed 1]
 """
@@ -19,7 +19,7 @@
 
 
 class Point(msgspec.Struct):
-    """One size. Traffic is half of all quotas at each of them, so that only the number of dispatchers changes."""
+    """Costs at one number of dispatchers. Traffic is half of all quotas at every size, so that nothing else changes."""
 
     dispatchers: int
     controller: Cost
@@ -28,7 +28,7 @@
 
 
 class Line(msgspec.Struct):
-    """figure = base + slope * dispatchers, by least squares; `furthest`: of a point from it, in the figure's unit."""
+    """Least-squares line figure = base + slope * dispatchers. `furthest`: maximum distance of a point, in `unit`."""
 
     figure: str
     unit: str
@@ -38,7 +38,7 @@
 
 
 class Slopes(msgspec.Struct):
-    """docs/results/fleet_slopes.json."""
+    """Content of docs/results/fleet_slopes.json."""
 
     command: str
     scenario: str
@@ -62,7 +62,7 @@
 
 
 def line(figure: str, unit: str, points: list[tuple[float, float]]) -> Line:
-    """The straight line through points (x, y) with the least squares."""
+    """Fit a line to points (x, y) by least squares."""
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum((x - mean_x) ** 2 for x, _ in points)
@@ -82,7 +82,7 @@
     parser.add_argument("--sizes", default="50,100,200,400")
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--add", action="store_true", help="keep the points of other sizes that the file has")
+    parser.add_argument("--add", action="store_true", help="keep the points of other sizes stored in the file")
     options = parser.parse_args()
     scenario = BY_NAME["half"]._replace(warm_s=WARM_S, seconds=options.seconds)
     points: list[Point] = []
