--- a/tests/fleet/test_load_relay.py
+++ b/tests/fleet/test_load_relay.py
@@ -35,10 +35,10 @@
         link = relay.Link("dispatcher", "a", "b", "127.0.0.1", port, self.delay_ms)
         self.process = await self.children.start(["-m", "benchmarks.fleet.relay"], self.folder / "relay.log")
         script = relay.Script(self.seed, (link,), self.cuts, self.noise, marks=(0.0,))
-        await children.tell(self.process, msgspec.json.encode(script).decode())
-        self.port = msgspec.json.decode(await children.hear(self.process, TIMEOUT_S))[0]
+        await children.send_line(self.process, msgspec.json.encode(script).decode())
+        self.port = msgspec.json.decode(await children.read_line(self.process, TIMEOUT_S))[0]
         self.epoch = time.monotonic()
-        await children.tell(self.process, repr(self.epoch))
+        await children.send_line(self.process, repr(self.epoch))
         return self
 
     async def __aexit__(self, *error):
