--- a/benchmarks/fleet/hollow.py
+++ b/benchmarks/fleet/hollow.py
@@ -158,13 +158,13 @@
         self.waiting[number] = (team, now)
         leases = self.leases.for_team(team)
         self.execute(leases.request(now, number, self.process.teams[team]))
-        self.wake_for(leases)
+        self.schedule_wakeup(leases)
 
     def received(self, sender: Peer, message: Message) -> None:
         if not self.closed:
             leases = self.leases.for_peer(sender.name)
             self.execute(leases.receive(now_us(), sender, message))
-            self.wake_for(leases)
+            self.schedule_wakeup(leases)
 
     def lost(self, name: str) -> None:
         if not self.closed:
@@ -176,9 +176,9 @@
         asyncio.get_running_loop().call_later(self.tick_s, self.tick)
         for leases in self.leases.by_controller.values():
             self.execute(leases.tick(now_us()))
-            self.wake_for(leases)
+            self.schedule_wakeup(leases)
 
-    def wake_for(self, leases: DispatcherLeases) -> None:
+    def schedule_wakeup(self, leases: DispatcherLeases) -> None:
         when = leases.next_wakeup()
         if when is not None:
             wait = max(0, when - now_us()) / 1_000_000
@@ -198,9 +198,9 @@
                 self.decided(action)
 
     def decided(self, action: QuotaDecision) -> None:
-        team, asked = self.waiting.pop(action.request)
+        team, requested_at = self.waiting.pop(action.request)
         now = now_us()
-        self.process.record(now / 1_000_000, team, self.member.index, action.over_quota, now - asked)
+        self.process.record(now / 1_000_000, team, self.member.index, action.over_quota, now - requested_at)
 
     def close(self) -> None:
         """Close the connections without returning leases, as a killed process does."""
@@ -220,7 +220,7 @@
         self.lost = 0
         self.latest_s = 0.0
         self.marks: list[Mark] = []
-        self.ended_traffic = Traffic()
+        self.traffic_of_killed = Traffic()
         self.resident_before = resident_bytes()
         self.dispatchers = {member.index: HollowDispatcher(self, member, 1) for member in orders.members}
         self.members = {member.index: member for member in orders.members}
@@ -239,10 +239,10 @@
         for mark in self.orders.marks:
             loop.call_at(epoch + mark, self.take_mark, mark)
         for restart in self.orders.restarts:
-            mine = [index for index in restart.dispatchers if index in self.members]
-            loop.call_at(epoch + restart.at, self.end_some, mine)
+            local = [index for index in restart.dispatchers if index in self.members]
+            loop.call_at(epoch + restart.at, self.kill_dispatchers, local)
             if restart.pause_s is not None:
-                loop.call_at(epoch + restart.at + restart.pause_s, self.start_some, mine)
+                loop.call_at(epoch + restart.at + restart.pause_s, self.restart_dispatchers, local)
 
     def next_arrival(self, index: int, source: Iterator[traffic.Arrival]) -> None:
         arrival = next(source)
@@ -257,22 +257,22 @@
             self.number += 1
             dispatcher.request(self.number, arrival.team)
 
-    def end_some(self, indices: list[int]) -> None:
+    def kill_dispatchers(self, indices: list[int]) -> None:
         for index in indices:
             dispatcher = self.dispatchers.pop(index, None)
             if dispatcher is not None:
                 dispatcher.close()
                 self.lost += len(dispatcher.waiting)
-                self.ended_traffic.add(dispatcher.connections.traffic())
+                self.traffic_of_killed.add(dispatcher.connections.traffic())
 
-    def start_some(self, indices: list[int]) -> None:
+    def restart_dispatchers(self, indices: list[int]) -> None:
         for index in indices:
             self.incarnations[index] += 1
             self.dispatchers[index] = HollowDispatcher(self, self.members[index], self.incarnations[index])
 
     def take_mark(self, at: float) -> None:
         total = Traffic()
-        total.add(self.ended_traffic)
+        total.add(self.traffic_of_killed)
         for dispatcher in self.dispatchers.values():
             total.add(dispatcher.connections.traffic())
         self.marks.append(Mark(at, time.process_time(), resident_bytes(), total, self.figures()))
@@ -295,15 +295,15 @@
 
 async def run() -> None:
     loop = asyncio.get_running_loop()
-    lines = asyncio.StreamReader(limit=1 << 24)
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    process = HollowProcess(msgspec.json.decode(await lines.readline(), type=Orders))
+    stdin = asyncio.StreamReader(limit=1 << 24)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(stdin), sys.stdin)
+    process = HollowProcess(msgspec.json.decode(await stdin.readline(), type=Orders))
     gc.freeze()
     print("ready", flush=True)
-    epoch = await lines.readline()
+    epoch = await stdin.readline()
     if epoch:
         process.begin(float(epoch))
-        await lines.read()
+        await stdin.read()
     print(msgspec.json.encode(process.report()).decode(), flush=True)
 
 
--- a/benchmarks/fleet/in_memory.py
+++ b/benchmarks/fleet/in_memory.py
@@ -24,7 +24,7 @@
 from . import layout, oracle, scenarios, traffic
 
 SECOND = 1_000_000
-TICK = 50_000
+TICK_US = 50_000
 ELECTION_S = 6.0  # time after a start until the shards have owners
 
 
@@ -51,7 +51,7 @@
             action()
         self.now = until
 
-    def join(self, name: str, place: layout.Place, rules: Any) -> None:
+    def add(self, name: str, place: layout.Place, rules: Any) -> None:
         self.peers[name] = Peer(name, 1)
         self.place[name] = place
         self.rules[name] = rules
@@ -76,7 +76,7 @@
     def tick(self, name: str) -> None:
         if name not in self.dead:
             self.execute(name, self.rules[name].tick(self.now))
-            self.at(self.now + TICK, lambda: self.tick(name))
+            self.at(self.now + TICK_US, lambda: self.tick(name))
 
     def kill(self, name: str) -> None:
         self.dead.add(name)
@@ -91,7 +91,7 @@
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
         self.network = Network()
-        self.network.decided = self.note
+        self.network.decided = self.record_decision
         self.places = layout.places()
         self.quotas = traffic.quotas()
         self.names = traffic.team_names()
@@ -100,7 +100,7 @@
         self.numbers = count()
         self.decisions: list[oracle.Decision] = []
         self.waits: list[int] = []
-        self.asked: dict[tuple[str, int], int] = {}
+        self.request_times: dict[tuple[str, int], int] = {}
 
     def controllers(self) -> list[Controller]:
         return [
@@ -108,31 +108,31 @@
             for index, place in enumerate(self.places)
         ]
 
-    def note(self, name: str, decided: QuotaDecision) -> None:
+    def record_decision(self, name: str, decided: QuotaDecision) -> None:
         team = self.requests.pop((name, decided.request))
-        self.waits.append(self.network.now - self.asked.pop((name, decided.request)))
+        self.waits.append(self.network.now - self.request_times.pop((name, decided.request)))
         self.decisions.append(oracle.Decision(self.network.now / SECOND, team, decided.over_quota))
 
     def start(self) -> None:
         network, options = self.network, self.options
-        everybody = dict(zip(self.names, self.first_quotas(), strict=False))
+        quotas_by_team = dict(zip(self.names, self.initial_quotas(), strict=False))
         for index, place in enumerate(self.places):
             random = Random(f"{options.seed} {place.zone}")
             rules = ControllerRules(self.settings, place.controller, 1, network.now, random)
-            rules.set_quotas(network.now, everybody)
-            network.join(place.controller, place, rules)
+            rules.set_quotas(network.now, quotas_by_team)
+            network.add(place.controller, place, rules)
             network.at(network.now + index * 2600, lambda name=place.controller: network.tick(name))
         for index in range(options.dispatchers):
             place, name = layout.place_of_dispatcher(index, self.places), layout.dispatcher_name(index)
             random = Random(f"{options.seed} {name}")
-            network.join(name, place, DispatcherLeases(self.settings, name, place.zone, 1, network.now, random))
+            network.add(name, place, DispatcherLeases(self.settings, name, place.zone, 1, network.now, random))
             network.at(network.now + index * 251, lambda name=name: network.tick(name))
         busy = traffic.busy_dispatchers(options.dispatchers, options.share, options.seed)
         rate = sum(self.quotas) * options.load / len(busy)
         for index in busy:
             self.next_arrival(index, traffic.arrivals(self.quotas, rate, options.seed, index), network.now)
 
-    def first_quotas(self) -> list[float]:
+    def initial_quotas(self) -> list[float]:
         """Return the initial quotas.
 
         With `--filled` they are raised for FILLING_S, so that the run starts with the bucket levels of a long run.
@@ -148,22 +148,22 @@
             rules = self.network.rules[place.controller]
             rules.set_quotas(self.network.now, dict(zip(self.names, self.quotas, strict=False)))
 
-    def next_arrival(self, index: int, source: Any, began: int) -> None:
+    def next_arrival(self, index: int, source: Any, started: int) -> None:
         arrival = next(source)
         name = layout.dispatcher_name(index)
 
         def arrive() -> None:
-            self.next_arrival(index, source, began)
+            self.next_arrival(index, source, started)
             number = next(self.numbers)
             self.requests[name, number] = arrival.team
-            self.asked[name, number] = self.network.now
+            self.request_times[name, number] = self.network.now
             rules = self.network.rules[name]
             self.network.execute(name, rules.request(self.network.now, number, self.names[arrival.team]))
-            self.wake(name)
+            self.schedule_wakeup(name)
 
-        self.network.at(began + int(arrival.at * SECOND), arrive)
+        self.network.at(started + int(arrival.at * SECOND), arrive)
 
-    def wake(self, name: str) -> None:
+    def schedule_wakeup(self, name: str) -> None:
         rules = self.network.rules[name]
         when = rules.next_wakeup()
         if when is not None:
@@ -184,10 +184,10 @@
         f"called over {oracle.over_share(decisions, start, end):.2%}, used {oracle.use(ordered, start, end, sum(quotas)):.2%} of all quotas (10 s windows {least:.1%} to {most:.1%})"
     )
     for low, high in ((0, 10), (10, 66), (66, 510)):
-        some = [d for d in decisions if low <= d.team < high]
+        group = [d for d in decisions if low <= d.team < high]
         used = sorted(at for column in times[low:high] for at in column)
         print(
-            f"  teams {low}..{high - 1}, {quotas[low]} to {quotas[high - 1]} /s: over {oracle.over_share(some, start, end):.2%}, used {oracle.use(used, start, end, sum(quotas[low:high])):.2%}"
+            f"  teams {low}..{high - 1}, {quotas[low]} to {quotas[high - 1]} /s: over {oracle.over_share(group, start, end):.2%}, used {oracle.use(used, start, end, sum(quotas[low:high])):.2%}"
         )
     print(f"worst window: team {worst.team}, {worst.requests:.1f} beyond its rate, allowed {worst.depth:.1f}")
     waits = sorted(trial.waits)
@@ -210,20 +210,20 @@
     trial = Trial(options)
     network = trial.network
     trial.start()
-    began, wall = network.now, time.process_time()
+    started, cpu_start = network.now, time.process_time()
     if options.filled:
-        network.run(began + int((ELECTION_S + scenarios.FILLING_S) * SECOND))
+        network.run(started + int((ELECTION_S + scenarios.FILLING_S) * SECOND))
         trial.set_quotas()
-    network.run(began + int(options.warm * SECOND))
+    network.run(started + int(options.warm * SECOND))
     network.messages.clear()
     trial.decisions.clear()
     trial.waits.clear()
     if options.kill_owner:
         victim = trial.places[0].controller
         network.kill(victim)
-    network.run(began + int((options.warm + options.seconds) * SECOND))
-    print(f"{options} ({time.process_time() - wall:.0f} s of CPU)")
-    report(trial, began / SECOND + options.warm, network.now / SECOND)
+    network.run(started + int((options.warm + options.seconds) * SECOND))
+    print(f"{options} ({time.process_time() - cpu_start:.0f} s of CPU)")
+    report(trial, started / SECOND + options.warm, network.now / SECOND)
     for kind, number in sorted(network.messages.items()):
         print(f"  {kind}: {number / options.seconds:.1f}/s in all")
 
--- a/benchmarks/fleet/judge.py
+++ b/benchmarks/fleet/judge.py
@@ -92,8 +92,8 @@
         return sorted(at for team in teams for at in self.times[team])
 
     def over_share_of(self, teams: set[int]) -> float:
-        some = [decision for decision in self.decisions if decision.team in teams]
-        return oracle.over_share(some, self.start, self.end)
+        selected = [decision for decision in self.decisions if decision.team in teams]
+        return oracle.over_share(selected, self.start, self.end)
 
     def undecided(self) -> int:
         """Return the number of requests without a decision, except those waiting at a killed dispatcher."""
@@ -104,21 +104,21 @@
 
     def recoveries(self) -> list[Recovery]:
         fault = self.scenario.fault
-        everybody = set(range(len(self.outcome.quotas)))
+        all_teams = set(range(len(self.outcome.quotas)))
         if isinstance(fault, KillOwner | StopOwner):
             teams = self.teams_of(self.outcome.first_owner)
             found = [self.recovery("teams of that owner", "the fault", teams, fault.at)]
-            return found + [self.recovery("all teams", "the fault", everybody, fault.at)]
+            return found + [self.recovery("all teams", "the fault", all_teams, fault.at)]
         if isinstance(fault, CutRegion):
             end = fault.at + fault.seconds
             return [
-                self.recovery("all teams", "the cut", everybody, fault.at, end),
-                self.recovery("all teams", "the end of the cut", everybody, end),
+                self.recovery("all teams", "the cut", all_teams, fault.at, end),
+                self.recovery("all teams", "the end of the cut", all_teams, end),
             ]
         if isinstance(fault, RestartDispatchers | LoseZone):
-            return [self.recovery("all teams", "the fault", everybody, fault.at)]
+            return [self.recovery("all teams", "the fault", all_teams, fault.at)]
         if self.scenario.name == COLD:
-            return [self.recovery("all teams", "the first owner", everybody, 0)]
+            return [self.recovery("all teams", "the first owner", all_teams, 0)]
         if isinstance(fault, ChangeQuotas):
             return [self.lowered(fault), self.recovery_of_raised(fault)]
         return []
@@ -178,7 +178,7 @@
         lasting = [name for name in last if name in first and last[name].cpu_s >= first[name].cpu_s]
         shares = [(last[name].cpu_s - first[name].cpu_s) / seconds for name in lasting]
         resident = [last[name].resident / MIB for name in last]
-        bytes_s, messages_s = self.relayed()
+        bytes_s, messages_s = self.relayed_traffic()
         return Cost(
             sum(shares) / len(shares),
             max(shares),
@@ -188,7 +188,7 @@
             max(resident),
         )
 
-    def relayed(self) -> tuple[float, float]:
+    def relayed_traffic(self) -> tuple[float, float]:
         """Return bytes and messages in and out of all controllers; those between two controllers count twice."""
         total_bytes = total_messages = 0
         for snapshots in self.outcome.ended.relays:
@@ -204,7 +204,7 @@
         outcome, quotas = self.outcome, self.outcome.quotas
         total = sum(quotas)
         everything = self.used_by(range(len(quotas)))
-        least, most = oracle.worst_use(everything, self.start, self.end, total)
+        lowest, highest = oracle.worst_use(everything, self.start, self.end, total)
         worst = self.worst()
         waits = sorted(wait / 1000 for _, _, _, _, wait in outcome.records) or [0.0]
         large = {team for team, quota in enumerate(quotas) if quota > LARGE_QUOTA}
@@ -222,8 +222,8 @@
             offered=requests / self.scenario.seconds / total,
             over_share=oracle.over_share(self.decisions, self.start, self.end),
             use_share=oracle.use(everything, self.start, self.end, total),
-            use_window_least=least,
-            use_window_most=most,
+            use_window_least=lowest,
+            use_window_most=highest,
             over_share_small=self.over_share_of(set(range(len(quotas))) - large),
             over_share_large=self.over_share_of(large),
             overshoot_team=traffic.team_names(len(quotas))[worst.team],
--- a/benchmarks/fleet/relay.py
+++ b/benchmarks/fleet/relay.py
@@ -282,15 +282,15 @@
 
 async def run() -> None:
     loop = asyncio.get_running_loop()
-    lines = asyncio.StreamReader(limit=1 << 24)
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    script = msgspec.json.decode(await lines.readline(), type=Script)
+    stdin = asyncio.StreamReader(limit=1 << 24)
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(stdin), sys.stdin)
+    script = msgspec.json.decode(await stdin.readline(), type=Script)
     relay = Relay(script)
     print(msgspec.json.encode(await relay.listen()).decode(), flush=True)
-    epoch = await lines.readline()
+    epoch = await stdin.readline()
     if epoch:
         relay.begin(float(epoch))
-        await lines.read()
+        await stdin.read()
     print(msgspec.json.encode(relay.snapshots).decode(), flush=True)
 
 
--- a/benchmarks/fleet/run.py
+++ b/benchmarks/fleet/run.py
@@ -58,10 +58,10 @@
             zones = tuple(place.zone for place in self.places if place.region == fault.region)
             cuts = (relay.Cut(warm + fault.at, warm + fault.at + fault.seconds, zones),)
         elif isinstance(fault, RestartDispatchers):
-            some = random.Random(f"restart {self.seed}").sample(
+            restarted = random.Random(f"restart {self.seed}").sample(
                 range(self.dispatchers), round(self.dispatchers * fault.share)
             )
-            restarts = (hollow.Restart(warm + fault.at, tuple(some), fault.pause_s),)
+            restarts = (hollow.Restart(warm + fault.at, tuple(restarted), fault.pause_s),)
         elif isinstance(fault, LoseZone):
             restarts = (hollow.Restart(warm + fault.at, self.dispatchers_of(fault.zone), None),)
         return Plan(
@@ -106,9 +106,7 @@
             for mark in self.installation.plan.marks:
                 await self.installation.until(mark)
                 self.controller_marks.append(self.installation.usages())
-            await self.installation.until(
-                self.end_s + 0.5
-            )  # until then the other processes have recorded their last mark
+            await self.installation.until(self.end_s + 0.5)  # the other processes record their last mark at end_s
         finally:
             for task in tasks:
                 task.cancel()
--- a/tests/fleet/simulation/directed.py
+++ b/tests/fleet/simulation/directed.py
@@ -89,7 +89,7 @@
     events = (
         first,
         faults.BadNetwork(drain_at, end, Conditions(repeated=1.0)),
-        faults.Drain(drain_at, end, "control-0", away=SECOND),
+        faults.Drain(drain_at, end, "control-0", downtime=SECOND),
         second,
     )
     return _schedule(setup, events, (), end, seed)
--- a/tests/fleet/simulation/faults.py
+++ b/tests/fleet/simulation/faults.py
@@ -107,20 +107,20 @@
 
 @dataclass(frozen=True)
 class Drain(Fault):
-    """Graceful shutdown of a controller, which restarts `away` microseconds after its end."""
+    """Graceful shutdown of a controller, which restarts `downtime` microseconds after its end."""
 
     node: str
-    away: int = 100 * MILLISECOND
+    downtime: int = 100 * MILLISECOND
 
     def apply(self, world: World) -> None:
         node = world.nodes[self.node]
 
         def restart() -> None:
-            world.at(world.now + self.away, lambda: None if node.alive else world.start(node))
+            world.at(world.now + self.downtime, lambda: None if node.alive else world.start(node))
 
         def drain() -> None:
             if node.alive:
-                world.drain(node, max(0, self.end - self.away - world.now), restart)
+                world.drain(node, max(0, self.end - self.downtime - world.now), restart)
 
         world.at(self.at, drain)
 
--- a/tests/fleet/simulation/schedule.py
+++ b/tests/fleet/simulation/schedule.py
@@ -67,7 +67,7 @@
 
 def _draw_fault(random: Random, setup: Setup) -> Fault:
     at = random.randrange(FAULTS_FROM, FAULTS_TO)
-    return random.choice(DRAWS)(random, setup, at)
+    return random.choice(FAULT_DRAWS)(random, setup, at)
 
 
 def _draw_duration(random: Random, setup: Setup) -> int:
@@ -131,8 +131,8 @@
         killed = random.sample(dispatchers, max(1, len(dispatchers) * 7 // 10))
     else:
         killed = random.sample(names, random.randint(1, len(names)))
-    away = random.choice((20 * MILLISECOND, 200 * MILLISECOND, _draw_duration(random, setup)))
-    return faults.Kill(at, at + away, tuple(killed), random.random() < 0.3)
+    downtime = random.choice((20 * MILLISECOND, 200 * MILLISECOND, _draw_duration(random, setup)))
+    return faults.Kill(at, at + downtime, tuple(killed), random.random() < 0.3)
 
 
 def _draw_drain(random: Random, setup: Setup, at: int) -> Fault:
@@ -145,8 +145,8 @@
 
 
 def _draw_handover(random: Random, setup: Setup, at: int) -> Fault:
-    older_goes_on = random.choice((50, 500, 1_500)) * MILLISECOND
-    return faults.Handover(at, at + older_goes_on, random.choice(sorted(setup.dispatchers)))
+    overlap = random.choice((50, 500, 1_500)) * MILLISECOND
+    return faults.Handover(at, at + overlap, random.choice(sorted(setup.dispatchers)))
 
 
 def _draw_quota_change(random: Random, setup: Setup, at: int) -> Fault:
@@ -161,7 +161,7 @@
     return faults.Flood(at, at + faults.FLOOD_TIME, team, count, tuple(chosen))
 
 
-DRAWS: tuple[Callable[[Random, Setup, int], Fault], ...] = (
+FAULT_DRAWS: tuple[Callable[[Random, Setup, int], Fault], ...] = (
     _draw_cut,
     _draw_cut,
     _draw_network,
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -81,13 +81,13 @@
         """Start a process with a new incarnation and no state."""
         assert not node.alive
         node.incarnation += 1 + self.random.randrange(1_000)
-        settings, own_now = self.setup.settings, node.clock.read(self.now)
+        settings, local_now = self.setup.settings, node.clock.read(self.now)
         random = Random(self.random.getrandbits(64))
         if node.is_controller:
-            node.rules = ControllerRules(settings, node.name, node.incarnation, own_now, random)
-            node.controller.set_quotas(own_now, dict(self.quotas))
+            node.rules = ControllerRules(settings, node.name, node.incarnation, local_now, random)
+            node.controller.set_quotas(local_now, dict(self.quotas))
         else:
-            node.rules = DispatcherLeases(settings, node.name, node.zone, node.incarnation, own_now, random)
+            node.rules = DispatcherLeases(settings, node.name, node.zone, node.incarnation, local_now, random)
         node.stopped = node.hold_output = node.silent = False
         node.next_wakeup = None
         self._schedule_tick(node, node.incarnation, self.random.randrange(settings.tick_ms * MILLISECOND))
@@ -314,25 +314,25 @@
         if node.alive:
             self.at(self.now + DRAIN_POLL, partial(self.kill, node))
 
-    def hand_over(self, node: Node, older_goes_on: int) -> None:
+    def hand_over(self, node: Node, overlap: int) -> None:
         """Upgrade a dispatcher: a new process on the same machine takes over its leases and its new requests.
 
         The new process has its own name. The old one still handles its waiting requests and exits after
-        `older_goes_on` microseconds.
+        `overlap` microseconds.
         """
         if not node.alive or node.stopped or node not in self.dispatchers:
             return
-        own_now = node.clock.read(self.now)
-        exported = node.dispatcher.export(own_now)
+        local_now = node.clock.read(self.now)
+        exported = node.dispatcher.export(local_now)
         successor = Node(f"{node.name}+", node.zone, node.clock, False)
         successor.incarnation = node.incarnation + 1
         self.nodes[successor.name] = successor
         self.dispatchers[self.dispatchers.index(node)] = successor
         settings, random = self.setup.settings, Random(self.random.getrandbits(64))
         successor.rules = DispatcherLeases.restore(
-            settings, successor.name, node.zone, successor.incarnation, own_now, random, exported
+            settings, successor.name, node.zone, successor.incarnation, local_now, random, exported
         )
         for watcher in self.watchers:
             watcher.handed_over(node, successor, exported)
         self._schedule_tick(successor, successor.incarnation, settings.tick_ms * MILLISECOND)
-        self.at(self.now + older_goes_on, partial(self.kill, node))
+        self.at(self.now + overlap, partial(self.kill, node))
