--- a/benchmarks/fleet/in_memory.py
+++ b/benchmarks/fleet/in_memory.py
@@ -1,8 +1,9 @@
-"""The rules of controllers and dispatchers at size in one process and in virtual time: a quick look before the processes run.
+"""Runs the rules of a full-size fleet in one process and in virtual time, as a quick trial before the load benchmark.
 
     python -m benchmarks.fleet.in_memory [--dispatchers 200] [--load 0.5] [--share 1.0] [--seconds 60] [--warm 20] [--kill-owner]
 
-No sockets, no losses: a message takes the delay of its two places. Its figures are trials; those of the pages come from processes.
+There are no sockets and no message losses; a message takes the delay between its two places. The figures on the result
+pages come from the load benchmark with real processes, not from here.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 from . import layout, oracle, scenarios, traffic
 
 SECOND = 1_000_000
-TICK = 50_000
-ELECTION_S = 6.0  # after a start nobody owns anything for so long
+TICK_US = 50_000
+ELECTION_S = 6.0  # time after a start until the shards have owners
 
 
 class Network:
-    """Virtual time, and delivery of messages between named rules."""
+    """Virtual time, and delivery of messages between the rules of named processes."""
 
     def __init__(self) -> None:
         self.now = 10 * SECOND
@@ -50,12 +51,12 @@
             action()
         self.now = until
 
-    def join(self, name: str, place: layout.Place, rules: Any) -> None:
+    def add(self, name: str, place: layout.Place, rules: Any) -> None:
         self.peers[name] = Peer(name, 1)
         self.place[name] = place
         self.rules[name] = rules
 
-    def carry_out(self, name: str, actions: list[Any]) -> None:
+    def execute(self, name: str, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, QuotaDecision):
                 self.decided(name, action)
@@ -70,27 +71,27 @@
 
     def deliver(self, name: str, action: SendMessage) -> None:
         if action.to not in self.dead and name not in self.dead:
-            self.carry_out(action.to, self.rules[action.to].receive(self.now, self.peers[name], action.message))
+            self.execute(action.to, self.rules[action.to].receive(self.now, self.peers[name], action.message))
 
     def tick(self, name: str) -> None:
         if name not in self.dead:
-            self.carry_out(name, self.rules[name].tick(self.now))
-            self.at(self.now + TICK, lambda: self.tick(name))
+            self.execute(name, self.rules[name].tick(self.now))
+            self.at(self.now + TICK_US, lambda: self.tick(name))
 
     def kill(self, name: str) -> None:
         self.dead.add(name)
         for other in self.rules:
             if other not in self.dead:
-                self.carry_out(other, self.rules[other].peer_lost(self.now, name) or [])
+                self.execute(other, self.rules[other].peer_lost(self.now, name) or [])
 
 
 class Trial:
-    """One run: 19 controllers, the dispatchers and their traffic."""
+    """One run of 19 controllers, the dispatchers and their traffic."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
         self.network = Network()
-        self.network.decided = self.note
+        self.network.decided = self.record_decision
         self.places = layout.places()
         self.quotas = traffic.quotas()
         self.names = traffic.team_names()
@@ -99,7 +100,7 @@
         self.numbers = count()
         self.decisions: list[oracle.Decision] = []
         self.waits: list[int] = []
-        self.asked: dict[tuple[str, int], int] = {}
+        self.request_times: dict[tuple[str, int], int] = {}
 
     def controllers(self) -> list[Controller]:
         return [
@@ -107,64 +108,67 @@
             for index, place in enumerate(self.places)
         ]
 
-    def note(self, name: str, decided: QuotaDecision) -> None:
+    def record_decision(self, name: str, decided: QuotaDecision) -> None:
         team = self.requests.pop((name, decided.request))
-        self.waits.append(self.network.now - self.asked.pop((name, decided.request)))
+        self.waits.append(self.network.now - self.request_times.pop((name, decided.request)))
         self.decisions.append(oracle.Decision(self.network.now / SECOND, team, decided.over_quota))
 
     def start(self) -> None:
         network, options = self.network, self.options
-        everybody = dict(zip(self.names, self.first_quotas(), strict=False))
+        quotas_by_team = dict(zip(self.names, self.initial_quotas(), strict=False))
         for index, place in enumerate(self.places):
             random = Random(f"{options.seed} {place.zone}")
             rules = ControllerRules(self.settings, place.controller, 1, network.now, random)
-            rules.set_quotas(network.now, everybody)
-            network.join(place.controller, place, rules)
+            rules.set_quotas(network.now, quotas_by_team)
+            network.add(place.controller, place, rules)
             network.at(network.now + index * 2600, lambda name=place.controller: network.tick(name))
         for index in range(options.dispatchers):
             place, name = layout.place_of_dispatcher(index, self.places), layout.dispatcher_name(index)
             random = Random(f"{options.seed} {name}")
-            network.join(name, place, DispatcherLeases(self.settings, name, place.zone, 1, network.now, random))
+            network.add(name, place, DispatcherLeases(self.settings, name, place.zone, 1, network.now, random))
             network.at(network.now + index * 251, lambda name=name: network.tick(name))
         busy = traffic.busy_dispatchers(options.dispatchers, options.share, options.seed)
         rate = sum(self.quotas) * options.load / len(busy)
         for index in busy:
             self.next_arrival(index, traffic.arrivals(self.quotas, rate, options.seed, index), network.now)
 
-    def first_quotas(self) -> list[float]:
-        """Higher ones for FILLING_S, so that the run starts with the stocks of the long run."""
+    def initial_quotas(self) -> list[float]:
+        """Return the initial quotas.
+
+        With `--filled` they are raised for FILLING_S, so that the run starts with the bucket levels of a long run.
+        """
         if not self.options.filled:
             return self.quotas
         scenario = scenarios.Scenario("in memory", "", self.options.load)
         return scenario.filling_quotas(self.quotas, len(self.places))
 
     def set_quotas(self) -> None:
-        """The true ones, after the buckets were filled."""
+        """Set the actual quotas, after the buckets have been filled."""
         for place in self.places:
             rules = self.network.rules[place.controller]
             rules.set_quotas(self.network.now, dict(zip(self.names, self.quotas, strict=False)))
 
-    def next_arrival(self, index: int, source: Any, began: int) -> None:
+    def next_arrival(self, index: int, source: Any, started: int) -> None:
         arrival = next(source)
         name = layout.dispatcher_name(index)
 
         def arrive() -> None:
-            self.next_arrival(index, source, began)
+            self.next_arrival(index, source, started)
             number = next(self.numbers)
             self.requests[name, number] = arrival.team
-            self.asked[name, number] = self.network.now
+            self.request_times[name, number] = self.network.now
             rules = self.network.rules[name]
-            self.network.carry_out(name, rules.request(self.network.now, number, self.names[arrival.team]))
-            self.wake(name)
+            self.network.execute(name, rules.request(self.network.now, number, self.names[arrival.team]))
+            self.schedule_wakeup(name)
 
-        self.network.at(began + int(arrival.at * SECOND), arrive)
+        self.network.at(started + int(arrival.at * SECOND), arrive)
 
-    def wake(self, name: str) -> None:
+    def schedule_wakeup(self, name: str) -> None:
         rules = self.network.rules[name]
         when = rules.next_wakeup()
         if when is not None:
             when = max(when, self.network.now)
-            self.network.at(when, lambda: self.network.carry_out(name, rules.tick(self.network.now)))
+            self.network.at(when, lambda: self.network.execute(name, rules.tick(self.network.now)))
 
 
 def report(trial: Trial, start: float, end: float) -> None:
@@ -180,10 +184,10 @@
         f"called over {oracle.over_share(decisions, start, end):.2%}, used {oracle.use(ordered, start, end, sum(quotas)):.2%} of all quotas (10 s windows {least:.1%} to {most:.1%})"
     )
     for low, high in ((0, 10), (10, 66), (66, 510)):
-        some = [d for d in decisions if low <= d.team < high]
+        group = [d for d in decisions if low <= d.team < high]
         used = sorted(at for column in times[low:high] for at in column)
         print(
-            f"  teams {low}..{high - 1}, {quotas[low]} to {quotas[high - 1]} /s: over {oracle.over_share(some, start, end):.2%}, used {oracle.use(used, start, end, sum(quotas[low:high])):.2%}"
+            f"  teams {low}..{high - 1}, {quotas[low]} to {quotas[high - 1]} /s: over {oracle.over_share(group, start, end):.2%}, used {oracle.use(used, start, end, sum(quotas[low:high])):.2%}"
         )
     print(f"worst window: team {worst.team}, {worst.requests:.1f} beyond its rate, allowed {worst.depth:.1f}")
     waits = sorted(trial.waits)
@@ -206,20 +210,20 @@
     trial = Trial(options)
     network = trial.network
     trial.start()
-    began, wall = network.now, time.process_time()
+    started, cpu_start = network.now, time.process_time()
     if options.filled:
-        network.run(began + int((ELECTION_S + scenarios.FILLING_S) * SECOND))
+        network.run(started + int((ELECTION_S + scenarios.FILLING_S) * SECOND))
         trial.set_quotas()
-    network.run(began + int(options.warm * SECOND))
+    network.run(started + int(options.warm * SECOND))
     network.messages.clear()
     trial.decisions.clear()
     trial.waits.clear()
     if options.kill_owner:
         victim = trial.places[0].controller
         network.kill(victim)
-    network.run(began + int((options.warm + options.seconds) * SECOND))
-    print(f"{options} ({time.process_time() - wall:.0f} s of CPU)")
-    report(trial, began / SECOND + options.warm, network.now / SECOND)
+    network.run(started + int((options.warm + options.seconds) * SECOND))
+    print(f"{options} ({time.process_time() - cpu_start:.0f} s of CPU)")
+    report(trial, started / SECOND + options.warm, network.now / SECOND)
     for kind, number in sorted(network.messages.items()):
         print(f"  {kind}: {number / options.seconds:.1f}/s in all")
 
