--- a/badgerroad/admin/listener.py
+++ b/badgerroad/admin/listener.py
@@ -1,6 +1,6 @@
 """The admin listener: serves `GET /ready` and `GET /metrics` over HTTP/1.1, one request per connection.
 
-It accepts its own connections from a descriptor budget of its own, so that clients and attempts cannot exhaust it.
+Its connections have a separate descriptor budget, so that clients and attempts cannot exhaust it.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
 from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
-# Connections open at one time. Two or three monitoring requests arrive every second; the rest is for idle connections.
-# The oldest idle one is closed when all are in use, so that a peer that sends a request is always accepted.
+# Most connections open at one time. Two or three monitoring requests arrive every second; the rest is for idle
+# connections. The oldest idle connection is closed when all are in use, so that a peer that sends a request is always
+# accepted.
 MAX_CONNECTIONS = 12
-RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2  # withheld from clients and attempts; 2 for listener and the next accept
+RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 2  # withheld from clients and attempts; 2 for the listener and the next accept
 REQUEST_TIMEOUT_US = 1_500_000  # from the connection to the end of its request; a response is due within 1 s
 # A request arrives shortly after its connection. Connections below this age are not closed, so that idle peers which
 # reconnect immediately cannot displace those that send a request; further connections wait in the backlog.
 MIN_CLOSE_AGE_US = 100_000
 ACCEPT_PAUSE_US = 10_000  # pause of accepting while all connections are below MIN_CLOSE_AGE_US
-LINGER_US = 250_000  # how long bytes behind the request are read and discarded, so that no reset destroys the response
-BACKLOG = 128  # connections that wait while this process is busy
-BODY_LIMIT_BYTES = 1_024  # of a request; no request defined here has a body
+LINGER_US = 250_000  # how long bytes after the request are read and discarded, so that no reset destroys the response
+BACKLOG = 128  # most connections that wait to be accepted while this process is busy
+BODY_LIMIT_BYTES = 1_024  # largest body of a request; no request defined here has a body
 
 
 class AdminConnection(Connection):
@@ -98,7 +99,7 @@
         self.descriptors = DescriptorBudget(
             MAX_CONNECTIONS + DescriptorBudget.RESERVE
         )  # separate from the budget of clients and attempts
-        self.connections: dict[AdminConnection, None] = {}  # in the order of their age, oldest first
+        self.connections: dict[AdminConnection, None] = {}  # open connections, oldest first
         self._socket: socket.socket | None = None
         self._loop = IOLoop.current()
 
@@ -141,7 +142,7 @@
             self._loop.add_handler(self._socket, self._accept, IOLoop.READ)
 
     def _close_oldest_idle(self) -> bool:
-        """Close the oldest connection without a request that is old enough; returns False if there is none."""
+        """Close the oldest idle connection that is older than MIN_CLOSE_AGE_US; returns False if there is none."""
         connected_before = self.timers.clock.now() - MIN_CLOSE_AGE_US
         for connection in self.connections:
             if (
--- a/badgerroad/backend/attempts.py
+++ b/badgerroad/backend/attempts.py
@@ -19,7 +19,7 @@
     def __init__(
         self, method: bytes, target: bytes, body: bytes, request_id: bytes, headers: http1.Headers, deadline: int
     ) -> None:
-        """Store the parts; `headers` must not include the hop-by-hop ones."""
+        """Store the parts; `headers` must not include hop-by-hop headers."""
         self.id = request_id
         self.method = method
         self.target = target
@@ -60,12 +60,12 @@
         self.sent_at = now
         self.written = False  # the request has been handed to the connection
         self.event_received = False  # a job event has arrived, before or after the 202
-        self.started = False  # a job event has reported the start
+        self.started = False  # a job event has reported the start of the job
         self.accepted = False  # the worker has responded with 202
         self.ended = False
         self.not_sent = False
         self.opened_connection = False  # no idle connection was available, so a new one was opened
-        self.started_at = 0  # when the start was reported
+        self.started_at = 0  # when the start of the job was reported
         self.status = 0  # HTTP status of the worker's response if it is not 202
         self.connections: WorkerConnections | None = None
         self.timeout_timer: Timer | None = None
--- a/badgerroad/backend/http.py
+++ b/badgerroad/backend/http.py
@@ -103,7 +103,7 @@
             log.warning(
                 "attempt_not_sent", **attempt.log_fields, code=error.code, error=str(error), remedy=error.remedy
             )
-            # Not CONNECT_FAILED, which would count against a healthy worker.
+            # The result is not CONNECT_FAILED, which would count against a healthy worker.
             self._end(attempt, interface.AttemptResult.NOT_NEEDED)
         except ConnectionBrokenError as error:
             if not attempt.ended:
@@ -119,15 +119,16 @@
         self, attempt: Attempt, worker: WorkerConnections, deadline: int, accept_timeout: int
     ) -> None:
         request_id = attempt.forwarded.id
+        # Wait until the cancel of the request's earlier attempt at this worker has ended.
         while request_id in worker.cancelling and not attempt.ended:
-            await asyncio.wait([worker.cancelling[request_id]])  # this request's earlier attempt at the worker
+            await asyncio.wait([worker.cancelling[request_id]])
         if attempt.ended:
             return
         connection = await self.pools.checkout(worker, attempt.on_connecting)
         if attempt.ended:
             self.pools.checkin(worker, connection)
             return
-        attempt.connection = None  # if the attempt ends now, the connection stays open for others
+        attempt.connection = None  # if the attempt ends now, the connection stays open for other attempts
         if connection.address != worker.address or not self._may_begin(attempt):
             self.pools.checkin(worker, connection)
             self._end(attempt, interface.AttemptResult.NOT_SENT)
@@ -192,7 +193,7 @@
             attempt.timeout_timer.cancel()
 
     def resume_attempt(self, attempt: Attempt, remaining: int) -> None:
-        """Take over an attempt that a worker has accepted from another process; `remaining` microseconds are left."""
+        """Take over from another process an attempt that a worker has accepted; it times out in `remaining` us."""
         attempt.connections = self.pools.workers.get(attempt.worker)
         self._open(attempt, remaining)
 
@@ -212,7 +213,8 @@
         accept_unread = attempt.written and connection is not None and connection.peer_has_sent()
         worker = attempt.connections
         if (attempt.accepted or accept_unread) and worker is not None and attempt.forwarded.id not in worker.cancelling:
-            # Without hedging, two attempts must never run at once, so this one ends only when its worker has confirmed.
+            # Without hedging, two attempts of a request must never run at once, so this attempt ends only when its
+            # worker has confirmed the cancel.
             awaits_confirmation = result == interface.AttemptResult.CANCELLED and not self.settings.hedging_allowed
             on_confirmed = (
                 (lambda: self._end(attempt, interface.AttemptResult.CANCELLED)) if awaits_confirmation else None
@@ -298,7 +300,8 @@
     """Return the result of an attempt whose worker responded with a status other than 202."""
     if response.status in (503, 504) and (response.header(b"not-started") or b"").strip() == b"1":
         return interface.AttemptResult.QUEUE_FULL
-    # Other 4xx statuses are the request's fault. Counted as errors, they would let one client eject healthy workers.
+    # 4xx statuses other than 408 and 429 are the request's fault. If they counted as errors of the worker, one client
+    # could eject healthy workers.
     if 400 <= response.status < 500 and response.status not in (408, 429):
         return interface.AttemptResult.INVALID_REQUEST
     return interface.AttemptResult.ERROR
--- a/badgerroad/backend/reports.py
+++ b/badgerroad/backend/reports.py
@@ -45,7 +45,7 @@
             return None
 
     def from_fields(self, report: dict[str, Any]) -> LoadReport:
-        """Parse a decoded report, or an object that has one in its field `load`."""
+        """Parse a decoded report, or an object that has a report in its field `load`."""
         if isinstance(report.get("load"), dict):
             report = report["load"]
         try:
--- a/badgerroad/backend/worker_connections.py
+++ b/badgerroad/backend/worker_connections.py
@@ -15,7 +15,7 @@
 
 DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
 DEFAULT_IDLE_TIMEOUT_US = 60_000_000
-IDLE_TIME_FRACTION = 0.75  # of the idle time that workers allow; after it this side closes a connection
+IDLE_TIME_FRACTION = 0.75  # this side closes a connection after this fraction of the idle time that workers allow
 
 # Transfers an idle connection to another process, given its descriptor, worker, address, and the microseconds that it
 # may stay idle. Returns False if the transfer is not possible now.
@@ -188,7 +188,7 @@
             worker.close_idle()
 
     def forget_unlisted(self, is_listed: Callable[[str], bool], busy_workers: set[str]) -> None:
-        """Remove the workers that are not on the endpoint list, except those with a cancel or in `busy_workers`.
+        """Remove the workers that are not on the endpoint list and have neither an open attempt nor an open cancel.
 
         `busy_workers` holds the names of the workers with an open attempt.
         """
--- a/badgerroad/frontend/client.py
+++ b/badgerroad/frontend/client.py
@@ -21,11 +21,12 @@
 # requires an error response or a close within 3 s for a client that has not sent a complete request.
 REQUEST_TIMEOUT_US = 2_500_000
 MIN_IDLE_BEFORE_EVICTION_US = 500_000  # a connection that was active more recently is not evicted
-# How long an inactive client without a complete request keeps its connection while others wait for its descriptor, and
-# how long a client has to notice that its connection has ended. Enough for data in flight within a zone to arrive.
+# How long an inactive client without a complete request keeps its connection while other clients wait for its
+# descriptor, and how long a client has to notice that its connection has ended. The time is long enough for data in
+# flight within a zone to arrive.
 EVICTION_GRACE_US = 100_000
-# Limit of the bytes discarded behind an open request. It is more than both socket buffers hold: beyond it the client
-# is still sending and has not merely disconnected with unread data behind.
+# Largest number of bytes received after an open request and discarded. Both socket buffers together hold fewer, so a
+# client from which more bytes arrive is still sending; it has not merely disconnected and left unread data.
 DISCARD_LIMIT_BYTES = 16 * 1024 * 1024
 
 # Transfers a client's connection to another process, given its descriptor, the state that `restore` needs there, the
@@ -58,12 +59,12 @@
         super().__init__(sock, owner.descriptors, responses=False)
         self.owner = owner
         self.exchange: Exchange | None = None
-        self.pipelined_request: http1.Message | None = None  # the next request, read while one is open
+        self.pipelined_request: http1.Message | None = None  # the next request, read while the previous one is open
         self.last_activity_at = owner.timers.clock.now()
         self.served = False  # a response has been sent
         self._request_timer: Timer | None = None
         self._closing = False  # the connection ends after the response that is due or being written
-        self._discarded_bytes = 0  # bytes discarded behind the open request
+        self._discarded_bytes = 0  # number of bytes received after the open request and discarded
         self._continue_sent = False
         self._start_request_timer(REQUEST_TIMEOUT_US)
 
@@ -99,7 +100,7 @@
 
     @property
     def eviction_sort_key(self) -> tuple[bool, bool, int]:
-        """Sort key of eviction, smallest evicted first.
+        """Sort key of eviction; the connection with the smallest key is evicted first.
 
         Lingering connections come first, then clients not served yet, then the others; within each group the longest
         inactive ones.
@@ -111,8 +112,8 @@
     def wants_message(self) -> bool:
         """Whether another request may be parsed: at most one while a request is open.
 
-        That one is parsed early because, if it is malformed, client and dispatcher may disagree on the framing, and the
-        open request cannot be trusted either.
+        The next request is parsed early because, if it is malformed, client and dispatcher may disagree on the framing,
+        and the open request cannot be trusted either.
         """
         if self.pipelined_request is not None or self._closing:
             return False
@@ -121,8 +122,8 @@
     def discard_when_full(self) -> bool:
         """Whether to discard further bytes while a request is open and the receive buffer is full.
 
-        They are discarded so that a disconnect of the client behind them is noticed. The open request gets its response
-        and then the connection ends; the client can repeat the requests that had no response.
+        The bytes are discarded so that a disconnect of the client after them is noticed. The open request gets its
+        response and then the connection ends; the client can repeat the requests that had no response.
         """
         if self.exchange is None or self.owner.successor is not None:
             return False
@@ -131,7 +132,7 @@
         return True
 
     def on_discarded(self, count: int) -> None:
-        """Reject the open request of a client that keeps sending after DISCARD_LIMIT_BYTES."""
+        """Reject the open request of a client that keeps sending after DISCARD_LIMIT_BYTES have been discarded."""
         self._discarded_bytes += count
         if self._discarded_bytes > DISCARD_LIMIT_BYTES and not self.lingering:
             self.on_bad_message(http1.BadMessageError(413, "too much behind an open request"))
@@ -164,7 +165,10 @@
             self._request_timer = None
 
     def _request_timed_out(self) -> None:
-        """End an unused connection or respond with 408, so that neither can hold a descriptor or a drain forever."""
+        """End an unused connection, or respond with 408 to an incomplete request.
+
+        Otherwise either could occupy a descriptor, or delay a drain, forever.
+        """
         self._request_timer = None
         if self.parser.idle:
             self.end_gracefully()
@@ -212,7 +216,7 @@
             IOLoop.current().add_callback(self.resume)
 
     def resume(self) -> None:
-        """Continue with the pipelined request and the bytes behind it."""
+        """Continue with the pipelined request and the bytes received after it."""
         if self.owner.successor is not None:
             self.pass_to_successor()
             return
--- a/badgerroad/frontend/eviction.py
+++ b/badgerroad/frontend/eviction.py
@@ -13,7 +13,7 @@
 ) -> None:
     """End evictable connections, except those on which the next request has arrived.
 
-    With `until_headroom`, end no more than needed for headroom; otherwise all.
+    With `until_headroom`, end only as many as needed until enough descriptors are free; otherwise end all.
     """
     connections = list(connections)
     closing = sum(connection.lingering for connection in connections)
@@ -34,8 +34,8 @@
 ) -> None:
     """Close connections without a complete request immediately, as long as `is_needed` returns True.
 
-    Only clients inactive for at least `min_inactive_us` are closed; those with a request, or likely to be sending one,
-    take precedence.
+    Only clients inactive for at least `min_inactive_us` are closed; clients with a request, or likely to be sending
+    one, keep their connections.
     """
     candidates = [
         connection
--- a/badgerroad/frontend/http.py
+++ b/badgerroad/frontend/http.py
@@ -16,7 +16,8 @@
 from badgerroad.net.descriptor_budget import DescriptorBudget
 from badgerroad.net.timer_wheel import TimerWheel
 
-# Time for reading bytes that have arrived when this process ends; clients then have as long to notice the end.
+# When this process ends, how long it still reads bytes that have arrived on its connections. Clients then have the same
+# time again to notice the end of their connections.
 FINAL_READ_TIME_US = 300_000
 READY_PATH = b"/-/ready"
 JOB_EVENTS_PATH = b"/v1/job-events"
@@ -73,7 +74,7 @@
             self.start_accepting()
 
     def _before_batch(self) -> None:
-        """Free descriptors; called once for each batch, since it searches all connections."""
+        """Free descriptors if they are scarce; called once per batch of accepts, since it searches all connections."""
         if self.descriptors.scarce:
             self.shed_idle_connections()
             if self.descriptors.scarce:
@@ -102,11 +103,14 @@
     # Eviction.
 
     def shed_idle_connections(self) -> None:
-        """End idle connections until there is headroom, or all of them while draining."""
+        """End idle connections until enough descriptors are free, or all idle connections while draining."""
         eviction.end_idle(self.connections, self.descriptors, self.timers.clock.now(), not self.draining)
 
     def free_descriptors(self) -> None:
-        """Close connections without a complete request to make room for an attempt of a complete one."""
+        """Close clients' connections without a complete request while descriptors are nearly exhausted.
+
+        The attempts of complete requests need these descriptors.
+        """
         self._close_while_needed(lambda: self.descriptors.nearly_exhausted, 0)
 
     def _close_while_needed(self, is_needed: Callable[[], bool], min_inactive_us: int) -> None:
@@ -176,8 +180,8 @@
     def yield_to(self, successor: ConnectionSuccessor) -> None:
         """Stop accepting, as another process receives the new requests; the listener stays open.
 
-        Connections are transferred there once they are idle: at the next `pass_connections_on`, or after a response is
-        written.
+        Connections are transferred to that process once they are idle: at the next `pass_connections_on`, or after a
+        response is written.
         """
         self.successor = successor
         self.serving = False
@@ -194,7 +198,7 @@
         return any(not connection.lingering for connection in self.connections)
 
     def resume_accepting(self) -> None:
-        """Accept and handle requests again, as the other process has ended."""
+        """Accept and handle requests again, as the other process has ended or has returned the new requests."""
         self.successor = None
         self.draining = False
         self.start_accepting()
--- a/badgerroad/frontend/listener.py
+++ b/badgerroad/frontend/listener.py
@@ -46,8 +46,8 @@
         """Create a listener without a socket.
 
         `before_batch` is called before a batch of connections is accepted, `has_descriptor` returns whether one more
-        may be accepted, `on_accepted` receives each, and `on_pause_ended` is called after a pause caused by a lack of
-        descriptors.
+        connection may be accepted, `on_accepted` receives the socket of each accepted connection, and `on_pause_ended`
+        is called after a pause caused by a lack of descriptors.
         """
         self.socket: socket.socket | None = None
         self.accepting = False
--- a/badgerroad/hot_restart/actions.py
+++ b/badgerroad/hot_restart/actions.py
@@ -46,7 +46,7 @@
 class ActionPerformer:
     """Performs actions, one at a time.
 
-    Owns the received offer, and the listener received with it until the frontend adopts that.
+    Owns the received offer, and the listener received with it until the frontend adopts that listener.
     """
 
     def __init__(
@@ -59,9 +59,9 @@
         attempt_reports: AttemptReports,
         announce: Callable[[], None],
     ) -> None:
-        """`announce`: makes this process discoverable to newer ones, by the Unix socket."""
+        """`announce`: makes this process discoverable to newer processes, by the Unix socket."""
         self.finishing = False  # another process accepts the requests, and this one exits after its last response
-        # The address on which this process listens, once it does.
+        # The address on which this process listens; set once it listens.
         self.listen_address: asyncio.Future[Address] = asyncio.get_running_loop().create_future()
         self.received_listener: socket.socket | None = None
         self._received_offer: messages.Offer | None = None
@@ -101,7 +101,8 @@
 
         `peer`: the other process that the state machine is about, if there is one.
         """
-        # FINISH keeps the time-out: it expects no message itself, and the peer may still become silent.
+        # FINISH keeps the time-out of the peer's next message: the action sets no time-out itself, and the peer may
+        # still become silent.
         if peer is not None and action is not Action.FINISH:
             peer.cancel_timeout()
         log.info("hot_restart", action=str(action))
@@ -210,8 +211,8 @@
         attempts = state.export_attempts(dispatcher.decisions, self._attempt_reports.attempt_key)
         if peers.older is not None and peer is not peers.older:
             attempts += peers.older.attempts.export()
-        # Only a newer process is sent the learned state. An older one that resumes has kept its own, and this process's
-        # attempts were reported to it.
+        # Only a newer process is sent the learned state. An older process that resumes has kept its own learned
+        # state, and this process's attempts were reported to it.
         with_state = peer is peers.newer
         peer.send(snapshot.grant(dispatcher, attempts, peers.open_requests, with_state))
         self._transfer.begin(peer)
--- a/badgerroad/hot_restart/connection_transfer.py
+++ b/badgerroad/hot_restart/connection_transfer.py
@@ -1,4 +1,4 @@
-"""Passes connections and open requests to the process that accepts new ones, and adopts those that a peer passes."""
+"""Passes connections and open requests to the process that accepts new requests, and adopts those passed by a peer."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from badgerroad.net.timer_wheel import TimerWheel
 from badgerroad.requests import OpenRequest
 
-# Between two attempts to pass the clients' connections. A connection cannot be passed while the channel is busy, or
-# while the connection is being read or written.
+# Time between two tries to pass the clients' connections. A connection cannot be passed while the channel to the other
+# process is busy, or while the connection is being read or written.
 RETRY_INTERVAL_US = 20_000
 
 
 class ConnectionTransfer:
-    """Passes connections to `Peers.recipient` and adopts those that peers pass."""
+    """Passes connections to `Peers.recipient` and adopts the connections that peers pass."""
 
     def __init__(
         self,
--- a/badgerroad/hot_restart/descriptor_accounting.py
+++ b/badgerroad/hot_restart/descriptor_accounting.py
@@ -1,4 +1,4 @@
-"""Divides one limit of file descriptors among the processes of a dispatcher during a hot restart."""
+"""Divides a dispatcher's limit of file descriptors among its processes during a hot restart."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from badgerroad.hot_restart.peers import Peers
 from badgerroad.net.timer_wheel import TimerWheel
 
-REPORT_INTERVAL_US = 200_000  # between two reports to the peers, which also serve as heartbeats
-# Descriptors that a process uses in addition to its connections, as counted on a running one: the standard streams,
-# three of the event loop, the listener, the admin listener and its connections, the Unix socket, the channel to the
-# peer, and the connection to discovery.
+REPORT_INTERVAL_US = 200_000  # time between two reports to the peers; the reports also serve as heartbeats
+# Descriptors that a process uses in addition to its connections, as counted on a running process: the standard
+# streams, three of the event loop, the listener, the admin listener and its connections, the Unix socket, the channel
+# to the peer, and the connection to discovery.
 BASE_DESCRIPTORS = 24
-RESERVED_DESCRIPTORS = 4  # that the older process may still open, for retries and cancellations
+RESERVED_DESCRIPTORS = 4  # descriptors that the older process may still open, for retries and cancellations
 
 
 class DescriptorAccounting:
@@ -34,7 +34,7 @@
         descriptors.set_used_elsewhere(descriptors.total - descriptors.used - RESERVED_DESCRIPTORS)
 
     def reclaim_one(self) -> None:
-        """Raise this process's limit by the descriptor of a connection that a peer has passed to it."""
+        """Raise this process's limit by one, since a peer that passed a connection to it uses one descriptor less."""
         descriptors = self._dispatcher.descriptors
         descriptors.set_used_elsewhere(max(descriptors.total - descriptors.limit - 1, 0))
 
@@ -43,7 +43,7 @@
         self._dispatcher.descriptors.set_used_elsewhere(0)
 
     def reserve_for_successor(self) -> None:
-        """Reserve the descriptors that a successor needs at its start, closing idle connections if they are scarce."""
+        """Reserve the descriptors that a successor needs at its start; if few are left then, close idle connections."""
         dispatcher = self._dispatcher
         dispatcher.descriptors.set_used_elsewhere(BASE_DESCRIPTORS)
         if dispatcher.descriptors.scarce:
--- a/badgerroad/hot_restart/messages.py
+++ b/badgerroad/hot_restart/messages.py
@@ -42,9 +42,9 @@
 
     kind: ClassVar[str] = "offer"
     version: int
-    endpoint_list: Any  # in the format of a discovery server
-    zones: Any  # names, by index
-    machine_types: Any  # names, by index
+    endpoint_list: Any  # endpoint list in the format of a discovery server
+    zones: Any  # names of the zones, by index
+    machine_types: Any  # names of the machine types, by index
     descriptors_in_use: Any
 
     def to_head(self) -> Head:
@@ -84,9 +84,9 @@
     """Sent by a process that has stopped accepting, so that the receiver accepts new requests from now on."""
 
     kind: ClassVar[str] = "yours"
-    state: dict[str, Any] | None  # learned by the dispatch policy, as `load_balancing.state` saves it
-    attempts: list[Any]  # in flight, as `load_balancing.state` lists them
-    open_requests: list[bytes]  # ids
+    state: dict[str, Any] | None  # state learned by the dispatch policy, as `load_balancing.state` saves it
+    attempts: list[Any]  # attempts in flight, as `load_balancing.state` lists them
+    open_requests: list[bytes]  # ids of the open requests
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -123,9 +123,9 @@
     """
 
     kind: ClassVar[str] = "client"
-    connection: Head  # as the frontend describes it
+    connection: Head  # the connection's state, as the frontend describes it
     request: dict[str, Any] | None  # the open request, as `hot_restart.request_transfer` describes it
-    body_length: int  # bytes
+    body_length: int  # length of the open request's body in bytes
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerConnection:
-    """Passes an idle connection to a worker to the receiver."""
+    """Passes to the receiver an idle connection that leads to a worker."""
 
     kind: ClassVar[str] = "host"
     worker: str
@@ -167,7 +167,7 @@
     worker: str
     slots: float
     long: bool
-    work: float  # expected, in microseconds
+    work: float  # expected work, in microseconds
 
     def to_head(self) -> Head:
         """See `Message`."""
--- a/badgerroad/hot_restart/peers.py
+++ b/badgerroad/hot_restart/peers.py
@@ -1,7 +1,7 @@
 """The other processes of a hot restart, as this process sees them.
 
-A process can have an older peer, which only finishes its open requests, and a newer one, to which this process has
-yielded.
+A process can have an older peer, which only finishes its open requests, and a newer peer, which accepts the
+new requests once this process has yielded to it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from badgerroad.net.unix_channel import OnMessage, UnixChannel
 from badgerroad.process_messages import Message
 
-EventHandler = Callable[[rules.Event], None]  # passes an event to the state machine of one peer
+EventHandler = Callable[[rules.Event], None]  # passes an event to this process's state machine for one peer
 
 # States of this process in which the older peer, or the newer one, has requests of the dispatcher too.
 _STATES_WITH_ACTIVE_OLDER = (SuccessorState.SERVING, SuccessorState.RETURNING, SuccessorState.GIVEN_BACK)
@@ -37,7 +37,7 @@
     ) -> None:
         """Take ownership of `sock`; `on_message` and `on_closed` are those of `UnixChannel`."""
         self.channel = UnixChannel(sock, on_message, on_closed)
-        self.attempts = state.PeerAttempts(decisions)  # that the peer has in flight
+        self.attempts = state.PeerAttempts(decisions)  # attempts that the peer has in flight
         self.open_requests: set[bytes] = set()  # ids of the peer's open requests when it sent its grant
         self._reply_timer: Timer | None = None
 
@@ -46,7 +46,7 @@
         self.channel.send(message.kind, message.to_head(), descriptor)
 
     def try_send(self, message: Message, payload: bytes, descriptor: int) -> bool:
-        """Send at once or not at all; returns whether it was sent. If not, `descriptor` stays the caller's."""
+        """Send a message at once or not at all; returns whether it was sent. The caller keeps `descriptor`."""
         return self.channel.try_send(message.kind, message.to_head(), payload, descriptor)
 
     def expect_message(self, wheel: TimerWheel, timeout_us: int, handle_event: EventHandler) -> None:
@@ -66,8 +66,8 @@
 
     def __init__(self) -> None:
         """Start without peers."""
-        self.successor = rules.Successor()  # this process's role towards an older one
-        self.predecessor = rules.Predecessor()  # this process's role towards a newer one
+        self.successor = rules.Successor()  # this process's role towards an older process
+        self.predecessor = rules.Predecessor()  # this process's role towards a newer process
         self.older: PeerProcess | None = None
         self.newer: PeerProcess | None = None
         # The peer that accepts new requests, to which connections and open requests are passed. None: none are passed.
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -32,7 +32,7 @@
 
 log = logs.get("badgerroad")
 
-PREPARED_CHECK_INTERVAL_US = 20_000  # between two checks whether discovery has answered
+PREPARED_CHECK_INTERVAL_US = 20_000  # time between two checks whether discovery has answered
 
 # States in which the newer process has to send heartbeats.
 _HEARTBEAT_STATES = (PredecessorState.YIELDED, PredecessorState.SUPERSEDED)
@@ -124,7 +124,7 @@
     def _on_connection(self, sock: socket.socket) -> None:
         peers = self.peers
         if peers.newer is not None:
-            sock.close()  # only one newer process at a time; a rejected one listens on its own socket
+            sock.close()  # only one newer process at a time; a rejected process opens a listening socket itself
             return
         peers.predecessor = rules.Predecessor(terminating=self.dispatcher.frontend.draining)
         peers.newer = PeerProcess(sock, self._on_newer_message, self._on_newer_lost, self.dispatcher.decisions)
@@ -197,7 +197,7 @@
             recipient.send(messages.RequestEnded(request_id))
 
     def _on_attempt_message(self, message: messages.AnyMessage, sender: PeerProcess) -> None:
-        """Handle a message about an attempt, and relay it to the third process if three form a chain."""
+        """Handle a message about an attempt, and relay it to the third process if three processes form a chain."""
         now = self.dispatcher.clock.now()
         match message:
             case JobEvent(request_id, worker, state, item):
--- a/badgerroad/hot_restart/request_transfer.py
+++ b/badgerroad/hot_restart/request_transfer.py
@@ -25,7 +25,7 @@
     "opened": "opened_connection",
     "status": "status",
 }
-_OPTIONAL_ATTEMPT_FIELDS = {"unsent": "not_sent"}  # missing in messages of older versions
+_OPTIONAL_ATTEMPT_FIELDS = {"unsent": "not_sent"}  # these fields are missing in messages of older versions
 
 
 class RequestCopy(NamedTuple):
--- a/badgerroad/hot_restart/rules.py
+++ b/badgerroad/hot_restart/rules.py
@@ -25,14 +25,14 @@
 from collections.abc import Mapping
 from enum import StrEnum
 
-PROTOCOL_VERSION = 2  # of the messages between the processes
-# Longest times until the next message of the other process. A new process must accept its first connection within 6 s
-# of its start, of which the start itself takes up to 1 s and an unanswered poll of discovery 1.5 s.
+PROTOCOL_VERSION = 2  # version of the messages between the processes of a hot restart
+# Longest times to wait for the next message of the other process. A new process must accept its first connection
+# within 6 s of its start, of which the start itself takes up to 1 s and an unanswered poll of discovery 1.5 s.
 HELLO_TIMEOUT_US = 1_500_000
 CLAIM_TIMEOUT_US = 1_000_000
 OFFER_TIMEOUT_US = 8_000_000  # from the offer to the claim; until then the predecessor continues to accept
-# A successor sends a message every 0.2 s. One that has sent none for this long is stopped or hangs, so its predecessor
-# resumes accepting.
+# A successor sends a message every 0.2 s. A successor that has sent none for this long is stopped or hangs, so its
+# predecessor resumes accepting.
 MISSING_HEARTBEAT_US = 2_000_000
 
 
@@ -62,7 +62,7 @@
     SEND_CLAIM = "send claim"
     SEND_GRANT = "send grant"
     SEND_RETURN = "send return"
-    LISTEN = "listen"  # on a new socket, and accept from it
+    LISTEN = "listen"  # open a new listening socket and accept from it
     ADOPT_LISTENER = "adopt listener"  # take over the listener received with the offer, without accepting from it yet
     ACCEPT = "accept"
     STOP_ACCEPTING = "stop accepting"
@@ -112,11 +112,12 @@
 PredecessorTransition = tuple[PredecessorState, tuple[Action, ...]]
 
 _LISTEN_ALONE = (SuccessorState.INDEPENDENT, (Action.CLOSE_CHANNEL, Action.LISTEN))
-# The predecessor has gone or is silent, and this process has its listener.
+# Used when the predecessor has gone or is silent, and this process has received the predecessor's listener.
 _SERVE_ALONE = (SuccessorState.SERVING, (Action.CLOSE_CHANNEL, Action.ACCEPT, Action.FORGET_PEER))
 _END_ALONE = (SuccessorState.ENDING, (Action.CLOSE_CHANNEL, Action.FORGET_PEER, Action.DRAIN))
 
-# From state and event to the next state and the actions. Pairs that are not listed have no effect.
+# Maps each state and event to the next state and the actions. A pair of state and event that is not listed has no
+# effect.
 SUCCESSOR_TRANSITIONS: Mapping[tuple[SuccessorState, Event], SuccessorTransition] = {
     (SuccessorState.SEEKING, Event.PEER_FOUND): (SuccessorState.ASKING, (Action.SEND_HELLO,)),
     (SuccessorState.SEEKING, Event.NO_PEER_FOUND): (SuccessorState.INDEPENDENT, (Action.LISTEN,)),
@@ -178,7 +179,7 @@
     ),
 }
 
-# Transitions that take precedence over the above once this process has been asked to terminate.
+# Transitions that take precedence over PREDECESSOR_TRANSITIONS once this process has been asked to terminate.
 TERMINATING_PREDECESSOR_TRANSITIONS: Mapping[tuple[PredecessorState, Event], PredecessorTransition] = {
     (PredecessorState.OFFERING, Event.CLAIM): (
         PredecessorState.YIELDED,
@@ -195,7 +196,8 @@
     ),
 }
 
-# States in which TERMINATE leads to FINISH: the successor accepts, or is to accept, the new requests.
+# States in which the event TERMINATE leads to the action FINISH: the successor accepts, or is to accept, the new
+# requests.
 _FINISH_ON_TERMINATE_STATES = (
     PredecessorState.YIELDED,
     PredecessorState.SUPERSEDED,
--- a/badgerroad/hot_restart/snapshot.py
+++ b/badgerroad/hot_restart/snapshot.py
@@ -39,8 +39,8 @@
 ) -> messages.Grant:
     """Return the message that hands new requests over.
 
-    `attempts`: in flight, as `state.export_attempts` lists them; `peer_open_requests`: ids of requests that are open in
-    other processes; `with_state`: include the learned state of the dispatch policy.
+    `attempts`: the attempts in flight, as `state.export_attempts` lists them; `peer_open_requests`: ids of requests
+    that are open in other processes; `with_state`: include the learned state of the dispatch policy.
     """
     return messages.Grant(
         state=state.export_learned_state(dispatcher.decisions) if with_state else None,
--- a/badgerroad/hot_restart/unmatched_job_events.py
+++ b/badgerroad/hot_restart/unmatched_job_events.py
@@ -4,9 +4,9 @@
 
 from badgerroad.process_messages import JobEvent
 
-# The transfer of a request takes milliseconds, but the process that receives it may be busy.
+# How long an event is retained. The transfer of its request takes milliseconds, but the receiving process may be busy.
 RETENTION_US = 2_000_000
-MAX_EVENTS = 64  # limits memory: each event may carry a result of 64 KiB
+MAX_EVENTS = 64  # most events retained; limits memory, as each event may carry a result of 64 KiB
 
 
 class UnmatchedJobEvents:
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         """Start without events."""
-        self._events: list[tuple[int, JobEvent]] = []  # with the time of arrival, the latest last
+        self._events: list[tuple[int, JobEvent]] = []  # each with its time of arrival; the latest event is last
 
     def retain(self, event: JobEvent, now: int) -> None:
         """Retain an event that arrived at `now` (microseconds), and drop those that are too old or too many."""
--- a/badgerroad/multiprocess/messages.py
+++ b/badgerroad/multiprocess/messages.py
@@ -44,7 +44,7 @@
     """Sent by the supervisor once before the server process has started, then at each reload."""
 
     kind: ClassVar[str] = "config"
-    text: str  # of the configuration file
+    text: str  # text of the configuration file
     reloaded: bool  # after a reload, the file's `discovery` takes precedence over PROXY_DISCOVERY
     listen: str  # host:port
     operator: Operator | None  # the operator's file
@@ -69,7 +69,7 @@
     """Sent by the supervisor with a descriptor: the channel to another server process."""
 
     kind: ClassVar[str] = "peer"
-    number: int  # of the other server process
+    number: int  # number of the other server process
 
     def to_head(self) -> Head:
         """See `Message`."""
@@ -153,7 +153,7 @@
     """Sent by a server process whose channel to another one has closed."""
 
     kind: ClassVar[str] = "cut off"
-    number: int  # of the other server process
+    number: int  # number of the other server process
 
     def to_head(self) -> Head:
         """See `Message`."""
--- a/badgerroad/multiprocess/metric_sums.py
+++ b/badgerroad/multiprocess/metric_sums.py
@@ -11,7 +11,7 @@
 
 COUNTERS_BY_CLASS = ("answered", "deferred", "errored")
 COUNTERS = ("sends",)
-GAUGES = ("current",)  # summed over the running processes
+GAUGES = ("current",)  # metrics that are summed over the running processes
 # All server processes see the same fleet, so the largest value that any of them reports is shown.
 LARGEST_GAUGES = ("cluster_size", "cluster_unhealthy")
 
@@ -37,7 +37,7 @@
         self._running[number] = metrics
 
     def process_ended(self, number: int) -> None:
-        """Add the counters of a server process that has ended to those kept, and drop its gauges."""
+        """Add the counters of a server process that has ended to the kept counters, and drop its gauges."""
         self._ended = _summed_counters([self._ended, self._running[number]])
         self._running[number] = {}
 
--- a/badgerroad/multiprocess/rules.py
+++ b/badgerroad/multiprocess/rules.py
@@ -10,14 +10,15 @@
 
 # A process that has run for this long did not fail at its start, so the backoff is reset when it ends.
 STABLE_RUN_US = 10_000_000
-INITIAL_BACKOFF_US = 100_000  # between a failed start and the next start; doubled after each further failure
+INITIAL_BACKOFF_US = 100_000  # time between a failed start and the next start; doubled after each further failure
 MAX_BACKOFF_US = 5_000_000
 MAX_BACKOFF_DOUBLINGS = 16
 START_TIMEOUT_US = 15_000_000  # from the start to the first message, which normally takes 0.3 to 1 s
-# A server process sends a message every 0.2 s. One that has sent none for this long, while the supervisor was awake, is
-# stopped or hangs, and its clients hang with it.
+# A server process sends a message every 0.2 s. A process that has sent none for this long, while the supervisor was
+# awake, is stopped or hangs, and its clients hang with it.
 MISSING_HEARTBEAT_US = 10_000_000
-# Exit codes for "cannot listen" and "invalid configuration", which any other first start would give too.
+# Exit codes for "cannot listen" and "invalid configuration", with which any other server process would exit too.
+# The supervisor then ends all server processes instead of starting the failed one again.
 PERMANENT_FAILURE_CODES = (
     1,
     2,
@@ -28,7 +29,7 @@
     """State of a server process."""
 
     DOWN = "down"
-    STARTING = "starting"  # runs but does not listen yet
+    STARTING = "starting"  # the process runs but does not listen yet
     UP = "up"
 
 
@@ -73,7 +74,7 @@
         """Describe a process that has never been started."""
         self.state = ProcessState.DOWN
         self.started_at = 0  # time of the latest start
-        self.consecutive_failures = 0  # ends before STABLE_RUN_US
+        self.consecutive_failures = 0  # how often in a row the process ended before it had run for STABLE_RUN_US
 
 
 class ProcessGroup:
@@ -84,7 +85,7 @@
         self.processes = [ServerProcessRecord() for _ in range(size)]
         self.terminating = False
         self._exit_code = 0
-        self._configuration_proven = False  # some server process has started to listen with it
+        self._configuration_proven = False  # some server process has started to listen with the configuration
 
     def start(self, now: int) -> list[Action]:
         """Start all server processes."""
--- a/badgerroad/multiprocess/server_process.py
+++ b/badgerroad/multiprocess/server_process.py
@@ -21,11 +21,11 @@
 
 log = logs.get("badgerroad")
 
-REPORT_INTERVAL_US = 200_000  # between two reports of metrics, so that the sums are at most 0.5 s old
+REPORT_INTERVAL_US = 200_000  # time between two reports of metrics, so that the sums are at most 0.5 s old
 
 
 class ServerProcess(DispatcherExtension):
-    """Takes part in a group of server processes on behalf of this one, as an extension of its dispatcher."""
+    """Takes part in a group of server processes on behalf of this server process, as an extension of its dispatcher."""
 
     def __init__(
         self, parameters: StartParameters, dispatcher: Dispatcher, wheel: TimerWheel, stop: Callable[[], None]
@@ -36,7 +36,7 @@
         """
         self.index = parameters.process_index
         self.may_listen = asyncio.Event()
-        self.peers: dict[int, UnixChannel] = {}  # by the number of the other server process
+        self.peers: dict[int, UnixChannel] = {}  # channels by the number of the other server process
         self._dispatcher = dispatcher
         self._wheel = wheel
         self._closed = False
--- a/badgerroad/multiprocess/startup.py
+++ b/badgerroad/multiprocess/startup.py
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from badgerroad.operator.schema import Operator
 
-MIN_SOCKETS = 64  # a server process with fewer would have none left for clients beyond those it needs itself
-# Descriptors of the supervisor in addition to one channel for each server process: the standard streams, the event
-# loop's own, the bound address, the admin listener and its connections.
+MIN_SOCKETS = 64  # a server process with fewer sockets needs them itself and has none left for clients
+# Descriptors of the supervisor in addition to one channel for each server process: the standard streams, the
+# descriptors of the event loop, the bound address, the admin listener and its connections.
 SUPERVISOR_DESCRIPTORS = 32
 SEED_SHIFT = 64  # bits; the process number is added to the seed above the bits of the configured seed
 
@@ -24,7 +24,7 @@
 class ProcessIndex(NamedTuple):
     """The number of a server process, and the size of its group."""
 
-    number: int  # from 0
+    number: int  # counted from 0
     size: int
 
     def share_of(self, config: Config) -> Config:
--- a/badgerroad/multiprocess/supervisor.py
+++ b/badgerroad/multiprocess/supervisor.py
@@ -45,9 +45,9 @@
 
     size: int  # number of server processes
     config: Config
-    text: bytes  # of the configuration file
+    text: bytes  # text of the configuration file
     operator: Operator | None  # the operator's file
-    operator_file: str | None  # its path
+    operator_file: str | None  # path of the operator's file
     verbose: bool
 
 
@@ -106,7 +106,7 @@
         self.options = options
         self.config = options.config
         self.slots = [ProcessSlot() for _ in range(options.size)]
-        self.listen = ""  # host and port, once bound
+        self.listen = ""  # host and port of the listening address, once it is bound
         self.exit_code: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._text = options.text
         self._operator = options.operator
@@ -242,10 +242,10 @@
         slot.send(messages.PeersConnected())
 
     def _connect(self, first: int, second: int) -> None:
-        """Send two running server processes a channel to each other, in place of an earlier one."""
+        """Send two running server processes a channel to each other, in place of an earlier channel."""
         slots = self.slots[first], self.slots[second]
         if first == second or not all(slot.started and slot.channel is not None for slot in slots):
-            return  # the two are connected once both have started
+            return  # the two processes are connected once both have started
         ends = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         for slot, peer, sock in zip(slots, (second, first), ends, strict=True):
             slot.send_socket(messages.PeerChannel(peer), sock)
@@ -253,7 +253,7 @@
     def reload(self) -> None:
         """Read the files again on SIGHUP, check them completely, and send them to the running server processes.
 
-        Server processes that start later get them at their start. Invalid files change nothing.
+        Server processes that start later get the new content at their start. Invalid files change nothing.
         """
         try:
             text = read_config_file(os.environ)
@@ -287,7 +287,7 @@
 
 
 def _load_operator(path: str | None) -> Operator | None:
-    """Load the operator's file. Imports the modules for it only if there is one. Raises ConfigError."""
+    """Load the operator's file. Imports the modules that read it only if there is such a file. Raises ConfigError."""
     if path is None:
         return None
     from badgerroad.operator.schema import load
--- a/badgerroad/net/connection.py
+++ b/badgerroad/net/connection.py
@@ -25,7 +25,7 @@
 class Connection:
     """Owns one socket. Subclasses handle messages and the end of the connection in their `on_...` methods."""
 
-    lingering = False  # this side has ended; bytes that still arrive are discarded
+    lingering = False  # this side has ended the connection; bytes that still arrive are discarded
 
     def __init__(
         self, sock: socket.socket, descriptors: DescriptorBudget, responses: bool, body_limit: int = BODY_LIMIT
@@ -42,7 +42,7 @@
         self.send_buffer = RingBuffer(2 * MESSAGE_LIMIT)
         self.parser = Parser(self.receive_buffer, responses, body_limit)
         self.closed = False
-        self._flushing_bytes = 0  # bytes of the send buffer that the stream is writing now
+        self._flushing_bytes = 0  # number of bytes of the send buffer that the stream is writing now
         self._write: asyncio.Future[None] | None = None
         self._pending_read: asyncio.Future[int] | None = None
         self._paused = False
@@ -176,7 +176,7 @@
             if not self.stream.socket.recv(1, socket.MSG_PEEK):
                 return True
         except BlockingIOError:
-            return False  # nothing to read
+            return False  # the peer is connected but has sent nothing that is unread
         except OSError:
             return True
         poll = select.poll()
--- a/badgerroad/net/descriptor_budget.py
+++ b/badgerroad/net/descriptor_budget.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-# Fractions of the limit at which the measures against exhaustion start, mildest first.
+# Fractions of the limit. Eviction of idle connections stops once no more than the first is in use. At each of the
+# others, a measure against exhaustion starts, the mildest at the smallest fraction.
 HEADROOM_FRACTION = 0.8
 SCARCE_FRACTION = 0.9
 NEARLY_EXHAUSTED_FRACTION = 0.95
@@ -13,7 +14,8 @@
 class DescriptorBudget:
     """Counts open sockets. Each connection takes one descriptor and releases it in `close`."""
 
-    RESERVE = 24  # for standard streams, the event loop, the listener, discovery, and sockets about to be closed
+    # Descriptors for standard streams, the event loop, the listener, discovery, and sockets about to be closed.
+    RESERVE = 24
 
     def __init__(self, limit: int, reserved: int = 0) -> None:
         """Create the budget of a process that may open `limit` descriptors, `reserved` of them for other uses."""
--- a/badgerroad/net/framing.py
+++ b/badgerroad/net/framing.py
@@ -13,10 +13,10 @@
 from badgerroad.errors import BadgerroadError
 
 # A packet must fit in the socket's buffer, which has 208 KiB by default.
-MAX_PART_BYTES = 32 * 1024  # of each part of a head that is sent in several packets
-MAX_PACKET_BYTES = 184 * 1024  # room for a request's body, a client's full ring buffer, and a head
+MAX_PART_BYTES = 32 * 1024  # largest part of a head that is sent in several packets
+MAX_PACKET_BYTES = 184 * 1024  # enough for a request's body, a client's full ring buffer, and a head
 RECEIVE_BYTES = MAX_PACKET_BYTES + 64  # size of receive buffers; the excess detects packets that are too long
-MAX_HEAD_BYTES = 16 * 1024 * 1024  # of all parts together; the state of 10,000 workers takes about 2 MB
+MAX_HEAD_BYTES = 16 * 1024 * 1024  # limit of all parts of a head together; the state of 10,000 workers takes about 2 MB
 
 PART_KIND = "part"  # one part of a head that is too long for one packet; `more` is 0 in the last part
 
@@ -32,7 +32,7 @@
     """A received message."""
 
     kind: str
-    head: dict[str, Any]  # `kind` included
+    head: dict[str, Any]  # all fields of the head, `kind` included
     payload: bytes
 
 
--- a/badgerroad/net/http1.py
+++ b/badgerroad/net/http1.py
@@ -12,8 +12,8 @@
 from badgerroad.errors import BadgerroadError
 from badgerroad.net.ring_buffer import RingBuffer
 
-HEADER_LIMIT = 16 * 1024  # bytes
-BODY_LIMIT = 64 * 1024  # bytes
+HEADER_LIMIT = 16 * 1024  # largest header of a message, in bytes
+BODY_LIMIT = 64 * 1024  # largest body of a message, in bytes
 MESSAGE_LIMIT = HEADER_LIMIT + BODY_LIMIT
 REASONS = {
     100: "Continue",
@@ -109,7 +109,7 @@
         self.responses = responses
         self.body_limit = body_limit
         self.head: Message | None = None
-        self._length = 0  # of the body in bytes, or _CHUNKED or _UNTIL_CLOSE
+        self._length = 0  # length of the body in bytes, or _CHUNKED or _UNTIL_CLOSE
         self._chunks = bytearray()
         self._chunk_remaining = _AT_SIZE_LINE  # missing bytes of the current chunk and its line end, or _IN_TRAILERS
 
--- a/badgerroad/net/ring_buffer.py
+++ b/badgerroad/net/ring_buffer.py
@@ -35,7 +35,7 @@
         return self._count >= self.limit
 
     def writable(self) -> memoryview:
-        """Return the next contiguous free memory, growing a full buffer. Empty once the limit is reached."""
+        """Return the next contiguous free memory, growing a full buffer. It is empty once the limit is reached."""
         if self._count == len(self._data) < self.limit:
             self._resize(min(len(self._data) * 2, self.limit))
         size = len(self._data)
--- a/badgerroad/net/timer_wheel.py
+++ b/badgerroad/net/timer_wheel.py
@@ -10,9 +10,11 @@
 
 TICK_US = 1_000
 SLOT_COUNT = 1_024
-# An event loop that wakes this late has stalled: the process was stopped or had no CPU, or a callback took that long.
+# An event loop that wakes more than this many ticks late has stalled: the process was stopped or had no CPU, or a
+# callback took that long.
 STALL_TICKS = 100
-# Time after a stall for reading what peers sent during it, which takes several loop iterations.
+# For this many ticks after a stall, timers that await a peer are postponed: reading what peers sent during the stall
+# takes several loop iterations.
 PEER_GRACE_TICKS = 25
 log = logs.get("badgerroad")
 
--- a/badgerroad/net/unix_channel.py
+++ b/badgerroad/net/unix_channel.py
@@ -21,9 +21,9 @@
 
 log = logs.get("badgerroad")
 
-MAX_QUEUED_PACKETS = 20_000  # if a peer does not read and more are queued, the channel is closed
+MAX_QUEUED_PACKETS = 20_000  # if a peer does not read and more packets are queued, the channel is closed
 PACKETS_PER_TURN = 32  # most packets read before the event loop serves other sockets
-BACKLOG = 4  # connections that wait to be accepted
+BACKLOG = 4  # most connections that wait to be accepted
 # Errors of sendmsg after which the channel still works: a full buffer, an interrupt, or too large a packet.
 PEER_BUSY_ERRORS = (errno.EAGAIN, errno.EINTR, errno.ETOOMANYREFS, errno.EMSGSIZE)
 
@@ -35,7 +35,7 @@
     """A packet in the send queue."""
 
     data: bytes
-    descriptor: int | None  # sent with the packet
+    descriptor: int | None  # descriptor that is sent with the packet
     owned_socket: socket.socket | None  # closed when the packet has been sent or dropped
 
 
@@ -164,7 +164,7 @@
             self._deliver(packet)
 
     def _receive(self) -> ReceivedPacket:
-        """Receive one packet; other errors than those raised are returned as the end of the channel.
+        """Receive one packet; errors other than those named below are returned as the end of the channel.
 
         Raises BlockingIOError, InterruptedError or ConnectionResetError.
         """
--- a/badgerroad/retry_budget/rules.py
+++ b/badgerroad/retry_budget/rules.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# Parts in which counts leave the window; the window is therefore up to one part longer than configured.
+# Number of parts of a window. Counts leave the window one part at a time, so the window is up to one part longer than
+# configured.
 WINDOW_PARTS = 10
 # Share of the budget that hedged requests may use; the rest is for requests that have no attempt in flight any more.
 HEDGING_SHARE = 0.5
@@ -28,7 +29,7 @@
 class WindowPart:
     """The attempts in one part of a window."""
 
-    number: int  # consecutive, from the clock's zero
+    number: int  # consecutive number of the part, counted from the clock's zero
     first: int = 0
     retries: int = 0
 
@@ -68,7 +69,7 @@
     """The retry budgets of all request classes."""
 
     def __init__(self, share: float, min_retries: int, window_us: int) -> None:
-        """`share`: retries allowed for each first attempt.
+        """`share`: number of retries allowed for each first attempt; may be a fraction.
 
         `min_retries`: retries allowed in a window in any case, so that classes with little traffic can retry.
         """
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -136,7 +136,8 @@
         ]
         reader, writer = connections[admin_listener.MAX_CONNECTIONS - 1]
         await until(lambda: len(w.second.connections) == admin_listener.MAX_CONNECTIONS)
-        writer.write(b"GET /ready HTTP/1.1\r\n\r\n")  # others wait, but this one is below MIN_CLOSE_AGE_US
+        # Other connections wait in the backlog, but this connection is too young to be closed for them.
+        writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
         assert b" 200 " in (await read_message(reader))[0]
         monkeypatch.setattr(admin_listener, "MIN_CLOSE_AGE_US", 0)
         monkeypatch.setattr(admin_listener, "REQUEST_TIMEOUT_US", 300_000)
@@ -147,18 +148,18 @@
         assert (await send_raw(w, b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
         assert len(w.second.connections) <= admin_listener.MAX_CONNECTIONS
         assert w.dispatcher.descriptors.used == used_before
-        await until(lambda: not w.second.connections)  # closed by their timeout
+        await until(lambda: not w.second.connections)  # the timeout has closed all connections
 
 
 @async_test
 async def test_exhausted_client_descriptors_do_not_affect_admin_requests_and_rejections_are_counted():
     async with World(serve, ops=True) as w:
         await until(lambda: w.dispatcher.ready)
-        w.dispatcher.descriptors.used += w.dispatcher.descriptors.limit  # exhausted
+        w.dispatcher.descriptors.used += w.dispatcher.descriptors.limit  # no descriptor is left
         waiting = [await w.connect() for _ in range(5)]
         assert (await send_raw(w, b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
         assert not w.dispatcher.frontend.connections
-        # Nearly exhausted: connections of clients are accepted, but their requests are rejected.
+        # Descriptors are nearly exhausted: connections of clients are accepted, but their requests are rejected.
         w.dispatcher.descriptors.used -= 0.04 * w.dispatcher.descriptors.limit
         assert (await w.ask(job(), waiting[0]))[0] == 503
         assert (await w.read_metrics())["deferred"] == {"preview": 1, "bundle": 0}
--- a/tests/backend/test_cancels.py
+++ b/tests/backend/test_cancels.py
@@ -42,8 +42,9 @@
         response = w.begin(w.ask(job()))
         await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
         w.dispatcher.backend.cancel_attempt(w.dispatcher.open_requests[1].attempts[0])
-        w.dispatcher.decisions.may_begin = lambda *_: True  # in place of the policy's decision
-        w.dispatcher.perform_actions([interface.Send(1, "h0")])  # waits until the worker has responded to the cancel
+        w.dispatcher.decisions.may_begin = lambda *_: True  # in place of the policy's decision to send or not
+        # This second attempt waits until the worker has responded to the cancel.
+        w.dispatcher.perform_actions([interface.Send(1, "h0")])
         assert await w.call_back("r1", "done", result="of the first") == 200
         delete_may_be_answered.set()
         await until(lambda: w.dispatcher.open_requests[1].attempts[1].accepted)
--- a/tests/backend/test_worker_addresses.py
+++ b/tests/backend/test_worker_addresses.py
@@ -16,7 +16,8 @@
         ((connection, timer),) = worker.idle
         worker.idle = []
         timer.cancel()
-        w.dispatcher.backend.set_address("h0", ("127.0.0.1", w.hosts[1].port))  # while the connection is in use
+        # The worker's address changes while the connection is in use.
+        w.dispatcher.backend.set_address("h0", ("127.0.0.1", w.hosts[1].port))
         w.dispatcher.backend.pools.checkin(worker, connection)
         assert not worker.idle
         assert connection.closed
--- a/tests/backend/test_worker_responses.py
+++ b/tests/backend/test_worker_responses.py
@@ -88,7 +88,7 @@
         response = w.begin(w.ask(job()))
         await until(lambda: w.dispatcher.open_requests and w.dispatcher.open_requests[1].attempts[0].accepted)
         first = w.dispatcher.open_requests[1].attempts[0].worker
-        w.dispatcher.decisions.may_begin = lambda *_: True  # in place of the policy's decision
+        w.dispatcher.decisions.may_begin = lambda *_: True  # in place of the policy's decision to send or not
         w.dispatcher.perform_actions([interface.Send(1, "h1" if first == "h0" else "h0")])
         await until(lambda: w.dispatcher.open_requests[1].attempts[1].ended)
         assert await w.call_back("r1", "done", first, result="made") == 200
--- a/tests/frontend/test_bad_requests.py
+++ b/tests/frontend/test_bad_requests.py
@@ -77,7 +77,7 @@
     async with World(serve) as w:
         reader, writer = await w.connect()
         writer.write(bad + b"z" * 32_000_000)
-        await writer.drain()  # completes only if the dispatcher reads everything
+        await writer.drain()  # this wait ends only if the dispatcher reads all bytes
         assert (await read_message(reader))[0].startswith(b"HTTP/1.1 %d " % status)
         assert await reader.read() == b""
         writer.close()
--- a/tests/frontend/test_eviction.py
+++ b/tests/frontend/test_eviction.py
@@ -13,7 +13,7 @@
         ("REQUEST_TIMEOUT_US", 60_000_000),
         ("EVICTION_GRACE_US", 0),
     ):
-        monkeypatch.setattr(frontend_client, name, value)  # no timeout ends a connection
+        monkeypatch.setattr(frontend_client, name, value)  # no timeout ends a connection during this test
     async with World(serve, limits=224, ops=True) as w:
         frontend, descriptors = w.dispatcher.frontend, w.dispatcher.descriptors
         await until(lambda: w.dispatcher.ready)
@@ -23,16 +23,17 @@
         for _, writer in incomplete:
             writer.write(b"POST /preview/x HTT")
         await until(lambda: len(frontend.connections) >= 61)
-        descriptors.used += int(0.96 * descriptors.limit) - descriptors.used  # too few for an attempt of a new request
+        # The remaining 4 % of the descriptors are too few for an attempt of a new request.
+        descriptors.used += int(0.96 * descriptors.limit) - descriptors.used
         assert (await w.ask(job("r1"), busy_client))[0] == 200
-        descriptors.used += descriptors.limit - descriptors.used  # exhausted
+        descriptors.used += descriptors.limit - descriptors.used  # no descriptor is left
         assert (await w.ask(job("r2")))[0] == 200
         assert (await w.ask(job("r3"), busy_client))[0] == 200  # a client with frequent requests is evicted last
 
 
 @async_test
 async def test_connections_are_searched_for_eviction_once_per_accepted_batch():
-    """Searching all connections for each accepted one blocked the event loop for 0.4 s with 900 connections."""
+    """Searching all connections for each accepted connection blocked the event loop for 0.4 s with 900 connections."""
     async with World(serve) as w:
         await until(lambda: w.dispatcher.ready)
         searches = []
--- a/tests/hot_restart/test_accepting_process.py
+++ b/tests/hot_restart/test_accepting_process.py
@@ -96,4 +96,4 @@
         assert new.accepting  # even if the old process has ended or is silent
     assert not (new.alive or old.alive) or any(s.alive and (s.accepting or s.draining) for s in (new, old))
     if new.alive and old.alive and not failed and ended and not old.draining:
-        assert old.accepting  # the new process has returned the requests
+        assert old.accepting  # again, since the new process has returned the requests
--- a/tests/hot_restart/test_real_upgrades.py
+++ b/tests/hot_restart/test_real_upgrades.py
@@ -27,13 +27,13 @@
         for process in (old, new):
             process.send_signal(signal.SIGHUP)
     if disturbance == "third":
-        await service.start()  # before the oldest has ended
+        await service.start()  # a third process, started before the oldest has ended
     if disturbance == "back":
         old, new = new, old  # the new process ends; the old one continues, and the next new process finds it
     ending = (new, old) if disturbance == "third" else (old,)
     for process in ending:
         process.terminate()
-        if process is new:  # it stays alive for the oldest process, to which it relays job events
+        if process is new:  # the second of three stays alive for the oldest, to which it relays job events
             await asyncio.sleep(0.5)
             assert process.returncode is None
     for process in ending:
@@ -74,7 +74,8 @@
         await asyncio.wait_for(s.start(), 6 + 4)  # 4 s more, since a process starts slowly on a busy machine
         if peer_state == "stopped":
             s.processes[0][0].kill()
-            await s.processes[0][0].wait()  # until it has ended, its listen queue gets connections too
+            # Until the stopped process has ended, its listen queue gets connections too.
+            await s.processes[0][0].wait()
         await s.client("c", 5)
         assert Counter(s.responses) == {(200, b"made"): 5}
         assert path.stat().st_mode & 0o777 == 0o600
--- a/tests/hot_restart/test_state_transfer.py
+++ b/tests/hot_restart/test_state_transfer.py
@@ -30,7 +30,7 @@
 
 def test_learned_state_and_an_open_request_continue_in_another_process():
     old, new = policy_with_fleet(), policy_with_fleet(2)
-    old.workers["c"].slow_start_sends.append((150, 7.0))  # counted against its slow-start budget
+    old.workers["c"].slow_start_sends.append((150, 7.0))  # a send counted against the worker's slow-start budget
     for n in range(1, 9):
         send = [
             a
--- a/tests/hot_restart/test_takeover.py
+++ b/tests/hot_restart/test_takeover.py
@@ -22,7 +22,7 @@
 
 @contextlib.asynccontextmanager
 async def with_second_process(w, folder, **changes):
-    """Start a second dispatcher, its configuration changed by `changes`, that takes over from the one of a World."""
+    """Start a second dispatcher, its configuration changed by `changes`, that takes over from that of the World `w`."""
     first = HotRestart(w.dispatcher, w.dispatcher.wheel, str(folder))
     first.announce()
     new, ops = assemble(w.dispatcher.config._replace(**changes), TimerWheel(Clock(), IOLoop.current()))
@@ -57,7 +57,7 @@
         for n, (_, writer) in enumerate(connections):
             writer.write(requests[n][: 2 * n])
         pipelined = await w.connect()
-        pipelined[1].write(job("first") + job("second"))  # the second is read while the first is open at a worker
+        pipelined[1].write(job("first") + job("second"))  # the second request is read while the first is open
         await until(lambda: b"first" in w.dispatcher.requests_by_id and len(w.dispatcher.frontend.connections) == 61)
         attempt = w.dispatcher.requests_by_id[b"first"].attempts[0]
         await until(lambda: attempt.accepted)
@@ -100,7 +100,7 @@
                         dispatcher.accepts_clients and first.peers.predecessor.state == "passed"
                     )
                 )
-                first._on_connection(rejected_socket := socket.socket())  # a process accepts only one newer one
+                first._on_connection(rejected_socket := socket.socket())  # only one newer process is accepted
                 assert rejected_socket.fileno() == -1
                 if returns:
                     third.terminate()  # the second process accepts again and reports that to the first
@@ -121,7 +121,10 @@
 
 
 async def open_immovable_request(w, name="r1", *headers):
-    """Send a request that a worker accepts, and mark its attempt as not accepted, so that it cannot be moved."""
+    """Send a request that a worker accepts, and mark its attempt as not accepted.
+
+    A request cannot be moved to another process while it has an open attempt that is not accepted.
+    """
     answer = w.begin(w.ask(job(name, "preview", 5000, b"x", *headers)))
     await until(lambda: any(attempt.accepted for r in w.dispatcher.requests_by_id.values() for attempt in r.attempts))
     (attempt,) = w.dispatcher.requests_by_id[name.encode()].attempts
@@ -132,7 +135,7 @@
 @pytest.mark.parametrize("sender_ends", [False, True])
 @async_test
 async def test_a_job_event_that_arrives_before_its_moving_request_is_applied(sender_ends, tmp_path):
-    """The event is applied even if the process that sent the request ends at once."""
+    """The event is applied even if the process that has passed the request on ends at once."""
     async with World(lambda w, head, body: reply(202), ops=True) as w:
         answer, attempt = await open_immovable_request(w)
         async with with_second_process(w, tmp_path) as (first, second):
@@ -168,7 +171,7 @@
     async with World(
         *[lambda w, head, body: reply(202)] * 3, ops=True, familyInfo={"tellsStart": True, "classKind": [-1, 0]}
     ) as w:
-        w.entries[2].update(site="far", **{"class": "big"})  # neither is in the settings
+        w.entries[2].update(site="far", **{"class": "big"})  # the settings name neither this zone nor this machine type
         old = w.dispatcher
         await until(lambda: old.ready)
         w.discovery.script = lambda head, body: reply(503)
@@ -188,7 +191,7 @@
         async with with_second_process(w, tmp_path, **changes) as (first, second):
             new = second.dispatcher
             # The new process has the old one's endpoint list, though discovery fails and its cached list is empty.
-            # The old one's indices of zones and machine types apply to the list and to the settings.
+            # The old process's indices of zones and machine types apply to the list and to the settings.
             assert {n: x.info for n, x in new.decisions.workers.items()} == {
                 n: x.info for n, x in old.decisions.workers.items()
             }
@@ -202,8 +205,9 @@
             assert any(h.idle for h in new.backend.workers.values())
             assert not any(h.idle for h in old.backend.workers.values())
             assert old.descriptors.limit < old.descriptors.total / 2
-            assert new.descriptors.limit <= new.descriptors.total - old.descriptors.used  # both share one limit
-            assert await silent[0].read() == b""  # its request time-out continued in the new process
+            # Both processes together have one limit of descriptors.
+            assert new.descriptors.limit <= new.descriptors.total - old.descriptors.used
+            assert await silent[0].read() == b""  # the client's request time-out continued in the new process
             # The old process reports its retry, the retry's start and its end; the new process reports its own attempt.
             await w.call_back("r1", "failed", attempt.worker)
             await until(
@@ -222,7 +226,7 @@
                 and slots_by_worker(old)[new.requests_by_id[b"n1"].attempts[0].worker][0] == 1
             )
             first.terminate()
-            # The event arrives at the new process, which passes it to the old one.
+            # The job event arrives at the new process, which passes it to the old one.
             assert await w.call_back("r1", "done", retry.worker, result="made") == 200
             assert (await answer)[0] == 200
             assert b"close" not in (await answer)[1]
--- a/tests/multiprocess/test_multiprocess.py
+++ b/tests/multiprocess/test_multiprocess.py
@@ -36,7 +36,7 @@
 
 
 class GroupUnderTest:
-    """Performs the actions of a ProcessGroup on simulated processes, and checks that each is allowed."""
+    """Performs the actions of a ProcessGroup on simulated processes, and checks that each action is allowed."""
 
     def __init__(self):
         self.group = rules.ProcessGroup(3)
@@ -64,7 +64,7 @@
                     assert number in self.running
                     self.terminated.add(number)
                 case _:
-                    assert action.process in self.running  # Kill
+                    assert action.process in self.running  # the action is Kill
 
     def step(self, step, number):
         if step == "time":
@@ -195,7 +195,7 @@
         return {int(f["process"]): int(f["pid"]) for f in fields}
 
     async def read_metrics(self):
-        await asyncio.sleep(0.5)  # the summed metrics may be this old
+        await asyncio.sleep(0.5)  # the summed metrics may be 0.5 s old
         return await super().read_metrics()
 
     async def load(self, connections):
@@ -240,7 +240,8 @@
         assert 0 < await load < 30
         # Job events about the lost process's attempts reach the other processes, which do not know these attempts.
         assert set(s.attempt_counts.values()) == {1}
-        assert {status for status, _ in s.responses} <= {200, 503}  # 503: three workers may be too few for the deadline
+        # Three workers may be too few to meet the deadline of a request, which is then answered with 503.
+        assert {status for status, _ in s.responses} <= {200, 503}
         new_pids = await s.pids(4)
         assert new_pids[0] == pids[0]
         assert new_pids[2] == pids[2]
@@ -264,13 +265,13 @@
         (tmp_path / "o.toml").write_text("[log]\nformat = 'json'\n")
         good["settings"]["requestClasses"].append({**CLASS, "name": "other"})
         (tmp_path / "c.json").write_text(json.dumps(good))
-        s.supervisor.send_signal(signal.SIGHUP)  # the third process is being started, with the earlier text
+        s.supervisor.send_signal(signal.SIGHUP)  # the third process is being started, with the earlier configuration
         await s.lines("listening", 5)
         while (await s.read_metrics())["conf_loaded"] != 1:
             pass
         await asyncio.gather(*(s.client(f"o{n}", 1, "other") for n in range(24)))
         assert Counter(s.responses) == {(200, b"made"): 24}
-        await s.lines('"process":2', 1)  # a JSON line: the third process has the new operator's file too
+        await s.lines('"process":2', 1)  # a JSON line shows that the third process has the new operator's file
         assert [(await s.read_metrics())[name] for name in ("conf_invalid", "conf_loaded")] == [1, 1]
 
 
--- a/tests/net/test_http1_parser.py
+++ b/tests/net/test_http1_parser.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 parser: messages split at any byte, and rejection of ambiguous ones."""
+"""The HTTP/1.1 parser: messages split at any byte, and rejection of ambiguous messages."""
 
 import pytest
 
--- a/tests/net/test_ring_buffer.py
+++ b/tests/net/test_ring_buffer.py
@@ -9,7 +9,7 @@
     ring_buffer = RingBuffer(64, initial_capacity=8)
     ring_buffer.put(b"abcdef")
     assert ring_buffer.take(4) == b"abcd"
-    ring_buffer.put(b"ghijk")  # wraps inside the first 8 bytes
+    ring_buffer.put(b"ghijk")  # these bytes wrap around inside the capacity of 8
     assert ring_buffer.capacity == 8
     assert ring_buffer.peek() == b"efghijk"
     ring_buffer.put(b"x" * 57)
--- a/tests/net/test_unix_channel.py
+++ b/tests/net/test_unix_channel.py
@@ -37,7 +37,7 @@
     channel = UnixChannel(
         ours, lambda kind, head, payload, fd: received.append(socket.socket(fileno=fd)), lambda: closed.append(1)
     )
-    channel.send("held", {})  # the peer closes without reading this
+    channel.send("held", {})  # the peer closes without reading this message
     for _ in "12":
         theirs.sendmsg(
             [framing.pack_single("client", {})],
--- a/tests/retry_budget/test_retry_budget.py
+++ b/tests/retry_budget/test_retry_budget.py
@@ -33,7 +33,7 @@
             sent.append((now, "first", request_class))
             continue
         in_window = [k for at, k, c in sent if c == request_class and at > now - WINDOW]
-        # Attempts leave the window in parts, so older ones may count too.
+        # Attempts leave the window in parts, so attempts slightly older than the window may count too.
         in_wide_window = [
             k for at, k, c in sent if c == request_class and at > now - WINDOW - 2 * WINDOW // WINDOW_PARTS
         ]
@@ -68,7 +68,7 @@
         assert [a[0] for a in answers] == [503] * 4
         assert all(b"Retry-After" in a[1] for a in answers)
         sent_ids = [id_of(head) for peer in w.hosts for head, _ in peer.received if head.startswith(b"POST")]
-        assert len(sent_ids) == 4 + 2  # first attempts and retries
+        assert len(sent_ids) == 4 + 2  # 4 first attempts and 2 retries
         assert (await w.read_metrics())["sends"] == 6
         assert "retry_budget_exhausted cls=preview first=1 retries=0" in capsys.readouterr().err
         apply_limits(w.dispatcher, Operator())  # an operator's file without limits removes the budget
