--- a/benchmarks/fleet/children.py
+++ b/benchmarks/fleet/children.py
@@ -22,7 +22,7 @@
 _libc = ctypes.CDLL(None)
 
 
-class TooLargeErrorError(Exception):
+class TooLargeInstallationError(Exception):
     """A run needs more processes or memory than allowed."""
 
 
@@ -90,12 +90,12 @@
     def _check_count(self) -> None:
         running = sum(process.returncode is None for process in self.processes)
         if running >= MAX_PROCESSES:
-            raise TooLargeErrorError(f"{running} processes are running, the limit is {MAX_PROCESSES}")
+            raise TooLargeInstallationError(f"{running} processes are running, the limit is {MAX_PROCESSES}")
 
     def check_memory(self) -> int:
         """Return the resident bytes of all processes.
 
-        Raises TooLargeErrorError above the allowed share of the machine's memory.
+        Raises TooLargeInstallationError above the allowed share of the machine's memory.
         """
         total = 0
         for process in self.processes:
@@ -103,7 +103,9 @@
                 with contextlib.suppress(OSError):  # the process has just ended
                     total += usage(process.pid).resident
         if total > memory_of_machine() * MAX_MEMORY_SHARE:
-            raise TooLargeErrorError(f"the processes use {total >> 20} MiB of resident memory, more than a run may use")
+            raise TooLargeInstallationError(
+                f"the processes use {total >> 20} MiB of resident memory, more than a run may use"
+            )
         return total
 
     async def end_all(self) -> None:
