--- a/badgerroad/fleet/connections.py
+++ b/badgerroad/fleet/connections.py
@@ -29,7 +29,7 @@
 
 log = logs.get("badgerroad")
 
-MAX_ACCEPTED_CONNECTIONS = 2048  # incoming connections open at the same time; further ones are closed
+MAX_ACCEPTED_CONNECTIONS = 2048  # incoming connections open at the same time; further connections are closed
 ROLE_DISPATCHER: Final = "dispatcher"  # values of Hello.role
 ROLE_CONTROLLER: Final = "controller"
 
@@ -66,7 +66,7 @@
     """All connections of one process of the fleet, by the name of the peer."""
 
     def __init__(self, hello: Hello, controllers: Mapping[str, Address], receiver: Receiver, random: Random) -> None:
-        """`hello`: describes this process. `controllers`: the addresses of all controllers, including its own."""
+        """`hello`: describes this process. `controllers`: addresses of all controllers, even of this process."""
         self.hello = hello
         self.controllers = controllers
         self._receiver = receiver
@@ -99,7 +99,7 @@
             self._listener.stop()
 
     def connect_controllers(self) -> None:
-        """Connect to the controllers whose names sort after this one's; the others connect to this one."""
+        """Connect to the controllers whose names sort after this controller's; the others connect to this one."""
         for name in self.controllers:
             if self.hello.name < name:
                 self.connect(name)
@@ -123,8 +123,8 @@
     def send(self, name: str, message: Message) -> None:
         """Send a message to a peer.
 
-        Without a connection, the message is queued while one is made if this side is the one that connects; otherwise
-        it is dropped.
+        Without a connection to the peer, the message is queued while this process connects to the peer, if this is the
+        side that connects; otherwise it is dropped.
         """
         framed = frame(encode(message))
         connection = self._open.get(name)
@@ -136,7 +136,7 @@
         dialer = self._dialers.get(name)
         if dialer is None or not dialer.send(framed):
             self._dropped += 1
-            if self.hello.role == ROLE_DISPATCHER:  # can switch controllers; a controller waits for the connection
+            if self.hello.role == ROLE_DISPATCHER:  # a dispatcher can switch controllers; a controller waits
                 asyncio.get_running_loop().call_soon(self._report_lost, name)
 
     def _may_connect(self, name: str) -> bool:
--- a/badgerroad/fleet/controller.py
+++ b/badgerroad/fleet/controller.py
@@ -27,7 +27,7 @@
 log = logs.get("badgerroad")
 
 DRAIN_TIMEOUT_S = 5.0  # time from SIGTERM after which the process ends even if credit is not returned
-FLUSH_TIMEOUT_S = 0.5  # additional time for writing the last messages
+FLUSH_TIMEOUT_S = 0.5  # additional time after draining for writing the last messages to the sockets
 DRAIN_POLL_INTERVAL_S = 0.02  # time between two checks whether draining or flushing is complete
 STATISTICS_INTERVAL_S = 10.0  # time between two log lines of statistics
 
--- a/badgerroad/fleet/dialer.py
+++ b/badgerroad/fleet/dialer.py
@@ -16,10 +16,10 @@
 log = logs.get("badgerroad")
 
 CONNECT_TIMEOUT_S = 3.0
-MAX_PENDING_BYTES = 64 * 1024  # frames queued while the connection is being made
-INITIAL_BACKOFF_S = 0.1  # backoff that is doubled at each failure
-MAX_BACKOFF_S = 2.0  # upper bound of the backoff
-STABLE_CONNECTION_S = 2.0  # duration of a connection that resets the backoff
+MAX_PENDING_BYTES = 64 * 1024  # maximum size of the frames queued while the connection is being made
+INITIAL_BACKOFF_S = 0.1  # longest wait before reconnecting after a stable connection; each failure in a row doubles it
+MAX_BACKOFF_S = 2.0  # upper bound of the wait before an attempt to reconnect
+STABLE_CONNECTION_S = 2.0  # time from the start of an attempt to the connection's end that resets the wait
 
 
 class Dialer:
--- a/badgerroad/fleet/extension.py
+++ b/badgerroad/fleet/extension.py
@@ -26,7 +26,7 @@
 
 STATISTICS_INTERVAL_US = 10_000_000  # time between two log lines of statistics
 DECISION_LIMIT_FACTOR = 2  # multiple of ask_timeout_ms after which a request proceeds even without a decision
-MAX_NAME_PREFIX_CHARS = 32  # characters of the dispatcher's name in its name as a peer
+MAX_NAME_PREFIX_CHARS = 32  # characters of the dispatcher's name with which its name as a peer begins
 
 
 class PendingRequest(NamedTuple):
@@ -48,12 +48,12 @@
     """Owns the leases, the connections to controllers and their timers, from `start` to `close`."""
 
     def __init__(self, wheel: TimerWheel, settings: FleetSettings, name: str, zone: str) -> None:
-        """`name`: of the dispatcher. `zone`: the zone whose controller is preferred."""
+        """`name`: the dispatcher's name. `zone`: the zone whose controller is preferred."""
         self.settings = settings
         self._wheel, self._clock = wheel, wheel.clock
         random = Random(os.urandom(16))
         incarnation = new_incarnation()
-        # Two processes of one dispatcher need different peer names, because each has leases of its own.
+        # Two processes of one dispatcher need different peer names, because each process has separate leases.
         peer_name = f"{name[:MAX_NAME_PREFIX_CHARS] or 'dispatcher'}-{os.getpid()}-{incarnation:x}"
         self.leases = DispatcherLeases(settings, peer_name, zone, incarnation, self._clock.now(), random)
         hello = Hello(VERSION, peer_name, zone, ROLE_DISPATCHER, incarnation)
--- a/badgerroad/fleet/joining.py
+++ b/badgerroad/fleet/joining.py
@@ -10,7 +10,7 @@
 from badgerroad.fleet.settings import FleetSettings
 from badgerroad.operator.schema import Fleet
 
-QUOTAS = "quotas"  # the extension's name
+QUOTAS = "quotas"  # name under which the quota extension is attached to a dispatcher
 
 
 def check(config: Config, fleet: Fleet, file: str) -> FleetSettings:
@@ -29,7 +29,7 @@
 
 
 def zone_of(config: Config, fleet: Fleet) -> str:
-    """Return the zone of the table, or else the zone of the dispatcher's own settings."""
+    """Return the zone given in the fleet table, or else the zone in the dispatcher's settings."""
     place = config.settings.zone
     return fleet.zone or (config.zones[place] if 0 <= place < len(config.zones) else "")
 
--- a/badgerroad/fleet/messages.py
+++ b/badgerroad/fleet/messages.py
@@ -14,9 +14,9 @@
 from badgerroad.errors import BadgerroadError
 
 VERSION = 1
-MAX_NAME = 64  # bytes of a name
-MAX_LIST = 4096  # entries of a list
-MAX_MESSAGE_BYTES = 1 << 20  # bytes of one encoded message
+MAX_NAME = 64  # maximum number of bytes of a name
+MAX_LIST = 4096  # maximum number of entries of a list
+MAX_MESSAGE_BYTES = 1 << 20  # maximum size of one encoded message
 UNKNOWN_SESSION = 0  # session number in a QuotaRequest before the owner has sent the number of this term's session
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME)]
@@ -141,7 +141,7 @@
 
 
 class VoteRelease(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Frees the sender's grants of exactly these shards and terms."""
+    """Frees the voter's grants to the sender for exactly the shards and terms in `claims`."""
 
     claims: Claims
 
@@ -202,7 +202,7 @@
 
 
 class NotOwner(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """The reply of a controller that does not own the shard in that term."""
+    """The reply of a controller that does not own the shard in the term of the request."""
 
     shard: Shard
     term: Number
@@ -228,7 +228,7 @@
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """The totals of a dispatcher that requests no more credit. `controller` as in LeaseRequest."""
+    """The totals of a dispatcher that requests no more credit. `controller` has the same meaning as in LeaseRequest."""
 
     usages: Usages
     controller: Number = 0
--- a/badgerroad/fleet/peer_connection.py
+++ b/badgerroad/fleet/peer_connection.py
@@ -47,7 +47,7 @@
 
 
 class PeerConnection:
-    """One connection. It owns its stream. `closed` is called once, whichever side closes the connection."""
+    """One connection to a peer. It owns its stream. `closed` is called once, whichever side closes the connection."""
 
     def __init__(
         self,
--- a/badgerroad/fleet/rules/bucket.py
+++ b/badgerroad/fleet/rules/bucket.py
@@ -30,11 +30,11 @@
 
     @property
     def total(self) -> int:
-        """The sum of all four amounts."""
+        """The sum of `level`, `outstanding`, `suspended` and `carryable`."""
         return self.level + self.outstanding + self.suspended + self.carryable
 
     def refill(self, amount: int) -> None:
-        """Add `amount` to the level: first into free capacity, then by converting `carryable`."""
+        """Add `amount` to the level: first up to the depth, then in exchange for `carryable`. The rest is dropped."""
         free = max(0, self.depth - self.total)
         filled = min(amount, free)
         exchanged = min(amount - filled, self.carryable)
@@ -42,7 +42,7 @@
         self.level += filled + exchanged
 
     def set_depth(self, depth: int) -> None:
-        """Change the depth. An excess is taken from `level` first, then from `carryable`."""
+        """Change the depth. Credit above the new depth is taken from `level` first, then from `carryable`."""
         self.depth = depth
         excess = max(0, self.total - depth)
         from_level = min(excess, self.level)
@@ -85,5 +85,5 @@
         return accepted
 
     def end_carry_over(self) -> None:
-        """Release the capacity reserved for carried-over credit."""
+        """Free the capacity reserved for credit that zones may carry over from the previous term."""
         self.carryable = 0
--- a/badgerroad/fleet/rules/controller.py
+++ b/badgerroad/fleet/rules/controller.py
@@ -17,8 +17,8 @@
 from badgerroad.fleet.rules.zone import ZoneController
 from badgerroad.fleet.settings import FleetSettings
 
-DISTRIBUTE_BEFORE_END_US = 400_000  # time before a planned end of ownership at which zones get the remaining credit
-SESSION_BITS = 48  # size of the random number from which the session numbers of a term count up
+DISTRIBUTE_BEFORE_END_US = 400_000  # time before a planned end of ownership when the zones get the remaining credit
+SESSION_BITS = 48  # bits of the random number from which the session numbers of a term count up
 
 
 class ControllerFigures(msgspec.Struct, frozen=True, rename={"requests_rejected": "requests_refused"}):
@@ -93,7 +93,10 @@
         self.zone.set_quotas(now, quotas)
 
     def peer_lost(self, now: int, name: str) -> None:
-        """Handle the loss of a connection to a peer. Only expiry is applied, because leases end by time alone."""
+        """Handle the loss of a connection to a peer.
+
+        Only expired leases and ownerships are dropped, because they end by time and not with a connection.
+        """
         self._expire(now)
 
     def drain(self, now: int) -> list[SendMessage]:
--- a/badgerroad/fleet/rules/controller_choice.py
+++ b/badgerroad/fleet/rules/controller_choice.py
@@ -9,10 +9,10 @@
 from badgerroad.fleet.settings import FleetSettings
 
 LATE_REPLY_US = 200_000  # age at which a request without a reply counts as late
-MAX_LATE_REPLIES = 3  # late requests in a row at which the next controller is chosen
-REPLY_TIMEOUT_US = 1_000_000  # age at which a single request without a reply suffices for that
+MAX_LATE_REPLIES = 3  # number of late requests, without a reply in between, at which the next controller is chosen
+REPLY_TIMEOUT_US = 1_000_000  # age at which a single request without a reply suffices to choose the next controller
 POLL_OWN_INTERVAL_US = 5_000_000  # interval of polls of the zone's own controller while another one is in use
-STALL_US = 500_000  # after a longer gap between ticks this process was stalled, and missing replies prove nothing
+STALL_US = 500_000  # after a longer gap between ticks this process was stalled, so missing replies do not count
 
 
 class ControllerChoice:
@@ -22,7 +22,7 @@
         """Start with the zone's own controller."""
         self._order = controller_order(settings, zone, dispatcher)
         self._index = 0
-        self._open: dict[int, int] = {}  # time sent by sequence, of open requests to the current controller
+        self._open: dict[int, int] = {}  # sequence -> sending time of each open request to the current controller
         self._next_poll = now + POLL_OWN_INTERVAL_US
         self._last_tick = now
 
--- a/badgerroad/fleet/rules/credits.py
+++ b/badgerroad/fleet/rules/credits.py
@@ -8,29 +8,30 @@
 
 from typing import NamedTuple
 
-MAX_JUMP = 1 << 40  # requests by which a received total may exceed the known one
-LATE_WINDOW = 1 << 20  # a message number that is lower than the highest by more than this is not a late message's
+MAX_JUMP = 1 << 40  # requests by which a received total may exceed the known total
+LATE_WINDOW = 1 << 20  # a message number more than this below the highest received number is not of a late message
 
 
 def is_newest(number: int, known: int) -> bool:
-    """Whether a message number is at least `known`, the highest so far, or too far below it to be a late message.
+    """Whether a message number is at least `known`, the highest so far, or too far below it for a late message.
 
-    In the second case the highest number must have been wrong, so the lower one is accepted.
+    In the second case the highest number must have been wrong, so the lower number is accepted.
     """
     return number >= known or known - number > LATE_WINDOW
 
 
 class Progress(NamedTuple):
-    """The amounts by which a report raised the known totals."""
+    """By how many requests a report raised the known totals of used and returned requests."""
 
     used: int
     returned: int
 
 
 class GrantorCredit:
-    """The account at the granting side.
+    """The credit account at the granting side.
 
-    Granted credit is outstanding until it is reported as used or returned, or is written off.
+    Granted credit is outstanding until it is reported as used or returned, or is written off, after which reports on it
+    change nothing.
     """
 
     __slots__ = ("granted", "used", "returned", "written_off")
@@ -40,11 +41,11 @@
         self.granted = 0
         self.used = 0
         self.returned = 0
-        self.written_off = 0  # requests of `granted` that are accounted for, whatever is reported later
+        self.written_off = 0  # granted requests that are not outstanding any more, whatever is reported later
 
     @property
     def outstanding(self) -> int:
-        """Granted requests that are neither reported nor written off."""
+        """The number of granted requests that are neither reported as used or returned nor written off."""
         return self.granted - max(self.written_off, self.used + self.returned)
 
     def grant(self, count: int) -> None:
@@ -52,7 +53,10 @@
         self.granted += count
 
     def report(self, used: int, returned: int) -> Progress:
-        """Apply the holder's totals. Totals above the granted total are invalid and ignored."""
+        """Apply the holder's totals; return how many outstanding requests they account for.
+
+        Totals whose sum exceeds the granted total are invalid and ignored.
+        """
         if max(self.used, used) + max(self.returned, returned) > self.granted:
             return Progress(0, 0)
         counted = max(self.written_off, self.used + self.returned)
@@ -75,14 +79,14 @@
             self.used, self.returned = used, returned
 
     def write_off(self) -> int:
-        """Account for all granted requests; return how many were outstanding."""
+        """Write off all granted requests; return how many were outstanding."""
         outstanding = self.outstanding
         self.written_off = self.granted
         return outstanding
 
 
 class HolderCredit:
-    """The account at the side that receives and uses the credit."""
+    """The credit account at the side that receives and uses the credit."""
 
     __slots__ = ("granted", "used", "returned")
 
@@ -94,11 +98,11 @@
 
     @property
     def unused(self) -> int:
-        """Requests granted and neither used nor returned."""
+        """The number of granted requests that are neither used nor returned."""
         return self.granted - self.used - self.returned
 
     def take(self, granted: int) -> int:
-        """Apply the grantor's total; return by how much it rose.
+        """Apply the grantor's total of granted requests; return by how much it rose.
 
         A total that is more than MAX_JUMP higher is ignored: once accepted, a wrong value would hide all correct totals
         that follow.
--- a/badgerroad/fleet/rules/demand.py
+++ b/badgerroad/fleet/rules/demand.py
@@ -6,10 +6,10 @@
 
 from badgerroad.fleet.settings import FleetSettings
 
-AVERAGING_PERIOD_US = 3_000_000  # time constant of the average
-STOCK_COVER_S = 0.5  # seconds of demand that a stock covers
+AVERAGING_PERIOD_US = 3_000_000  # time constant of the average of a team's request rate
+STOCK_COVER_S = 0.5  # seconds of a team's demand that a zone's stock covers
 STOCK_SHARE = 0.8  # share of a bucket's depth that the stocks of all zones may hold
-ROUNDING_ALLOWANCE = 0.7  # added before the stock is rounded down to whole requests
+ROUNDING_ALLOWANCE = 0.7  # requests added to a stock before it is rounded down to whole requests
 
 
 class Demand:
@@ -39,8 +39,8 @@
 def target_stock(rate: float, quota: float, settings: FleetSettings) -> int:
     """Return the number of whole requests that a zone should keep in stock for a team, at least one.
 
-    The stock follows recent demand, which is assumed to be at least that of a team at half its quota spread evenly over
-    all zones. The stocks of all zones together fit in STOCK_SHARE of the owner's bucket. Rates are requests per second.
+    The stock follows recent demand. This demand is assumed to be at least half the quota spread evenly over all zones.
+    The stocks of all zones together fit in STOCK_SHARE of the owner's bucket. Rates are requests per second.
     """
     zones = len(settings.controllers)
     expected = min(max(rate, quota / zones / 2), quota) * STOCK_COVER_S
--- a/badgerroad/fleet/rules/dispatcher.py
+++ b/badgerroad/fleet/rules/dispatcher.py
@@ -79,7 +79,7 @@
         return self._requests.request(now, [team]) if leases.open_request is None else []
 
     def receive(self, now: int, sender: Peer, message: Message) -> list[Action]:
-        """Handle a message of a controller. Messages of an earlier incarnation of it are ignored."""
+        """Handle a message of a controller. Messages of an earlier incarnation of that controller are ignored."""
         incarnations = self._requests.incarnations
         if sender.incarnation < incarnations.get(sender.name, 0):
             return []
@@ -125,9 +125,9 @@
             self._teams.leases[team].waiting.pop(request, None)
 
     def release(self, now: int) -> list[SendMessage]:
-        """Return all unused credit, because the process ends or another process replaces it.
+        """Return all unused credit to the controllers, because the process ends or another process replaces it.
 
-        Afterwards credit is requested only for requests that wait.
+        Afterwards credit is requested only for requests that already wait for a lease.
         """
         self._requests.prefetching = False
         for _, leases in self._teams.active_leases():
@@ -136,7 +136,7 @@
         return self._requests.report()
 
     def export(self, now: int) -> LeaseExport:
-        """Export the unused credit for the process that replaces this one, which may no longer use it."""
+        """Export the unused credit for the process that replaces this process. This process may no longer use it."""
         return export_leases(now, self._teams)
 
     @classmethod
@@ -246,7 +246,7 @@
         return False
 
     def _extend_lease(self, now: int, account: DispatcherLease, opened: OpenLeaseRequest, credit: LeaseCredit) -> None:
-        """Apply the granted total. Credit beyond the requested amount is late or an error, and is returned."""
+        """Apply the granted total. Credit beyond the requested amount came late or by an error, and is returned."""
         account.drop_ended(now)
         account.take(credit.granted)
         account.give_back(max(0, account.unused - opened.wanted[credit.team].requests))
--- a/badgerroad/fleet/rules/lease_requests.py
+++ b/badgerroad/fleet/rules/lease_requests.py
@@ -11,7 +11,7 @@
 from badgerroad.fleet.rules.team_leases import INHERITED, DispatcherLease, TeamLeases
 from badgerroad.fleet.rules.team_table import TeamTable
 
-MAX_REQUESTED = 1_000_000  # limit of the credit requested for one team in one lease request
+MAX_REQUESTED = 1_000_000  # maximum number of requests that one lease request asks for, per team
 
 
 class RequestedCredit(NamedTuple):
@@ -108,7 +108,7 @@
             self.close(self._open.pop(sequence).wanted, sequence)
 
     def report(self) -> list[SendMessage]:
-        """Return a message for each controller that does not know the current totals."""
+        """Return a message for each controller that does not know the current totals of used and returned credit."""
         usages: dict[Peer, list[Usage]] = {}
         for team, leases in self._teams.active_leases():
             for peer, account in leases.accounts.items():
--- a/badgerroad/fleet/rules/order.py
+++ b/badgerroad/fleet/rules/order.py
@@ -8,7 +8,7 @@
 
 
 def rendezvous(key: str, names: list[str]) -> list[str]:
-    """Order `names` by rendezvous hashing with `key` (highest random weight): removing a name moves no other."""
+    """Order `names` by rendezvous hashing with `key` (highest random weight): removing a name moves no other name."""
     return sorted(names, key=lambda name: (crc32(f"{key}/{name}".encode()), name))
 
 
--- a/badgerroad/fleet/rules/owner.py
+++ b/badgerroad/fleet/rules/owner.py
@@ -1,6 +1,6 @@
 """The owner of a shard: one token bucket per team and one session per zone controller.
 
-All state belongs to one term of ownership and is dropped with it. The caller checks that the term is still valid at
+All state belongs to one term of ownership and is dropped at its end. The caller checks that the term is still valid at
 `now`. Times are microseconds of the owner's monotonic clock.
 """
 
@@ -18,7 +18,7 @@
 
 SHARING_INTERVAL_US = 100_000  # minimum time between two distributions of scarce credit
 
-REFRESH_INTERVAL_US = 10_000_000  # interval at which all credit is sent again, even if it was acknowledged
+REFRESH_INTERVAL_US = 10_000_000  # interval at which each zone is sent all its credit again, even if acknowledged
 
 
 class Account:
@@ -39,7 +39,7 @@
 
     @property
     def shortfall(self) -> int:
-        """Requests that the zone wants beyond its outstanding credit."""
+        """The number of requests that the zone wants beyond its outstanding credit."""
         return max(0, self.wanted - self.credit.outstanding)
 
 
@@ -69,14 +69,14 @@
 class Team:
     """The quota of one team, with its bucket.
 
-    `refilled`: the lending total up to which the bucket is filled. `waiting`: sessions whose outstanding credit is
-    below what they want.
+    `refilled`: the value of `Lending.refilled` up to which the bucket was refilled. `waiting`: sessions whose
+    outstanding credit is below what they want.
     """
 
     __slots__ = ("quota", "known", "bucket", "refilled", "waiting", "shares")
 
     def __init__(self, bucket: Bucket, refilled: float) -> None:
-        """Start with `bucket`, which is filled up to the lending total `refilled`."""
+        """Start with `bucket`. `refilled`: the current value of `Lending.refilled`, which later refills count from."""
         self.quota = 0.0
         self.known = True
         self.bucket = bucket
@@ -147,7 +147,7 @@
         return self._grant(now, session, valid_ms)
 
     def receive_return(self, now: int, sender: Peer, message: QuotaReturn) -> None:
-        """Apply the final totals of a zone controller that shuts down."""
+        """Apply the final totals of used and returned requests of a zone controller that shuts down."""
         session = self.sessions.get(sender)
         if session is None or message.term != self.term or message.session != session.number:
             return
@@ -161,7 +161,7 @@
                 self._report(session, usage.team, account, usage.used, usage.returned)
 
     def tick(self, now: int) -> list[SendMessage]:
-        """Distribute refilled credit to waiting sessions. Returns the grants to send."""
+        """Distribute refilled credit to the sessions that wait for credit. Returns the grants to send."""
         self.lending.advance(now)
         self._end_sessions(now)
         if self._carrying and now >= self._carry_until:
@@ -177,10 +177,10 @@
         return [self._grant(now, session, 0) for session in changed.values()]
 
     def distribute_remaining(self, now: int, leaving: Peer | None) -> list[SendMessage]:
-        """Grant the remaining credit to the zones in equal parts, beyond what they want, before a planned release.
+        """Grant the buckets' remaining credit to the zones before a planned release, in equal parts.
 
-        The zones carry the credit over to the next owner and return it there. `leaving`: a zone controller that shuts
-        down and therefore gets none.
+        The zones get more than they want; they carry the credit over to the next owner and return it there. `leaving`:
+        a zone controller that shuts down and therefore gets no credit.
         """
         self.lending.advance(now)
         live = [session for session in self.sessions.values() if now < session.end and not session.suspended]
@@ -203,7 +203,7 @@
                 self._grant_credit(session, name, session.accounts[name], count)
 
     def _valid_ms(self, remaining: int) -> int:
-        """Return the duration of a quota lease.
+        """Return the duration of a quota lease in milliseconds. `remaining`: microseconds left of the ownership.
 
         No quota lease outlasts the ownership, so that none is still valid when the next owner starts.
         """
@@ -289,7 +289,7 @@
             self._grant_at_once(now, session, need.team, account)
 
     def _may_carry(self, account: Account) -> bool:
-        """Whether credit of the previous term may be accepted, which is allowed once per session."""
+        """Whether credit of the previous term may be accepted, which is allowed once per team and session."""
         return not account.carried
 
     def _carry(self, session: Session, name: str, account: Account, count: int) -> None:
@@ -314,7 +314,7 @@
             team.waiting.pop(session.peer, None)
 
     def _grant_at_once(self, now: int, session: Session, name: str, account: Account) -> None:
-        """Grant the shortfall if the bucket covers all waiting sessions; otherwise the next tick shares it out."""
+        """Grant the shortfall if the bucket covers all waiting sessions; otherwise the next tick shares its credit."""
         team = self._refresh(name)
         needed = sum(waiting.accounts[name].shortfall for waiting in team.waiting.values())
         if session.peer in team.waiting and needed * MICRO_PER_REQUEST <= team.bucket.level:
@@ -322,7 +322,7 @@
             self._update_waiting(session, name, account)
 
     def _distribute(self, now: int, name: str) -> dict[Peer, Session]:
-        """Share the available credit of one team among its waiting sessions. Returns the sessions that got some."""
+        """Share the available credit of one team among its waiting sessions. Returns the sessions that got credit."""
         team = self._refresh(name)
         needs = {
             peer: session.accounts[name].shortfall
@@ -391,7 +391,7 @@
                 self._update_waiting(session, name, account)
 
     def _refresh(self, name: str) -> Team:
-        """Return the team, with its bucket refilled up to the last `advance` of the lending."""
+        """Refill the team's bucket for the time up to the last call of `self.lending.advance`; return the team."""
         team = self.teams[name]
         refilled = self.lending.refilled
         if refilled > team.refilled:
--- a/badgerroad/fleet/rules/ownership.py
+++ b/badgerroad/fleet/rules/ownership.py
@@ -1,7 +1,7 @@
 """A candidate: acquires, renews and releases the ownership of shards.
 
-Each lease counts from before it was requested, by the candidate's own clock, and is checked at each use. Times are
-microseconds.
+An ownership lease starts when the candidate sends its vote request, by the candidate's own clock, and is checked at
+each use. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 HANDOVER_PAUSE_US = 2_000_000  # time for which a former owner does not claim a shard that it released
 HANDOVER_INTERVAL_US = 60_000_000  # minimum time between two handovers of the same shard
 TERM_BITS = 20  # number of random low bits in a term
-MAX_REMEMBERED_ROUNDS = 16  # vote rounds whose replies are still counted
-STALL_US = 1_000_000  # after a longer gap between ticks this process was stalled: missing announcements prove nothing
+MAX_REMEMBERED_ROUNDS = 16  # number of latest vote rounds whose replies are still counted
+STALL_US = 1_000_000  # after a longer gap between ticks this process was stalled and may have missed announcements
 
 
 class Ownership:
-    """An owned shard.
+    """This process's ownership of one shard.
 
     `end`: end of the ownership lease. `closing`: time of the planned release, or None. Both are by this process's
     clock.
@@ -62,7 +62,7 @@
 class Candidacy(NamedTuple):
     """A claim to a shard whose election is still open.
 
-    `sequence`: of its VoteRequest; `since`: the time it was sent.
+    `sequence`: the number of the VoteRequest with the claim. `since`: the time at which that request was sent.
     """
 
     term: int
@@ -114,7 +114,7 @@
 
     @property
     def owns_any(self) -> bool:
-        """Whether this process owns a shard or has yet to send the release of one."""
+        """Whether this process owns a shard or has yet to send the release of a shard."""
         return bool(self._owned)
 
     def expire(self, now: int) -> None:
@@ -126,7 +126,7 @@
                 self.dropped += 1
 
     def tick(self, now: int) -> list[SendMessage]:
-        """Release, renew, hand over and claim shards that are due. Returns the messages to send."""
+        """Release, renew, hand over and claim the shards for which that is due. Returns the messages to send."""
         self.expire(now)
         if now - self._last_tick > STALL_US:
             self._claim_after = max(self._claim_after, now + 2 * self._settings.renew_ms * US_PER_MS)
@@ -266,7 +266,7 @@
         return self._view.informed(now) and now >= since + self._rank(now, shard) * RANK_DELAY_US
 
     def _next_term(self, shard: int) -> int:
-        """Return a term above all known ones, with random low bits.
+        """Return a term above all known terms of the shard, with random low bits.
 
         The random bits keep terms unique even if all voters and candidates restarted and lost the previous terms.
         """
--- a/badgerroad/fleet/rules/reserve.py
+++ b/badgerroad/fleet/rules/reserve.py
@@ -1,8 +1,8 @@
 """The reserve: the share of each quota that a zone may use while it cannot reach an owner.
 
-While a zone reaches the owner, it lends its share to the owner for a limited time. Owner and zone never mint the same
-share at the same time: the owner counts the lending from a reading of its own clock that is older than the zone's
-message, and the zone counts it from when it sent the message, longer by the clock margin.
+While a zone reaches the owner, it lends its share to the owner for a limited time. Owner and zone never mint (create
+credit from) the same share at the same time: the owner counts the lending from a reading of its own clock that is older
+than the zone's message, and the zone counts it from when it sent the message, longer by the clock margin.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Lending:
-    """The owner's side: until when each zone's share may be minted here, and the refill that results.
+    """The owner's side of the lending: until when the owner may mint each zone's share, and the resulting refill.
 
     `refilled`: microseconds for which the full quota would have been minted since the start of the term.
     """
@@ -25,7 +25,7 @@
         self.refilled = 0.0
 
     def advance(self, now: int) -> None:
-        """Add the refill of the time up to `now`."""
+        """Add to `refilled` the time since the last call, times the share of each quota that the owner may mint."""
         if now <= self._advanced:
             return
         lent = sum(max(0, min(now, until) - self._advanced) for until in self.lent_until.values())
@@ -50,7 +50,10 @@
 
 
 class Reserve:
-    """The zone's side, for one shard. `usable_from`: by the zone's clock."""
+    """The zone's side of the lending, for one shard.
+
+    `usable_from`: the time from which the zone may use its reserve, by the zone's clock.
+    """
 
     def __init__(self, settings: FleetSettings, now: int) -> None:
         """Start at `now` with the reserve counted as lent, because an earlier incarnation may have lent it."""
--- a/badgerroad/fleet/rules/sharing.py
+++ b/badgerroad/fleet/rules/sharing.py
@@ -9,9 +9,9 @@
 
 
 class FairShares(Generic[Key]):
-    """Divides scarce requests and carries each key's unserved entitlement over to the next distribution.
+    """Divides scarce requests among receivers (keys) and carries unserved entitlements over to the next distribution.
 
-    Entitlements are in requests, including fractions. A negative one was served in advance.
+    Entitlements are in requests, including fractions. A negative entitlement means requests served in advance.
     """
 
     def __init__(self) -> None:
--- a/badgerroad/fleet/rules/team_leases.py
+++ b/badgerroad/fleet/rules/team_leases.py
@@ -13,8 +13,9 @@
 class DispatcherLease(HolderCredit):
     """The lease granted by one incarnation of one controller.
 
-    `end`: microseconds by this process's clock. `reported_total`: used and returned requests already reported to the
-    controller. `transferred`: requests that another process on this machine may use until `end`.
+    `end`: end of the lease in microseconds of this process's clock. `reported_total`: used and returned requests
+    already reported to the controller. `transferred`: requests that another process on this machine may use until
+    `end`.
     """
 
     __slots__ = ("end", "reported_total", "transferred")
@@ -28,7 +29,7 @@
 
     @property
     def unused(self) -> int:
-        """Requests that this process may use."""
+        """The number of requests that this process may use."""
         return super().unused - self.transferred
 
     def transfer(self) -> int:
@@ -54,16 +55,16 @@
 
     @property
     def unreported(self) -> bool:
-        """Whether the controller does not know the current totals."""
+        """Whether the controller does not know the current totals of used and returned requests."""
         return self.used + self.returned > self.reported_total
 
 
 class TeamLeases:
     """The leases of one team, and its requests that wait for a lease.
 
-    `demand`: the rate of requests within quota. `waiting`: deadline by request, in order. `rejected_until`: requests
-    are rejected without asking a controller until then. `no_prefetch_until`: credit is not requested in advance until
-    then. `open_request`: sequence of the open lease request, or None.
+    `demand`: the rate of requests within quota. `waiting`: deadline by request, in order of arrival.
+    `rejected_until`: time until which requests are rejected without asking a controller. `no_prefetch_until`: time
+    until which credit is not requested in advance. `open_request`: sequence of the open lease request, or None.
     """
 
     __slots__ = ("accounts", "demand", "waiting", "rejected_until", "no_prefetch_until", "open_request")
@@ -84,11 +85,11 @@
         return account
 
     def unused(self, now: int) -> int:
-        """Return the unused requests of all valid leases."""
+        """Return how many more requests all valid leases together allow."""
         return sum(account.unused for account in self.accounts.values() if account.runs(now))
 
     def take(self, now: int) -> bool:
-        """Use one request of the lease that ends first. Returns whether one was available."""
+        """Use one request of the lease that ends first. Returns False if no valid lease has an unused request."""
         usable = [account for account in self.accounts.values() if account.unused and account.runs(now)]
         if not usable:
             return False
--- a/badgerroad/fleet/rules/team_table.py
+++ b/badgerroad/fleet/rules/team_table.py
@@ -22,7 +22,7 @@
         self._unknown_until: dict[str, int] = {}
 
     def find(self, now: int, team: str) -> TeamLeases | None:
-        """Return the leases of the team, created if there are none; None if it has no quota or cannot have one."""
+        """Return the leases of the team, created if there are none; None if it has no quota or is not accepted."""
         leases = self.leases.get(team)
         if leases is not None:
             return leases
--- a/badgerroad/fleet/rules/view.py
+++ b/badgerroad/fleet/rules/view.py
@@ -31,7 +31,7 @@
 
 
 class Presence(NamedTuple):
-    """The announcements of a controller: its incarnation, the start of the uninterrupted series, and the last one."""
+    """The announcements of a controller: its incarnation, and when their uninterrupted series began and last grew."""
 
     incarnation: int
     alive_since: int
--- a/badgerroad/fleet/rules/voter.py
+++ b/badgerroad/fleet/rules/voter.py
@@ -78,7 +78,7 @@
         return grant.holder is None or grant.holder == candidate or grant.end <= now
 
     def _term_allowed(self, grant: Grant, candidate: Peer, claim: Claim) -> bool:
-        """Whether the term is above the highest known one, or the holder renews its own term."""
+        """Whether the term is above the highest known term of the shard, or the holder renews its own term."""
         if claim.term > MAX_TERM:
             return False
         return claim.term > grant.term or (claim.term == grant.term and grant.holder == candidate)
--- a/badgerroad/fleet/rules/zone.py
+++ b/badgerroad/fleet/rules/zone.py
@@ -12,16 +12,16 @@
 from badgerroad.fleet.rules.zone_session import Stock, ZoneShard
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-IDLE_TIMEOUT_US = 60_000_000  # idle time after which a dispatcher is dropped; far longer than any lease
+IDLE_TIMEOUT_US = 60_000_000  # time without a message after which a dispatcher is dropped; far longer than any lease
 
-READY_AFTER_US = 10_000_000  # time after the start from which polls are answered even without open sessions
+READY_AFTER_US = 10_000_000  # time after the start from which dispatchers' polls are answered without open sessions
 
 
 class Lease(GrantorCredit):
     """The lease of one team at one dispatcher.
 
-    `end`: by the zone controller's clock, and later than by the dispatcher's. `scheduled`: whether its expiry is
-    queued.
+    `end`: end of the lease by the zone controller's clock, later than its end by the dispatcher's clock. `scheduled`:
+    whether the end is in the heap of lease ends.
     """
 
     __slots__ = ("end", "scheduled")
@@ -36,7 +36,8 @@
 class Dispatcher:
     """The state of one dispatcher.
 
-    `sequence`: of its newest request. `last_message_at`: microseconds.
+    `sequence`: the number of its newest lease request. `last_message_at`: the time of its last message, in
+    microseconds.
     """
 
     __slots__ = ("sequence", "last_message_at", "leases")
@@ -55,7 +56,7 @@
     """
 
     def __init__(self, settings: FleetSettings, incarnation: int, view: View, now: int) -> None:
-        """Start at `now` without sessions. `incarnation`: that of this process."""
+        """Start at `now` without sessions. `incarnation`: the incarnation of this process."""
         self._settings = settings
         self._incarnation = incarnation
         self._view = view
@@ -134,7 +135,7 @@
                 self._report(shard, usage.team, stock, lease, usage.used, usage.returned)
 
     def end(self, now: int) -> list[SendMessage]:
-        """Return all credit and grant no more leases, because the process shuts down."""
+        """Return all unused credit to the owners and grant no more leases, because the process shuts down."""
         if self.ended:
             return []
         self.ended = True
@@ -168,7 +169,7 @@
         return LeaseCredit(need.team, lease.granted, valid_ms)
 
     def _replenish(self, now: int, request: LeaseRequest) -> list[SendMessage]:
-        """Request more credit from the owners whose stocks the request lowered, where a request is due."""
+        """Request more credit from the owners of the teams in the lease request, where a quota request is due."""
         if self.ended:
             return []
         actions: list[SendMessage] = []
--- a/badgerroad/fleet/rules/zone_session.py
+++ b/badgerroad/fleet/rules/zone_session.py
@@ -16,21 +16,21 @@
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
 URGENT_INTERVAL_US = 50_000  # minimum time between two requests to the owner
-SCARCE_INTERVAL_US = 250_000  # the same while the owner is short of credit, since it then grants more unprompted
-REFRESH_INTERVAL_US = 10_000_000  # interval at which all totals are sent again, even if they were answered
+SCARCE_INTERVAL_US = 250_000  # that minimum while the owner has too little credit; it then also grants unprompted
+REFRESH_INTERVAL_US = 10_000_000  # interval at which the owner is sent the totals of all teams again, even if known
 FIRST_SESSION_LIMIT = 1 << 48  # exclusive upper bound of the first session number of a term
-MAX_REMEMBERED_REQUESTS = 128  # requests whose sending times are kept
-MAX_FORMER_OWNERS = 64  # former owners that are remembered, so that no second session is opened with them
+MAX_REMEMBERED_REQUESTS = 128  # number of latest requests to the owner whose sending times are kept
+MAX_FORMER_OWNERS = 64  # number of former owners that are remembered, so that no second session is opened with them
 
 
 class Stock:
     """The credit of one team in one zone.
 
-    `quota`: the rate sent by the owner. `configured`: the rate in this controller's own file. The lower of the two
-    applies. `credit`: the account with the owner. `leased_out`: the part of it that dispatchers have leased and not
-    reported. `changed`: sequence of the first request that can carry the current state. `requested_stock`: the stock
-    wanted in the last request. `below_requested`: the owner granted less than that. `carried`: unused credit from the
-    session of an earlier term.
+    `quota`: the quota sent by the owner. `configured`: the quota in this controller's quotas file. The lower of the two
+    applies. `credit`: the account with the owner. `leased_out`: requests of this credit that dispatchers have leased
+    and not reported. `changed`: sequence of the first request that can carry the current state. `requested_stock`: the
+    stock wanted in the last request. `below_requested`: whether the unused credit was below `requested_stock` after the
+    last grant. `carried`: unused credit from the session of an earlier term.
     """
 
     __slots__ = (
@@ -60,7 +60,7 @@
 
     @property
     def available(self) -> int:
-        """Requests that may still be leased to dispatchers."""
+        """The number of requests that may still be leased to dispatchers."""
         return self.credit.unused - self.leased_out
 
     @property
@@ -79,9 +79,10 @@
 
 
 class ZoneShard:
-    """A zone's share of one shard.
+    """A zone's session with the owner of one shard, with its stocks and its reserve.
 
-    `open`: the owner's lease was valid when last checked, and the stock may be leased out. `end`: end of that lease.
+    `open`: whether the owner's lease to the zone was valid when last checked, so that the stocks may be leased to
+    dispatchers. `end`: end of that lease.
     """
 
     def __init__(self, settings: FleetSettings, shard: int, now: int) -> None:
@@ -126,7 +127,7 @@
             self.mark_changed(name, stock)
 
     def _settle_unserved(self, name: str, stock: Stock) -> None:
-        """Return the unused credit of a team that has no quota."""
+        """Return the unused credit of the team to the owner if it has no quota."""
         if not stock.served and stock.available > 0:
             stock.credit.give_back(stock.available)
         self.mark_changed(name, stock)
@@ -203,7 +204,7 @@
     def _end_session(self) -> None:
         """End the session.
 
-        All dispatcher leases ended before it; requests that were not reported count as used.
+        All leases of dispatchers ended before the session; their requests that were not reported count as used.
         """
         self.open = False
         self._carry_until = self.end + self._settings.carry_ms * US_PER_MS
@@ -214,7 +215,10 @@
             self.mark_changed(name, stock)
 
     def _begin_session(self) -> None:
-        """Start to lease out the stock. Leases from the reserve are not part of the session and are written off."""
+        """Open the session, so that its stocks may be leased to dispatchers.
+
+        Leases from the reserve do not belong to the session. They are written off: later reports on them count nothing.
+        """
         self.open = True
         self._reserve_stocks.clear()
         for lease in self.leases.values():
@@ -291,8 +295,11 @@
         )
 
     def _review_stocks(self, now: int) -> None:
-        """Update the stocks to request from current demand. Once per renewal period, return the credit above them."""
-        session_ending = self.end - now < self._settings.renew_ms * US_PER_MS  # credit returned now would be lost
+        """Include the teams whose stock to request changed with demand in the next request to the owner.
+
+        Once per renewal period, return credit above the target stock to the owner.
+        """
+        session_ending = self.end - now < self._settings.renew_ms * US_PER_MS  # credit returned this late would be lost
         trimming = self.open and now >= self._next_trim and not session_ending
         if trimming:
             self._next_trim = now + self._settings.renew_ms * US_PER_MS
@@ -371,7 +378,7 @@
             self._begin_session()
 
     def give_back(self, now: int) -> list[SendMessage]:
-        """Return all credit that no dispatcher has leased, because the process shuts down."""
+        """Return to the owner all credit that no dispatcher has leased, because the process shuts down."""
         if self.owner is None or not self.open:
             return []
         for stock in self.stocks.values():
--- a/badgerroad/fleet/settings.py
+++ b/badgerroad/fleet/settings.py
@@ -17,8 +17,8 @@
 MAX_CONTROLLERS = 256
 # Shares of the ownership lease. Their sum must stay well below 1, so that credit carried over reaches only the next
 # owner and never a later one.
-CARRY_SHARE = 0.85  # time after its session's end for which a zone may carry credit over to the next owner
-CLAIM_SHARE = 0.1  # time for which a candidate waits for votes
+CARRY_SHARE = 0.85  # time after the end of a zone's session for which the zone may carry credit to the next owner
+CLAIM_SHARE = 0.1  # time for which a candidate waits for votes, as a share of the ownership lease
 
 Duration = Annotated[int, msgspec.Meta(ge=1, le=600_000)]
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
@@ -130,7 +130,7 @@
         return int(duration * (1 + self.clock_margin)) + 1
 
     def shorter(self, duration: int) -> int:
-        """Return the longest duration that a side may grant that has `duration` left itself."""
+        """Return the longest duration that a process may grant whose own lease has `duration` left (in any unit)."""
         return max(0, int(duration / (1 + self.clock_margin)) - 1)
 
     def _check_controllers(self) -> None:
