--- a/benchmarks/fleet/aims.py
+++ b/benchmarks/fleet/aims.py
@@ -9,7 +9,7 @@
 
 OVER_AT_HALF = 0.01
 USE_AT_DOUBLE = 0.95
-DISPATCHER_CPU = 0.015  # of a core
+DISPATCHER_CPU = 0.015  # largest CPU use of a dispatcher, as a share of one core
 DISPATCHER_BYTES_S = 4000
 DISPATCHER_MIB = 128
 OWNER_DEATH_S = 10.0
--- a/benchmarks/fleet/children.py
+++ b/benchmarks/fleet/children.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 MAX_PROCESSES = 300
-MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+MAX_MEMORY_SHARE = 0.5  # share of the machine's memory that all processes of a run may use together
 LINE_LIMIT = 1 << 26
 END_TIMEOUT_S = 8.0
 ROOT = Path(__file__).resolve().parents[2]
--- a/benchmarks/fleet/hollow.py
+++ b/benchmarks/fleet/hollow.py
@@ -31,7 +31,7 @@
 
 from . import traffic
 
-RECORD = struct.Struct("<dHHBI")  # time in s, team, dispatcher, over quota, wait in microseconds
+RECORD = struct.Struct("<dHHBI")  # one decision: time in s, team, dispatcher, over quota, wait in microseconds
 ALL_OWNERS = "owners"  # topology: each dispatcher connects to every controller
 OWN_ZONE = "zone"  # topology: each dispatcher connects to its zone's controller only
 
@@ -73,7 +73,7 @@
     marks: tuple[float, ...]
     restarts: tuple[Restart, ...] = ()
     topology: str = OWN_ZONE
-    owners: dict[str, str] = {}  # shard -> controller, for ALL_OWNERS
+    owners: dict[str, str] = {}  # shard -> name of its owner, for the topology ALL_OWNERS
 
 
 class Mark(msgspec.Struct):
--- a/benchmarks/fleet/installation.py
+++ b/benchmarks/fleet/installation.py
@@ -65,7 +65,7 @@
     def address_of(self, place: layout.Place) -> tuple[str, int]:
         """Return a controller's listening address, on a loopback IP derived from this process id.
 
-        So runs on the same machine do not collide.
+        The addresses of several runs on one machine therefore do not collide.
         """
         pid = os.getpid()
         return f"127.{64 + pid % 128}.{pid // 128 % 256}.{1 + self.plan.places.index(place)}", PORT
@@ -91,7 +91,7 @@
             found.append(Controller(place.controller, place.zone, place.region, host, port, place.voter))
         return found
 
-    # Bringing up.
+    # Starting the processes.
 
     async def start(self) -> None:
         """Start relays and controllers. The quotas must have been written before."""
@@ -142,7 +142,7 @@
         return self.folder / f"{place.controller}.log"
 
     async def wait_for_listening(self, place: layout.Place, starts: int = 1) -> None:
-        """Wait until the controller has logged that it listens, at this many starts.
+        """Wait until the controller has logged `starts` times that it listens.
 
         Raises EOFError if it has ended, TimeoutError after START_TIMEOUT_S.
         """
@@ -163,8 +163,7 @@
         await asyncio.sleep(settings.longer(settings.ownership_lease_ms) / 1000 + ELECTION_S)
 
     def owners(self) -> dict[int, str]:
-        """Return shard -> owner, the first controller in the shard's order.
-
+        """Return shard -> name of its owner, the first controller in the shard's order of preference.
         This holds once all controllers have been up for about 10 s.
         """
         settings = FleetSettings(controllers=tuple(self.controllers_for("controller", self.plan.places[0].zone)))
@@ -226,7 +225,7 @@
                 found[name] = children.usage(process.pid)
         return found
 
-    # The end.
+    # Ending the processes.
 
     async def finish(self) -> Ended:
         """End the hollow dispatchers and relays, and return their reports."""
--- a/benchmarks/fleet/judge.py
+++ b/benchmarks/fleet/judge.py
@@ -15,7 +15,7 @@
 MIB = 1 << 20
 LARGE_QUOTA = 1.0  # requests per second; teams with a higher quota count as large, the others as small
 QUOTA_CHANGE_LIMIT_S = 15.0  # time until a changed quota is in force everywhere
-RESERVE_LATE_S = 2.0  # docs/fleet.md, Bounds: seconds of a zone's share added to the stock of its reserve
+RESERVE_LATE_S = 2.0  # seconds of a zone's share added to the stock of its reserve (docs/fleet.md, Bounds)
 LOWERED_USE_LIMIT = 1.05  # multiple of the new quota: a lower quota is in force once usage is at most this
 
 
@@ -53,7 +53,7 @@
         ]
         self.times = oracle.times_within(self.decisions, len(outcome.quotas))
 
-    # The bound.
+    # The bound on requests within quota.
 
     @property
     def zones_cut_off(self) -> int:
--- a/benchmarks/fleet/relay.py
+++ b/benchmarks/fleet/relay.py
@@ -21,7 +21,7 @@
 
 
 class Link(msgspec.Struct, frozen=True):
-    """A path to one controller. `role`: that of the connecting process; `source` and `target`: zones of both ends."""
+    """A path to one controller. `role`, `source`: role and zone of the connecting process; `target`: the other zone."""
 
     role: str
     source: str
@@ -40,7 +40,7 @@
 
 
 class Noise(msgspec.Struct, frozen=True):
-    """Probabilities per frame: sent twice, delayed by up to `late_ms`, or its connection dropped."""
+    """Probabilities that a frame is sent twice, is delayed by up to `late_ms`, or that its connection is dropped."""
 
     twice: float = 0.0
     late: float = 0.0
--- a/benchmarks/fleet/results.py
+++ b/benchmarks/fleet/results.py
@@ -20,7 +20,7 @@
 
 
 class Recovery(msgspec.Struct):
-    """Recovery from a fault. `of`: the teams; `seconds`: from `since` to full use, None if the run ended before."""
+    """Recovery from a fault. `of`: the teams; `seconds`: time from `since` to full use, None if the run ended before."""
 
     of: str
     since: str
--- a/tests/fleet/fleet_processes.py
+++ b/tests/fleet/fleet_processes.py
@@ -19,7 +19,7 @@
 from badgerroad.fleet.rules.dispatcher import DispatcherLeases
 from badgerroad.operator.schema import load
 
-CONDITION_TIMEOUT_S = 30  # limit for a condition on a busy machine; far longer than needed on an idle one
+CONDITION_TIMEOUT_S = 30  # time for a condition to become true on a busy machine; far longer than an idle machine needs
 
 
 def free_ports(count):
@@ -81,14 +81,14 @@
         return path
 
     async def start(self, *names):
-        """Start the named controllers, or all, and wait until they listen."""
+        """Start the named controllers, or all if no name is given, and wait until they listen."""
         for name in names or [member["name"] for member in self.members]:
             self.running[name] = await Program.start("control", "--operator", str(self.folder / f"{name}.toml"))
         for name in names or list(self.running):
             await self.running[name].wait_for_log("listening")
 
     def lease_client(self, zone):
-        """Create a lease client, which is closed at the end."""
+        """Create a lease client, which is closed together with these controllers."""
         self.lease_clients.append(LeaseClient(self, zone))
         return self.lease_clients[-1]
 
@@ -185,7 +185,7 @@
         return self.count
 
     async def wait_until_within(self, team):
-        """Repeat requests until one of that team is within its quota."""
+        """Repeat requests of the team until one of them is within its quota."""
         end = time.monotonic() + CONDITION_TIMEOUT_S
         while time.monotonic() < end:
             number = self.request(team)
@@ -204,7 +204,7 @@
     def _perform(self, actions):
         for action in actions:
             if isinstance(action, QuotaDecision):
-                assert action.request not in self.over_quota  # once
+                assert action.request not in self.over_quota  # each request is decided once
                 self.over_quota[action.request] = action.over_quota
             else:
                 self.connections.send(action.to, action.message)
@@ -224,7 +224,7 @@
 
     def __init__(self, fleet, name="c0", replies=True):
         self.replies, self.requesters, self.losses = replies, [], []
-        self._granted, self._returned = {}, {}  # totals by peer and team
+        self._granted, self._returned = {}, {}  # total numbers of requests by peer and team
         (member,) = (member for member in fleet.members if member["name"] == name)
         self._address = (member["host"], member["port"])
         hello = Hello(
--- a/tests/fleet/rules_setup.py
+++ b/tests/fleet/rules_setup.py
@@ -17,7 +17,7 @@
 
 
 def fleet(zones: int = 3, **changes: Any) -> FleetSettings:
-    """One controller per zone, one zone per region and one shard; every controller is a voter."""
+    """Return settings with one controller per zone, one zone per region and one shard. Every controller is a voter."""
     controllers = tuple(Controller(f"c{n}", f"z{n}", f"r{n}", "127.0.0.1", 7000 + n, True) for n in range(zones))
     changes.setdefault("shards", 1)
     settings = FleetSettings(controllers=controllers, **changes)
@@ -26,7 +26,7 @@
 
 
 def one_region(zones: int = 3, **changes: Any) -> FleetSettings:
-    """All zones in one region, with the first controller as the only voter."""
+    """Return settings with all zones in one region and the first controller as the only voter."""
     controllers = tuple(Controller(f"c{n}", f"z{n}", "r", "127.0.0.1", 7000 + n, n == 0) for n in range(zones))
     changes.setdefault("shards", 1)
     settings = FleetSettings(controllers=controllers, **changes)
--- a/tests/fleet/simulation/faults.py
+++ b/tests/fleet/simulation/faults.py
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True)
 class Handover(Fault):
-    """Upgrade of a dispatcher: a new process takes over, and the old one exits at `end`."""
+    """Upgrade of a dispatcher: a new process takes over, and the old process exits at `end`."""
 
     node: str
 
--- a/tests/fleet/simulation/network.py
+++ b/tests/fleet/simulation/network.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Conditions:
-    """Conditions of the network. Shares are of messages; delays are in microseconds."""
+    """Conditions of the network. Shares are fractions of all messages; delays are in microseconds."""
 
     min_delay: int = 200
     max_delay: int = 1_000
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Parcel:
-    """One message in flight. `connection`: epoch of the connection on which it was sent."""
+    """One message in flight. `connection`: how often its connection had been lost when it was sent."""
 
     sender: str
     sender_incarnation: int
@@ -78,7 +78,7 @@
         return self.blocked.get((sender_zone, receiver_zone), 0) > 0
 
     def block(self, pairs: set[tuple[str, str]]) -> None:
-        """Block these directions; blocks of overlapping partitions are counted."""
+        """Block messages in these directions until each call has been undone by `unblock`."""
         for pair in pairs:
             self.blocked[pair] = self.blocked.get(pair, 0) + 1
 
--- a/tests/fleet/simulation/owners_oracle.py
+++ b/tests/fleet/simulation/owners_oracle.py
@@ -58,7 +58,7 @@
         return len(self._terms)
 
     def owner_of(self, shard: int) -> Ownership | None:
-        """Return the owner whose ownership has not ended by its own clock; None without one."""
+        """Return the owner whose ownership has not ended by the owner's clock; None if there is no owner."""
         for ownership in self._owners.get(shard, {}).values():
             if ownership.end > self._world.now:
                 return ownership
@@ -182,19 +182,19 @@
             del self._reserves[key]
 
     def delivered(self, node: Node, parcel: Parcel) -> None:
-        """Ignored: the request checks are in `RequestsOracle`."""
+        """Do nothing, because `RequestsOracle` checks requests."""
 
     def requested(self, node: Node, request: int, team: str) -> None:
-        """Ignored: the request checks are in `RequestsOracle`."""
+        """Do nothing, because `RequestsOracle` checks requests."""
 
     def canceled(self, node: Node, request: int) -> None:
-        """Ignored: the request checks are in `RequestsOracle`."""
+        """Do nothing, because `RequestsOracle` checks requests."""
 
     def decided(self, node: Node, request: int, over_quota: bool) -> None:
-        """Ignored: the request checks are in `RequestsOracle`."""
+        """Do nothing, because `RequestsOracle` checks requests."""
 
     def handed_over(self, node: Node, successor: Node, exported: LeaseExport) -> None:
-        """Ignored: the request checks are in `RequestsOracle`."""
+        """Do nothing, because `RequestsOracle` checks requests."""
 
     def quotas_changed(self, quotas: dict[str, float]) -> None:
-        """Ignored: the request checks are in `RequestsOracle`."""
+        """Do nothing, because `RequestsOracle` checks requests."""
--- a/tests/fleet/simulation/requests_oracle.py
+++ b/tests/fleet/simulation/requests_oracle.py
@@ -20,7 +20,7 @@
 
 @dataclass
 class LeaseSeen:
-    """Requests that one controller process has granted one dispatcher process for one team. `end`: true time."""
+    """Requests that one controller process has granted one dispatcher process for one team. `end`: true end time."""
 
     granted: int = 0
     end: float = 0.0
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Pending:
-    """A request waiting for its decision. `stop_count`: pauses of the dispatcher before the request arrived."""
+    """A request waiting for its decision. `stop_count`: number of the dispatcher's pauses before it arrived."""
 
     team: str
     since: int
--- a/tests/fleet/simulation/scenarios.py
+++ b/tests/fleet/simulation/scenarios.py
@@ -28,7 +28,7 @@
 FULL_USAGE_SHARE = 0.95
 """Share of the usage before the fault at or above which the quota counts as fully used."""
 WINDOW_S = 3
-"""Length of the moving average of usage: a single second has too few requests to judge recovery."""
+"""Seconds over which usage is averaged, because a single second has too few requests to judge recovery."""
 DEMAND_FACTOR = 2.0
 """Request rate of each team as a multiple of its quota."""
 
@@ -56,22 +56,22 @@
             self.by_zone[second, node.zone] += 1
 
     def sent(self, node: Node, to: str, message: Any) -> None:
-        """Ignored: only decisions on requests are counted."""
+        """Do nothing, because only decisions on requests are counted."""
 
     def delivered(self, node: Node, parcel: Parcel) -> None:
-        """Ignored: only decisions on requests are counted."""
+        """Do nothing, because only decisions on requests are counted."""
 
     def stepped(self, node: Node) -> None:
-        """Ignored: only decisions on requests are counted."""
+        """Do nothing, because only decisions on requests are counted."""
 
     def died(self, node: Node) -> None:
-        """Ignored: only decisions on requests are counted."""
+        """Do nothing, because only decisions on requests are counted."""
 
     def handed_over(self, node: Node, successor: Node, exported: LeaseExport) -> None:
-        """Ignored: only decisions on requests are counted."""
+        """Do nothing, because only decisions on requests are counted."""
 
     def quotas_changed(self, quotas: dict[str, float]) -> None:
-        """Ignored: only decisions on requests are counted."""
+        """Do nothing, because only decisions on requests are counted."""
 
 
 @dataclass(frozen=True)
@@ -163,7 +163,7 @@
 
 
 def _full_again_after(means: list[float]) -> float | None:
-    """Return the seconds until the first full window after a low one; 0 if none is low, None if none follows."""
+    """Return the seconds until usage is first full after being low; 0 if it is never low, None if it stays low."""
     low = next((second for second, mean in enumerate(means) if mean < FULL_USAGE_SHARE), None)
     if low is None:
         return 0.0
@@ -171,7 +171,7 @@
 
 
 def _full_for_good_after(means: list[float]) -> float | None:
-    """Return the seconds until the end of the last low window; 0 if none is low, None if the run ends low."""
+    """Return the seconds after which usage is never low again; 0 if it is never low, None if it is low at the end."""
     low = [second for second, mean in enumerate(means) if mean < FULL_USAGE_SHARE]
     if not low:
         return 0.0
--- a/tests/fleet/simulation/trace.py
+++ b/tests/fleet/simulation/trace.py
@@ -36,7 +36,7 @@
         self._write(node, f"<- {parcel.sender}/{parcel.sender_incarnation}: {parcel.message}")
 
     def stepped(self, node: Node) -> None:
-        """Ignored: a line per step would hide the other lines."""
+        """Write nothing, because a line per step would hide the other lines."""
 
     def died(self, node: Node) -> None:
         self._write(node, "died")
--- a/tests/fleet/simulation/traffic.py
+++ b/tests/fleet/simulation/traffic.py
@@ -32,9 +32,10 @@
 
 
 def skewed_weights(random: Random, count: int) -> list[float]:
-    """Draw weights of the dispatchers: equal, one only, a tenth of them (at least one), or 1 / rank.
+    """Draw the weights by which the requests of a team are distributed over `count` dispatchers.
 
-    Those of the tenth are 1 / rank too.
+    All weights are equal, only one is above zero, or the weights of a tenth of the dispatchers (at least one) or of all
+    of them are 1 / rank.
     """
     kind = random.choice(("even", "one", "tenth", "falling"))
     if kind == "even":
--- a/tests/fleet/simulation/world.py
+++ b/tests/fleet/simulation/world.py
@@ -317,7 +317,7 @@
     def hand_over(self, node: Node, overlap: int) -> None:
         """Upgrade a dispatcher: a new process on the same machine takes over its leases and its new requests.
 
-        The new process has its own name. The old one still handles its waiting requests and exits after
+        The two processes have different names. The old process still handles its waiting requests and exits after
         `overlap` microseconds.
         """
         if not node.alive or node.stopped or node not in self.dispatchers:
--- a/tests/fleet/test_connections.py
+++ b/tests/fleet/test_connections.py
@@ -260,7 +260,7 @@
         while a.connections.connected("d"):
             a.connections.send("d", large)
             sent += len(frame(encode(large)))
-            assert sent < 64 << 20  # socket buffers plus the limit of the write queue
+            assert sent < 64 << 20  # more than the socket buffers and the limit of the write queue together
             await asyncio.sleep(0)
         assert a.connections.traffic().full == 1
         assert a.losses == ["d"]
--- a/tests/fleet/test_controller_process.py
+++ b/tests/fleet/test_controller_process.py
@@ -188,7 +188,7 @@
         await fleet.running["c1"].kill()
         others = {name: (fleet.running[name], len(fleet.running[name].lines)) for name in ("c0", "c2")}
 
-        # The two log their statistics at different times, so both must have logged some.
+        # The two controllers log their statistics at different times, so both must have logged a line.
         def shards():
             return [owned(*other) for other in others.values()]
 
--- a/tests/fleet/test_extension.py
+++ b/tests/fleet/test_extension.py
@@ -73,11 +73,11 @@
         await fleet.start()
         async with FleetDispatcher(fleet) as w:
             count = 0
-            while not w.received or w.received[-1].over_quota:  # until the started voter may grant
+            while not w.received or w.received[-1].over_quota:  # until the started voter may grant ownership
                 count += 1
                 assert (await w.ask(job_request(count)))[0] == 200
             assert w.received[-1].over_quota is False
-            assert (await w.ask(job_request("over", "unlisted")))[0] == 200  # has no quota at the controllers
+            assert (await w.ask(job_request("over", "unlisted")))[0] == 200  # no quota at the controllers
             assert w.received[-1].over_quota is True
             assert w.figures().within == 1
             assert w.figures().waiting == 0
@@ -102,7 +102,7 @@
         assert w.received[0].over_quota is True
         assert w.figures().over_unanswered == 1
         await until(lambda: controller.requesters)
-        assert w.received[0].time_left < 6_000_000  # reduced by the time it waited
+        assert w.received[0].time_left < 6_000_000  # reduced by the time that the request waited for its quota decision
 
 
 @asynchronous
@@ -163,7 +163,7 @@
         assert (await w.ask(job_request(1)))[0] == 200
         assert w.received[0].over_quota is False
         controller.replies = False
-        waiting = [w.begin(w.ask(job_request(n))) for n in range(2, 12)]  # more than the unused credit
+        waiting = [w.begin(w.ask(job_request(n))) for n in range(2, 12)]  # more requests than the unused credit allows
         await until(lambda: w.figures().waiting)
         w.dispatcher.reload(w.dispatcher.config._replace(settings=w.dispatcher.settings._replace(peers_allowed=False)))
         assert [(await answer)[0] for answer in waiting] == [200] * 10
@@ -279,7 +279,7 @@
         for number in range(5, 10):
             assert (await w.ask(job_request(number)))[0] == 200
         (new_name,) = controller.peers() - {old_name}
-        assert controller.granted(new_name) >= 5  # leases of its own
+        assert controller.granted(new_name) >= 5  # requests leased by the new process itself
         old.process.send_signal(signal.SIGTERM)
         assert await old.wait_for_exit() == 0
         assert controller.unused(old_name) == {"a": 0}
--- a/tests/fleet/test_fleet_load.py
+++ b/tests/fleet/test_fleet_load.py
@@ -1,7 +1,7 @@
 """The short form of the load benchmark: real processes, an unreliable network and a killed owner.
 
-It runs 19 controllers and 38 hollow dispatchers. The bound on requests within quota is asserted exactly; use and
-recovery only with wide margins, because a busy machine is slow without being wrong.
+It runs 19 controllers and 38 hollow dispatchers. The bound on requests within quota is asserted exactly. Use of
+the quotas and recovery are asserted only with wide margins, because a busy machine is slow without being wrong.
 """
 
 import os
--- a/tests/fleet/test_rules_controller.py
+++ b/tests/fleet/test_rules_controller.py
@@ -153,7 +153,7 @@
     network.restart("c0")
     for _ in range(200):
         network.run(100 * MILLISECOND)
-        network.owner()  # asserts that there is at most one
+        network.owner()  # asserts that there is at most one owner
     assert network.owner() is not None
 
 
@@ -327,7 +327,7 @@
     assert bucket.suspended == 0
     assert bucket.total <= bucket.depth
     network.run(3 * SECOND)
-    assert bucket.suspended > 0  # credit of the earlier incarnation keeps its capacity for some time
+    assert bucket.suspended > 0  # credit of the restarted controller keeps its capacity for some time
 
 
 def test_figures_count_ownerships_sessions_and_grants() -> None:
@@ -350,6 +350,7 @@
     owner = network.controllers[str(network.owner())]
     after = owner.owners[0].teams["team"].bucket
     assert network.owner() != "c0"
-    # Zones carry over all credit except fractions of a request and what the leaving controller returned itself.
+    # Zones carry all credit over to the new owner, except fractions of a request and what the leaving controller
+    # returned itself.
     assert after.outstanding + after.level >= before - 2_000_000
     assert after.total <= after.depth
--- a/tests/fleet/test_rules_dispatcher.py
+++ b/tests/fleet/test_rules_dispatcher.py
@@ -154,7 +154,7 @@
     assert (request.needs[0].used, request.needs[0].returned) == (
         1,
         0,
-    )  # one of the two used requests belongs to the earlier incarnation
+    )  # of the two used requests, one belongs to the controller's earlier incarnation
 
 
 def test_lease_of_an_earlier_incarnation_stays_valid_until_its_end() -> None:
@@ -219,7 +219,10 @@
 
 
 def test_old_process_reports_transferred_credit_as_used_only_after_its_lease_ended() -> None:
-    """The new process may use the credit until then. Reported earlier, it would be granted to others at once."""
+    """The new process may use the credit until the lease ends.
+
+    Credit that the old process reported earlier would be granted to others at once.
+    """
     old = dispatcher_with_credit(3)
     old.export(START + MILLISECOND)
     reports = []
--- a/tests/fleet/test_rules_owner.py
+++ b/tests/fleet/test_rules_owner.py
@@ -261,7 +261,8 @@
     request_quota(shard, START, Z1, 1, stamp=START, lending=True)
     shard.tick(START + 10 * SECOND)
     request_quota(shard, START + 10 * SECOND, Z2, 1, need(1))
-    # Seven tenths all the time, plus one tenth for each of two zones during the five seconds of lending.
+    # The owner mints seven tenths of the quota all the time, and one tenth for each of two zones while they lend it
+    # their shares, which is five seconds.
     bucket = shard.teams["team"].bucket
     filled = 10 * (10 * 0.7 + 2 * 5 * 0.1)
     assert shard.lending.refilled == (10 * 0.7 + 2 * 5 * 0.1) * SECOND
--- a/tests/fleet/test_rules_voter.py
+++ b/tests/fleet/test_rules_voter.py
@@ -126,7 +126,7 @@
 @given(STEPS)
 def test_no_two_candidates_hold_a_voters_grant_at_the_same_time(steps: list[tuple[int, int, int, str]]) -> None:
     voter, now = Voter(SETTINGS, START), FIRST_VOTE_AT
-    held: dict[Peer, tuple[int, int]] = {}  # term and end as counted by the candidates from the sending time
+    held: dict[Peer, tuple[int, int]] = {}  # term and end of each candidate's grant, counted from the sending time
     for number, term, wait, step in steps:
         candidate = Peer(f"c{number}", 1)
         now += wait
--- a/tests/fleet/test_rules_zone.py
+++ b/tests/fleet/test_rules_zone.py
@@ -103,7 +103,7 @@
     zone.lease(START + 100 * MILLISECOND, D0, 2, used=1)
     assert (zone.stock.credit.used, zone.stock.leased_out) == (1, 3)
     zone.rules.expire(START + SETTINGS.longer(2 * SECOND))
-    assert (zone.stock.credit.used, zone.stock.leased_out) == (2, 2)  # the lease of d0 was renewed
+    assert (zone.stock.credit.used, zone.stock.leased_out) == (2, 2)  # the lease of d1 ended; that of d0 was renewed
     zone.rules.expire(START + 100 * MILLISECOND + SETTINGS.longer(2 * SECOND))
     assert (zone.stock.credit.used, zone.stock.leased_out) == (4, 0)
 
@@ -171,7 +171,7 @@
 
 def test_requests_list_only_teams_that_changed_since_the_last_answer() -> None:
     zone = Zone()
-    request = zone.open(granted=7)  # as much as requested
+    request = zone.open(granted=7)  # the stock of 7 requests that the zone wants
     (again,) = messages(zone.tick(START + SECOND), QuotaRequest)
     assert again.needs == ()
     zone.lease(START + SECOND, D0, 2)
--- a/tests/fleet/test_rules_zone_sessions.py
+++ b/tests/fleet/test_rules_zone_sessions.py
@@ -107,7 +107,7 @@
     request = zone.request_quota(now + SECOND)
     zone.grant(now + SECOND, request, 8, number=2)
     zone.lease(now + SECOND, D0, 0, used=1)
-    assert zone.stock.credit.used == 0  # the lease was not part of the session
+    assert zone.stock.credit.used == 0  # the lease came from the reserve and is not part of the session
     (request,) = messages(zone.tick(ended - 1), QuotaRequest)
     assert not request.lending
     zone.grant(ended, request, 8, number=3)
