--- a/badgerroad/__main__.py
+++ b/badgerroad/__main__.py
@@ -1,7 +1,7 @@
 """Entry point of `python -m badgerroad`.
 
-Start-up must be short: other dispatchers may be restarting at the same time, and until one of them is up no requests
-are served.
+Start-up must be short: other dispatchers may be restarting at the same time, and no requests are served until
+at least one dispatcher is up.
 """
 
 import gc
--- a/badgerroad/class_table.py
+++ b/badgerroad/class_table.py
@@ -42,7 +42,7 @@
             index_by_name[request_class.name.encode()] = index
         while slots and slots[-1] is None:
             slots.pop()
-        # No name refers to an unused index in between, so any class may stand there.
+        # No name refers to an unused index between used ones, so any class may be listed at such an index.
         self.request_classes = [classes[0] if request_class is None else request_class for request_class in slots]
         self.index_by_name = index_by_name
         return tuple(self.request_classes)
--- a/badgerroad/config.py
+++ b/badgerroad/config.py
@@ -36,12 +36,12 @@
     discovery: Address
     seed: int
     max_sockets: int
-    cached_endpoints: Any  # in discovery's wire form
+    cached_endpoints: Any  # the cached endpoint list in discovery's wire form
     settings: interface.Settings
     zones: list[str]
     machine_types: list[str]
-    admin: Address | None = None  # of the admin listener; None if there is none
-    settings_keys: frozenset[str] = frozenset()  # the keys of `settings` in the file
+    admin: Address | None = None  # the address of the admin listener; None if there is no such listener
+    settings_keys: frozenset[str] = frozenset()  # the keys of the object `settings` in the file
 
 
 def load(environment: Mapping[str, str]) -> Config:
--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -20,7 +20,7 @@
 
 log = logs.get("badgerroad")
 
-WIRE_LIST_LIMIT_BYTES = 4 * 1024 * 1024  # 10,000 workers take 1.4 MB, 2.5 MB with long names
+WIRE_LIST_LIMIT_BYTES = 4 * 1024 * 1024  # a list of 10,000 workers takes 1.4 MB, with long names 2.5 MB
 FETCH_TIMEOUT_US = 1_500_000
 # For this period after a change of discovery's address, failed calls are retried at the delay below and not reported.
 ADDRESS_CHANGE_RETRY_PERIOD_US = 3_000_000
@@ -31,7 +31,7 @@
 
 
 class SilentWatchError(ConnectionBrokenError):
-    """A watch was not answered in time, though its connection shows no fault. Discovery itself may be healthy."""
+    """A watch was not answered in time, though its connection shows no fault. Discovery may still be working."""
 
     code = "silent"
     remedy = "nothing, if a worker list is received soon after; otherwise check the network to discovery"
@@ -59,21 +59,21 @@
         self.address = address
         self.on_update = on_update
         self.schedule = WatchSchedule(dispatchers, number, random.Random(seed))
-        self.version: int | None = None  # of the current list; None if a complete list is needed
+        self.version: int | None = None  # version of the current list; None if a complete list is needed
         self.has_answered = False  # also True once discovery counts as unavailable
         self.endpoints: dict[str, interface.Endpoint] = {}
         self.states: dict[str, str] = {}
         self.zones: dict[str, str] = {}
         self._watching = False
         self._wanted = False
-        self._address_changed_at_us: int | None = None  # None once the new address has answered
+        self._address_changed_at_us: int | None = None  # None before any change, and once the new address has answered
         self._address_changes = 0
         self._delay_over: asyncio.Event | None = None
         self._connection: CallConnection | None = None
 
     def load_cached(self, data: Any) -> None:
-        """Publish a cached list in wire form, which may be out of date. The watch then starts at its version, since
-        sending the changes costs discovery less than a complete list. Raises EndpointListError."""
+        """Publish a cached list in wire form, which may be out of date. The watch then starts at the version of that
+        list, since sending changes costs discovery less than sending a complete list. Raises EndpointListError."""
         parsed = self.reader.read(data, cached=True)
         self._publish(parsed)
         if parsed.update.entries:
@@ -252,7 +252,7 @@
             raise NoDescriptorError(False, f"no file descriptor for a connection to discovery: {error}") from error
 
     async def _call(self, connection: CallConnection, target: bytes, timeout_us: int) -> ParsedList:
-        """Make one call, closed after `timeout_us`. Raises ConnectionBrokenError and EndpointListError."""
+        """Make one call; after `timeout_us` close its connection. Raises ConnectionBrokenError or EndpointListError."""
         timer = self.wheel.after(timeout_us, connection.close, awaits_peer=True)
         host, port = self.address
         try:
--- a/badgerroad/discovery/reader.py
+++ b/badgerroad/discovery/reader.py
@@ -19,7 +19,7 @@
 from badgerroad.load_balancing import interface
 from badgerroad.net.connection import Address
 
-SLICE_LENGTH = 250  # entries read without yielding to the event loop: 10,000 at once would block it for 60 ms
+SLICE_LENGTH = 250  # entries read without yielding to the event loop; reading 10,000 at once would block it for 60 ms
 MICROSECONDS_PER_MILLISECOND = 1000
 STATE_BY_WIRE_NAME = {
     "ready": interface.WorkerState.READY,
@@ -68,8 +68,8 @@
     def renumbered(
         self, settings: interface.Settings, zones: list[str], machine_types: list[str]
     ) -> interface.Settings:
-        """Return the settings with their zone and machine type indices translated from the given lists to this
-        reader's, which never change."""
+        """Return the settings with their zone and machine type indices, which refer to the given lists, replaced by
+        the indices of this reader. Reading lists or settings never changes the index of a name."""
         zone = settings.zone
         if zone < len(zones):
             zone = self._index_of(self.zones, zones[zone])
@@ -82,7 +82,8 @@
         return settings._replace(zone=zone, classes=tuple(classes))
 
     def read(self, data: Any, cached: bool = False) -> ParsedList:
-        """Read a list without yielding. `cached` marks a list that may be out of date. Raises EndpointListError."""
+        """Read a list without yielding to the event loop. `cached` marks a list that may be out of date. Raises
+        EndpointListError."""
         entries: list[interface.Endpoint] = []
         addresses: dict[str, Address] = {}
         for hosts in self._slices(data):
--- a/badgerroad/discovery/watch_schedule.py
+++ b/badgerroad/discovery/watch_schedule.py
@@ -5,7 +5,7 @@
 
 Each change of the endpoint list must be known here within NOTIFICATION_DEADLINE_US of the moment when discovery had it
 and could be reached, even if calls fail in that time. This holds if one of the two polls that fall into that time is
-answered (docs/silence.md). The longest delays are:
+answered (docs/silence.md). The longest delays before a change is known are, after or at the event given:
 
     an unanswered watch       MAX_WATCH_WAIT + WATCH_ANSWER_GRACE + FAILED_POLLS_BEFORE_UNAVAILABLE x POLL_TIMEOUT 6.0 s
     a broken watch            MAX_STAGGER + FAILED_POLLS_BEFORE_UNAVAILABLE x POLL_TIMEOUT                         4.7 s
@@ -16,9 +16,10 @@
 stop within the time that the settings give. The agent is therefore called at intervals that are fractions of that time;
 these calls put no load on discovery.
 
-Discovery serves the dispatchers' calls one after another, and calls that a dispatcher has given up still cost it
-time. With 200 dispatchers a poll took it 17 to 27 ms, and continuing a watch took 0 ms. Watches can therefore be short.
-Their waits are random, so that the watches of all dispatchers do not end together, and polls are staggered.
+Discovery serves the dispatchers' calls one after another, and calls that a dispatcher has given up still cost
+discovery time. With 200 dispatchers a poll took discovery 17 to 27 ms, and continuing a watch took 0 ms. Watches can
+therefore be short. Their waits are random, so that the watches of all dispatchers do not end together, and polls are
+staggered.
 """
 
 from __future__ import annotations
@@ -27,21 +28,21 @@
 
 NOTIFICATION_DEADLINE_US = 6_000_000
 MIN_WATCH_WAIT_US, MAX_WATCH_WAIT_US = 300_000, 2_300_000
-# How long after its wait a watch is still awaited. A watch without changes is answered when its wait ends, but up to
-# 1 s later when discovery is overloaded.
+# How long after the end of a watch's wait its answer is still awaited. A watch without changes is answered when its
+# wait ends, but up to 1 s later when discovery is overloaded.
 WATCH_ANSWER_GRACE_US = 700_000
-POLL_TIMEOUT_US = 1_500_000  # covers the time for which discovery queues a poll behind those of other dispatchers
+POLL_TIMEOUT_US = 1_500_000  # covers the time for which discovery queues a poll behind polls of other dispatchers
 FAILED_POLLS_BEFORE_UNAVAILABLE = 2
-POLL_RETRY_INTERVAL_US = 350_000  # from the start of a poll that failed at once to the start of the next one
+POLL_RETRY_INTERVAL_US = 350_000  # time from the start of a poll that failed at once to the start of the next poll
 MAX_UNSTAGGERED_DISPATCHERS = 4  # up to this number, all dispatchers may call discovery at the same moment
 # Polls that would start at the same moment in all dispatchers (after their watches broke, or when discovery becomes
-# unavailable) are spread over this time for each dispatcher, up to the maximum.
+# unavailable) are spread over a period: this time for each dispatcher, up to the maximum.
 STAGGER_PER_DISPATCHER_US, MAX_STAGGER_US = 40_000, 1_700_000
-# The same for the first call of a process, as many dispatchers may start together.
+# The first calls of processes are spread in the same way, as many dispatchers may start together.
 FIRST_CALL_STAGGER_PER_DISPATCHER_US, MAX_FIRST_CALL_STAGGER_US = 100_000, 4_000_000
 GOLDEN_RATIO_CONJUGATE = 0.618034
-# From the start of one poll to the start of the next while discovery is unavailable: for a fleet small enough to need
-# no staggering, and for a larger one. With 214 dispatchers a discovery served only some 60 to 90 polls a second.
+# Time from the start of one poll to the start of the next while discovery is unavailable: for a fleet small enough to
+# need no staggering, and for a larger fleet. With 214 dispatchers a discovery served only some 60 to 90 polls a second.
 SMALL_FLEET_UNAVAILABLE_POLL_PERIOD_US, UNAVAILABLE_POLL_PERIOD_US = 1_600_000, 2_800_000
 # Fractions of the time within which sends must stop: the wait of a watch at the agent, how long after that wait an
 # answer is awaited, and the delay after a failed call.
@@ -77,7 +78,8 @@
             random_source,
             dispatchers if dispatchers > MAX_UNSTAGGERED_DISPATCHERS else 0,
         )
-        # From 0 to 1. Multiples of the golden ratio, modulo 1, spread any run of dispatcher numbers evenly.
+        # Part of the stagger time that this dispatcher waits, from 0 to 1. Multiples of the golden ratio, modulo 1,
+        # spread any run of dispatcher numbers evenly.
         self._stagger_position = number * GOLDEN_RATIO_CONJUGATE % 1
         self.stop_sending_within_us = 0  # 0 while discovery itself is called rather than an agent
         self._next_is_poll, self._failed_polls = True, 0
@@ -92,7 +94,7 @@
         self.stop_sending_within_us = 0
 
     def first_call_delay(self, has_list: bool) -> int:
-        """Return the delay before the first call: 0 without a list, as no request could be served until then."""
+        """Return the delay before the first call: 0 without a list, as no request can be served without one."""
         if self._started or self.stop_sending_within_us or not has_list:
             return 0
         return int(
--- a/badgerroad/dispatcher/core.py
+++ b/badgerroad/dispatcher/core.py
@@ -207,7 +207,7 @@
         self._requests.release_if_finished(request)
 
     def drain(self) -> None:
-        """Begin a graceful shutdown. Requests that still arrive are answered while there is time."""
+        """Begin a graceful shutdown. Requests that still arrive are answered by the deadline of the shutdown."""
         self._shutdown.begin(self.settings.classes)
         if not self.settings.clients_mark_retries:
             # Unmarked retries are recognised by the time that the client has left. The shutdown shortens that time, so
--- a/badgerroad/dispatcher/decision_host.py
+++ b/badgerroad/dispatcher/decision_host.py
@@ -19,14 +19,14 @@
 
 
 class DecisionHost:
-    """Owns the dispatch policy. Events raised while another is handled are queued, so the policy is never
+    """Owns the dispatch policy. Events that arise while another event is handled are queued, so the policy is never
     re-entered."""
 
     def __init__(
         self, decisions: DispatchPolicy, clock: Clock, extensions: Extensions, fail_request: Callable[[int], None]
     ) -> None:
-        """Host `decisions`. After an unexpected exception, `fail_request` is called with the number of the request; it
-        must ignore numbers that are not open."""
+        """Host `decisions`. After an unexpected exception, `fail_request` is called with the number of the request;
+        `fail_request` must ignore numbers of requests that are not open."""
         self.decisions = decisions
         self._clock = clock
         self._extensions = extensions
@@ -52,7 +52,7 @@
             self._handling = False
 
     def perform_actions(self, actions: list[interface.Action]) -> None:
-        """Perform actions in order. An action that raises an exception fails only its own request."""
+        """Perform actions in order. If an action raises an exception, only the request of that action fails."""
         for action in actions:
             handler = self._action_handlers.get(type(action))
             if handler is None:
--- a/badgerroad/dispatcher/extensions.py
+++ b/badgerroad/dispatcher/extensions.py
@@ -6,7 +6,7 @@
 
 
 class Extensions:
-    """The extensions of a dispatcher. It notifies those in `active`, in that order."""
+    """The extensions of a dispatcher, which notifies the extensions in `active`, in the order of that tuple."""
 
     def __init__(self) -> None:
         """Start without extensions."""
--- a/badgerroad/dispatcher/open_requests.py
+++ b/badgerroad/dispatcher/open_requests.py
@@ -69,7 +69,7 @@
         self.release_if_finished(request)
 
     def fail_internally(self, number: int) -> None:
-        """Answer a request with 500 after an unexpected exception. Ignores a number that is not open."""
+        """Answer a request with 500 after an unexpected exception. Ignores a number that no open request has."""
         request = self.by_number.get(number)
         if request:
             self.answer(request, 500, b"internal error\n")
--- a/badgerroad/dispatcher/shutdown.py
+++ b/badgerroad/dispatcher/shutdown.py
@@ -27,8 +27,9 @@
         self._deadline_us = self._clock.now() + drain_us
 
     def limit(self, event: interface.Request, now_us: int) -> interface.Request:
-        """Return the request with its time limited to what is left. During a shutdown the policy can then reject at
-        once requests that cannot be done in time, so that their clients can retry at another dispatcher."""
+        """Return the request with its time limited to the time left until the deadline of the shutdown. The policy can
+        then reject at once requests that cannot be done in time, so that their clients can retry at another
+        dispatcher."""
         if self._deadline_us is None:
             return event
         time_left_us = max(self._deadline_us - now_us, MIN_TIME_LEFT_US)
--- a/badgerroad/extension.py
+++ b/badgerroad/extension.py
@@ -28,14 +28,14 @@
     def admit(
         self, request: OpenRequest, event: interface.Request, proceed: Callable[[interface.Request], None]
     ) -> None:
-        """Call `proceed`, at once or after a limited time, to pass the request on to the dispatch policy. Its event may
-        be changed. If the request is answered or its client disconnects before that, `request_forgotten` is called, and
-        a later `proceed` has no effect."""
+        """Call `proceed`, at once or after a limited time, to pass the request on to the dispatch policy. The event
+        passed to `proceed` may differ from `event`. If the request is answered or its client disconnects before
+        `proceed` is called, `request_forgotten` is called, and a later `proceed` has no effect."""
         proceed(event)
 
     def may_send(self, request: OpenRequest, attempt: Attempt) -> bool:
-        """Return whether the attempt may be sent. Asked once for each attempt; one that may not is never sent, and is
-        reported to the dispatch policy as not needed."""
+        """Return whether the attempt may be sent. Asked once for each attempt. An attempt that may not be sent is never
+        sent, and is reported to the dispatch policy as not needed."""
         return True
 
     def attempt_sent(self, request: OpenRequest, attempt: Attempt) -> None:
--- a/badgerroad/load_balancing/availability.py
+++ b/badgerroad/load_balancing/availability.py
@@ -1,4 +1,4 @@
-"""Counts the unavailable workers, for the metrics."""
+"""Counts the workers that are unavailable, for the metrics."""
 
 from __future__ import annotations
 
--- a/badgerroad/load_balancing/deployment_settings.py
+++ b/badgerroad/load_balancing/deployment_settings.py
@@ -69,7 +69,7 @@
     dispatcher_count: int = 1
     """Number of dispatchers that share the workers, including this one."""
     dispatcher_index: int = 0
-    """Index of this dispatcher among them, from 0."""
+    """Index of this dispatcher among the dispatchers that share the workers, from 0."""
     zone: int = 0
     tick: int = 1_000
     """Minimum time between two batches of events."""
@@ -81,15 +81,18 @@
     must_subscribe: bool = True
     """Whether changes of the endpoint list are sent only to dispatchers that have subscribed."""
     poll_interval: int = 10_000_000
-    """Maximum age of the endpoint list of a dispatcher without a watch, before it must poll."""
+    """Maximum age of the endpoint list of a dispatcher without a watch; an older list must be polled again."""
     slow_start_share: float = 1.0
     """Minimum share of its full capacity that a worker has when it starts."""
     slow_start_duration: int = 0
-    """Time from its start after which a worker has its full capacity."""
+    """Time from the start of a worker until it has its full capacity."""
     overload_threshold: float = 1.0
-    """Multiple of its current capacity at which a worker that is warming up fails, if sent within `overload_window`."""
+    """Limit of the work sent to a worker that is warming up, above which the worker fails.
+
+    The limit is a multiple of the work that the worker can do in `overload_window` at its current capacity.
+    """
     overload_window: int = 1_000_000
-    """Rolling window in which work counts towards `overload_threshold`."""
+    """Length of the rolling window in which work that is sent counts towards `overload_threshold`."""
     reports_start: bool = False
     """Whether workers report when a request starts to run."""
     over_quota_priority: float = 1.0
--- a/badgerroad/load_balancing/endpoint_roster.py
+++ b/badgerroad/load_balancing/endpoint_roster.py
@@ -13,7 +13,7 @@
 
 
 class SortedWorkers(list[Worker]):
-    """Workers in the order that all dispatchers share. Adding or removing one uses a binary search."""
+    """Workers in the order that all dispatchers share. Adding or removing a worker uses a binary search."""
 
     def add(self, worker: Worker) -> None:
         """Insert the worker in its position."""
@@ -30,8 +30,8 @@
     """All listed workers by id, machine types by number, and the ready workers in order.
 
     A worker that is removed while it is warming up stays until the end of its warm-up, as it may be listed again. The
-    end of a warm-up depends on the time; all other changes come with a list. After a change of settings, the caller
-    must pass a list that is not incremental.
+    end of a warm-up depends on the time; all other changes come with an endpoint list. After a change of settings, the
+    caller must pass a list that is not incremental.
     """
 
     def __init__(self, is_remote: Predicate, is_warming_up: Predicate) -> None:
@@ -50,7 +50,7 @@
         self._is_remote = is_remote
         self._is_warming_up = is_warming_up
         self._gone: set[Worker] = set()
-        self._ids_listed = 0  # breaks ties of sort keys: earlier listed ids come first
+        self._ids_listed = 0  # number of ids listed so far; among equal sort keys, earlier listed ids come first
 
     def update(self, endpoint_list: interface.EndpointList) -> None:
         """Apply a list. The cost is proportional to its entries if it is incremental, else to the number of workers."""
--- a/badgerroad/load_balancing/endpoint_subscription.py
+++ b/badgerroad/load_balancing/endpoint_subscription.py
@@ -4,11 +4,11 @@
 from .decision_context import DecisionContext
 
 INITIAL_BACKOFF_US = 500_000
-"""Delay before the first retry after a failure; doubled with each failure up to the poll interval."""
+"""Delay before the next subscription after the first failure; doubled with each failure up to the poll interval."""
 
 
 class EndpointSubscription:
-    """State of the subscription, and when to subscribe next (microseconds)."""
+    """State of the subscription, and the time at which to subscribe next (microseconds)."""
 
     def __init__(self, context: DecisionContext) -> None:
         """`context` provides settings, clock, random numbers and timers."""
@@ -22,7 +22,8 @@
         context = self._context
         if context.settings.must_subscribe and not self.confirmed and context.now >= self.poll_at:
             context.actions.append(interface.Subscribe())
-            self._subscribe_after(context.settings.poll_interval)  # retries if neither a list nor a failure is received
+            # Subscribe again if neither a list nor a failure is received.
+            self._subscribe_after(context.settings.poll_interval)
 
     def list_received(self, scope: str) -> None:
         """Update the subscription with the scope of an endpoint list; after a failure it is renewed with backoff."""
--- a/badgerroad/load_balancing/fleet_capacity.py
+++ b/badgerroad/load_balancing/fleet_capacity.py
@@ -1,7 +1,8 @@
 """Total capacity of all ready workers, computed without examining all of them.
 
-Workers without a recent own run have the speed of their machine type, so they are counted by type. Workers that
-recently ran an own request, are warming up or are ejected are examined individually.
+A worker that has not run a request of this dispatcher recently counts with the speed of its machine type, so such
+workers are only counted by type. Workers that recently ran a request of this dispatcher, are warming up or are ejected
+are examined individually.
 """
 
 from collections.abc import Callable, Iterable
@@ -36,16 +37,16 @@
         self._individual.pop(worker, None)
 
     def mark_changed(self, worker: Worker) -> None:
-        """Examine the worker individually again, as its statistics have changed or it is ejected."""
+        """Examine the worker individually again; called when its statistics have changed or it is ejected."""
         if worker in self._typical:
             self._typical.remove(worker)
             self._typical_counts[worker.machine_type] -= 1
             self._individual[worker] = None
 
     def total(self, now: int, prior: float, speed: Callable[[Worker], float]) -> float:
-        """Return the total at time `now`.
+        """Return the total capacity at time `now` (microseconds).
 
-        `speed` gives a worker's speed, which is blended with `prior` microseconds at its machine type's speed.
+        `speed` gives a worker's speed, in which `prior` microseconds at the speed of its machine type are included.
         """
         total = 0.0
         for worker in list(self._individual):
--- a/badgerroad/load_balancing/hedging_budget.py
+++ b/badgerroad/load_balancing/hedging_budget.py
@@ -1,20 +1,20 @@
 """Limits the rate of hedged requests. The policy decides which request is hedged, and where."""
 
 MIN_TOKENS_PER_REQUEST = 0.1
-"""Minimum number of tokens that each first attempt adds, however many requests wait."""
+"""Minimum number of tokens that each first attempt adds (if its request has a hint), however many requests wait."""
 MAX_TOKENS = 4.0
-"""Depth of the token bucket."""
+"""Maximum number of tokens in the bucket."""
 DECREASE_FACTOR = 0.8
 INCREASE_STEP = 0.02
 SHARE_WITHOUT_HINT = 0.1
-"""Tokens added by a request without a work hint, as a fraction of those of a request with one."""
+"""Tokens added by a request without a work hint, as a fraction of the tokens of a request with a work hint."""
 
 
 class HedgingBudget:
     """A token bucket: each first attempt adds a fraction of a token, and each hedged request takes a whole one.
 
-    Some workers run cancelled attempts anyway, and this is not reported. If most requests wait, hedging may be the
-    cause, so its rate is reduced.
+    Some workers run cancelled attempts anyway, and do not report this. If most requests have to wait for a slot,
+    hedging may be the cause, so the rate of hedged requests is reduced.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         self.tokens = min(self.tokens + earned, MAX_TOKENS)
 
     def adapt(self, most_requests_queue: bool) -> None:
-        """Decrease the refill if most requests queue, else increase it, when a request is considered for hedging."""
+        """Decrease the refill if most requests queue, else increase it. Called when a hedged request is considered."""
         if most_requests_queue:
             self.tokens_per_request = max(self.tokens_per_request * DECREASE_FACTOR, MIN_TOKENS_PER_REQUEST)
         else:
--- a/badgerroad/load_balancing/hint_statistics.py
+++ b/badgerroad/load_balancing/hint_statistics.py
@@ -6,18 +6,20 @@
 from . import interface
 
 LONG_SHARE = 0.03
-"""Share of the largest hints that count as long: 3 percent, as in the LC* paper."""
+"""Share of requests that count as long, those with the largest hints: 3 percent, as in the LC* paper."""
 SAMPLE_SIZE = 512
-"""Number of recent hints kept to compute cutoff and mean."""
+"""Number of recent hints that are kept to compute the cutoff and the mean."""
 RECOMPUTE_EVERY = 64
-"""Number of hints after which cutoff and mean are recomputed; the first ones recompute them each time."""
+"""Number of new hints after which the cutoff and the mean are recomputed.
+
+During the first hints, up to this number, they are recomputed with each hint."""
 
 
 class HintStatistics:
-    """Cutoff between short and long requests, and mean, from the hints (microseconds) of recent requests that ran."""
+    """Cutoff of long requests, and mean work, computed from the hints (microseconds) of recent requests that ran."""
 
     def __init__(self, classes: tuple[interface.RequestClass, ...]) -> None:
-        """The mean latency objective of the classes is used as the mean until the first hint."""
+        """The mean latency objective of the classes is used as the mean work until the first hint."""
         self.sample: deque[int] = deque(maxlen=SAMPLE_SIZE)
         self.count = 0
         self.cutoff = 0
--- a/badgerroad/load_balancing/interface.py
+++ b/badgerroad/load_balancing/interface.py
@@ -42,7 +42,7 @@
     NOT_NEEDED = "moot"
     """The attempt was never sent, as its request was already answered or had no attempts left."""
     INVALID_REQUEST = "rejected"
-    """The worker rejected the request itself as invalid; this is no fault of the worker."""
+    """The worker rejected the request as invalid; this is no fault of the worker."""
     NOT_SENT = "unsent"
     """`may_begin` refused the attempt before its first byte; it does not count towards `max_attempts`."""
 
@@ -54,7 +54,7 @@
 
 
 class ListScope(StrEnum):
-    """The scope of an endpoint list: changes, the complete list, a cached copy, or a failed fetch."""
+    """The scope of an endpoint list: changes, the complete list, a cached copy, or none because a fetch failed."""
 
     INCREMENTAL = "changes"
     COMPLETE = "whole"
@@ -201,7 +201,7 @@
     request: int
     worker: WorkerId
     timeout: int = 0
-    """Time limit of the attempt; 0 for the time that the client waits."""
+    """Time limit of the attempt; with 0, the time that the client waits is the limit."""
 
 
 class Reject(NamedTuple):
--- a/badgerroad/load_balancing/pending_requests.py
+++ b/badgerroad/load_balancing/pending_requests.py
@@ -22,7 +22,7 @@
         """The `AttemptResult`; empty while the attempt is in flight."""
         self.last_report_at = sent_at
         self.in_flight_before = int(worker.in_flight_slots)
-        """Slots of own requests in flight at the worker before this attempt."""
+        """Slots of this dispatcher's requests in flight at the worker before this attempt."""
 
 
 class PendingRequest:
@@ -45,13 +45,13 @@
         self.objective_deadline = deadline
         """Time after which an answer misses the latency objective."""
         self.latest_start = deadline
-        """Latest start with which the request can still meet its objective."""
+        """Latest time of a start with which the request can still meet its latency objective."""
         self.slots = request.slots
         self.without_hint = not request.work_hint
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.attempt_count = 0
-        """Number of attempts, without those that ended as NOT_SENT."""
+        """Number of attempts of the request, without those that ended as NOT_SENT."""
         self.finished = False
         self.queued = False
         self.work_confirmed = False
@@ -102,7 +102,7 @@
     def finish(self, request: PendingRequest) -> None:
         """Mark the request as finished, and remove it unless it has attempts in flight.
 
-        It was answered, or another process has taken it over.
+        The request was answered, its client disconnected, or another process has taken it over.
         """
         if not request.finished:
             request.finished = True
--- a/badgerroad/load_balancing/policy/answers.py
+++ b/badgerroad/load_balancing/policy/answers.py
@@ -1,4 +1,8 @@
-"""Gives each request exactly one final answer. A timer set on acceptance guarantees it before the deadline."""
+"""Gives each request exactly one final answer before its deadline.
+
+A timer is set when a request is accepted. If the request has no final answer when the timer fires, it is rejected or
+failed.
+"""
 
 from .. import interface
 from ..decision_context import DecisionContext
@@ -39,7 +43,7 @@
         return request.deadline - ANSWER_MARGIN_TICKS * self._context.settings.tick
 
     def schedule_answer(self, request: PendingRequest) -> None:
-        """Schedule the final answer shortly before the request's deadline, unless it is finished by then."""
+        """Schedule a final answer shortly before the request's deadline, dropped if the request is finished by then."""
         when = max(self.latest_answer_time(request), self._context.now)
         self._context.schedule(when, lambda: self.reject_or_fail(request), request)
 
--- a/badgerroad/load_balancing/policy/attempt_monitor.py
+++ b/badgerroad/load_balancing/policy/attempt_monitor.py
@@ -14,7 +14,7 @@
 class AttemptMonitor:
     """Checks that each running attempt is reported on in every `progress_interval`.
 
-    A slow worker sends progress reports as well, so missing ones indicate a failed worker.
+    A slow worker sends progress reports as well, so missing progress reports indicate a failed worker.
     """
 
     def __init__(
--- a/badgerroad/load_balancing/policy/dispatch.py
+++ b/badgerroad/load_balancing/policy/dispatch.py
@@ -85,7 +85,7 @@
 
     @property
     def workers(self) -> dict[interface.WorkerId, Worker]:
-        """All listed workers by id, and removed ones whose slow start is not over: they may be listed again."""
+        """Workers by id: all listed ones, and removed ones that are still warming up, as they may be listed again."""
         return self.subsets.roster.workers
 
     def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
@@ -112,7 +112,7 @@
         return request.first_possibly_run is attempt or may_repeat(request, worker, now)
 
     def withdraw(self, request: PendingRequest) -> None:
-        """Remove a request that another process has taken over. It must have no attempt in flight here."""
+        """Remove a request that another process has taken over. It must have no attempt in flight in this process."""
         self.answers.finish(request)
 
     def resume(self, now: int, request: PendingRequest) -> list[interface.Action]:
@@ -129,7 +129,7 @@
     # Events: settings, timers and the endpoint list
 
     def _settings_changed(self, event: interface.SettingsChanged) -> None:
-        """Apply new settings, to open requests too, which keep their class. Learned statistics are kept."""
+        """Apply new settings to new and open requests. Open requests keep their class; learned statistics are kept."""
         event.settings.check()
         old, new = self.context.settings, event.settings
         self.context.settings = new
@@ -154,7 +154,7 @@
         self.requests.add(request)
         self.answers.schedule_answer(request)
         if self.quota.is_over(self.settings, event, self.context.now) and self.queue:
-            self.answers.reject_or_fail(request)  # requests over quota are not queued behind others
+            self.answers.reject_or_fail(request)  # requests over quota are not queued behind other requests
         elif self.settings.health_checks_allowed and not self.subsets.uses_whole_fleet:
             self.placement.check_and_place(request)
         else:
--- a/badgerroad/load_balancing/policy/estimates.py
+++ b/badgerroad/load_balancing/policy/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of worker speed, start delay and queueing from own requests and load reports; ejects failed workers."""
+"""Estimates worker speed, start delay and queueing from load reports and this dispatcher's requests; ejects workers."""
 
 from .. import interface
 from ..decision_context import DecisionContext
@@ -11,26 +11,30 @@
 from .warm_up import WarmUp
 
 MACHINE_TYPE_DECAY = 0.99
-"""Factor on the weight of a machine type's earlier runs with each new run."""
+"""Factor by which each new run reduces the weight of earlier runs in the throughput of a machine type."""
 UNKNOWN_QUEUE_LEVEL = 0.5
-"""Queue level assumed for a worker of unknown load; 0 means a free slot, 1 means none."""
+"""Queue level assumed for a worker of unknown load: 0 means that it has a free slot, 1 that it has none."""
 OUTLIER_RUN_FACTOR = 3.0
-"""Multiple of the expected work at which a run is capped in the statistics of the machine type, if a subset is used.
+"""Maximum run time, as a multiple of the expected work, that a run counts for in the statistics of its machine type.
 
-A longer run reflects a problem of the single worker."""
+Applies where this dispatcher uses a subset of the workers. A longer run reflects a problem of the single worker."""
 BASE_EJECTION_US = 100_000
-"""Duration of the ejection after a fault; doubled with each consecutive fault, up to FORGET_AFTER_US.
+"""Duration of a worker's ejection after a fault; doubled with each consecutive fault, up to FORGET_AFTER_US.
 
-Multiplied by a third of the number of dispatchers where that is above 1."""
+The duration is multiplied by a third of the number of dispatchers, rounded down, where that is above 1."""
 DEFAULT_CONNECT_TIMEOUT_US = 100_000
 START_DELAY_WEIGHT = 0.1
-"""Weight of the newest start delay in the mean, where this dispatcher uses the whole fleet."""
+"""Weight of the newest start delay in the mean start delay, where this dispatcher uses the whole fleet."""
 START_DELAY_WEIGHT_IN_SUBSET = 0.25
-"""Weight of the newest start delay where a subset is used: higher, as each dispatcher sees few starts."""
+"""Weight of the newest start delay in the mean start delay, where this dispatcher uses a subset of the workers.
+
+The weight is higher, as each dispatcher then sees few starts."""
 QUEUEING_WEIGHT = 0.1
-"""Weight of the newest observation in the share of requests that do not start at once."""
+"""Weight of the newest request in the share of requests that do not start at once."""
 FASTEST_START_DRIFT = 1.02
-"""Growth of the fastest start with each slower one, so that the estimate follows a lasting slowdown."""
+"""Factor by which the estimate of the shortest start delay grows with each start, up to the delay of that start.
+
+The estimate thus follows a lasting slowdown."""
 QUEUE_FULL = interface.AttemptResult.QUEUE_FULL
 TIMEOUT = interface.AttemptResult.TIMEOUT
 FAULTS = frozenset(
@@ -56,7 +60,7 @@
         self._hints = hints
         self.class_runs = ClassRuns()
         self.fastest_start = (context.settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_US) / 10
-        """Shortest time from a send to the report of the start (microseconds), as seen recently."""
+        """Estimate of the shortest time from a send to the report of the start (microseconds) in recent attempts."""
         self.queueing_share = {False: UNKNOWN_QUEUE_LEVEL, True: UNKNOWN_QUEUE_LEVEL}
         """Share of recent requests that did not start at once, in the local zone (False) and in remote ones (True)."""
 
@@ -72,7 +76,7 @@
         """
         whole_fleet = self._subsets.uses_whole_fleet
         if not whole_fleet and self._warm_up.is_warming_up(worker):
-            return self.fastest_start  # only dispatchers with a share of its slow start budget may send to it
+            return self.fastest_start  # only dispatchers with a share of the worker's slow start budget send to it
         factor = 2 if whole_fleet else 1
         return worker.machine_type.start_delays.expected(int(worker.in_flight_slots), factor, self._context.now)
 
@@ -81,7 +85,10 @@
         return int(2 * self.fastest_start) + 2 * self._context.settings.tick
 
     def confirm_work(self, request: PendingRequest) -> None:
-        """Add the request's work hint to the statistics, once a worker has run it: clients may claim any hint."""
+        """Add the request's expected work to the hint statistics, unless it was added already.
+
+        Called only after a worker has run the request, because clients may claim any work hint.
+        """
         if request.expected_work and not request.work_confirmed:
             request.work_confirmed = True
             self._hints.add(request.expected_work)
@@ -110,7 +117,10 @@
         delays.add(attempt.in_flight_before, delay, weight, self._context.now)
 
     def learn_queueing(self, attempt: Attempt) -> None:
-        """Update the queueing share with whether an attempt has started by now, when an idle worker would have."""
+        """Update the queueing share with whether an attempt has started by now.
+
+        Called after the time within which an idle worker would have started it.
+        """
         is_remote = self._subsets.is_remote(attempt.worker)
         shares = self.queueing_share
         shares[is_remote] += (float(not attempt.started_at) - shares[is_remote]) * QUEUEING_WEIGHT
@@ -126,7 +136,7 @@
         """Update the estimates with an attempt that has just ended with a fault of its worker."""
         self.record_fault(attempt.worker)
         if attempt.result == QUEUE_FULL and not self._subsets.uses_whole_fleet:
-            # A full queue is recorded as a start delay up to the objective: the attempt would not have started earlier.
+            # A full queue is recorded as a start at the objective deadline: the attempt would not have started earlier.
             self._learn_start_delay(attempt, max(request.objective_deadline - attempt.sent_at, 0))
 
     def _learn_run(self, worker: Worker, request: PendingRequest, elapsed: float) -> None:
@@ -135,7 +145,7 @@
         if self._warm_up.is_warming_up(worker):
             elapsed *= self._warm_up.speed_share(worker)
         else:
-            # With little own traffic, one outlier would weigh as much as dozens of runs.
+            # If this dispatcher sends the worker little traffic, one outlier would weigh as much as dozens of runs.
             capped = elapsed if self._subsets.uses_whole_fleet else min(elapsed, OUTLIER_RUN_FACTOR * work)
             worker.machine_type.throughput.add(work, capped, MACHINE_TYPE_DECAY)
             self.class_runs.add(request.request_class.name, elapsed)
@@ -152,8 +162,8 @@
     def record_fault(self, worker: Worker) -> None:
         """Eject the worker temporarily, longer with each consecutive fault.
 
-        Without the ejection, a worker that rejects or fails at once would have few requests in flight and so attract
-        more traffic.
+        Without the ejection, a worker that rejects or fails its attempts at once would have few requests in flight, and
+        so attract more traffic.
         """
         base_ejection = BASE_EJECTION_US * max(self._context.settings.dispatcher_count // 3, 1)
         ejection = base_ejection << worker.consecutive_failures
@@ -165,7 +175,8 @@
 def is_fault(result: str, request: PendingRequest, worker: Worker) -> bool:
     """Return whether this result of an attempt counts as a fault of the worker."""
     if result == TIMEOUT:
-        return not request.finished  # a time-out before the final answer: the worker did not accept the request
+        # While the request has no final answer, a time-out means that the worker did not accept the attempt in time.
+        return not request.finished
     if result == QUEUE_FULL and request.slots > worker.machine_type.max_slots_seen:
-        return False  # the request needs more slots than any worker of the type has shown
+        return False  # the request needs more slots than any worker of this machine type is known to have
     return result in FAULTS
--- a/badgerroad/load_balancing/policy/hedging.py
+++ b/badgerroad/load_balancing/policy/hedging.py
@@ -11,13 +11,13 @@
 from .subsets import WorkerSubsets
 
 MAX_QUEUEING_SHARE = 0.75
-"""Share of requests that do not start at once above which the hedging budget is reduced."""
+"""If the share of requests that do not start at once is above this, the hedging budget is reduced."""
 
 Place = Callable[[PendingRequest], bool]
 
 
 class Hedging:
-    """Sends a hedged request if a start is not reported in time, and cancels the others once one has started."""
+    """Sends another attempt of a request if the last does not start in time; cancels the rest once one has started."""
 
     def __init__(self, context: DecisionContext, subsets: WorkerSubsets, estimates: LoadEstimates) -> None:
         """Hedging is disabled until `configure` is called with settings that allow it."""
@@ -35,9 +35,9 @@
         self.enabled = settings.reports_start and settings.hedging_allowed and settings.cancel_allowed and repeatable
 
     def watch(self, request: PendingRequest, attempt: Attempt, place: Place) -> None:
-        """Call `place` to send another attempt if this one, which was just sent, does not start in time.
+        """Call `place` to send another attempt if `attempt`, which was just sent, does not start in time.
 
-        The time allowed is four times as long with each attempt of the request.
+        Each further attempt of the request is allowed four times as long to start as the one before.
         """
         if self.enabled and not self._subsets.uses_whole_fleet:
             start_timeout = self._estimates.start_timeout() << 2 * len(request.attempts) - 2
@@ -46,7 +46,10 @@
             )
 
     def cancel_all_but_first(self, request: PendingRequest) -> None:
-        """Cancel all attempts but the one that started first, when one has started. Does nothing without hedging."""
+        """Cancel all attempts of the request except the one that started first. Without hedging, do nothing.
+
+        At least one attempt must have started.
+        """
         if self.enabled:
             first = min(request.running_attempts(), key=lambda attempt: attempt.started_at)
             others = [attempt for attempt in request.attempts if attempt is not first]
--- a/badgerroad/load_balancing/policy/placement.py
+++ b/badgerroad/load_balancing/policy/placement.py
@@ -13,7 +13,7 @@
 from .subsets import WorkerSubsets
 
 MAX_SKIPPED_REQUESTS = 6
-"""Maximum number of queued requests that are skipped in one pass, as no available worker fits them."""
+"""Maximum number of queued requests that one pass through the queue skips because no available worker suits them."""
 ASSUMED_QUEUE_LEVEL = 9.0
 """Queue level of a worker until it answers its health check: higher than any reported level."""
 
@@ -44,7 +44,7 @@
         self._recheck_scheduled = False
 
     def check_and_place(self, request: PendingRequest) -> None:
-        """Send health checks to a few workers, and place the request after the time that they need to answer."""
+        """Send health checks to a few workers, and place the request after the time that the workers need to answer."""
         request.prefers_remote = bool(self._subsets.remote) and self._selection.chooses_remote_zone()
         now = self._context.now
         for worker in dict.fromkeys(self._selection.sample(self._selection.candidates(request))):
--- a/badgerroad/load_balancing/policy/selection.py
+++ b/badgerroad/load_balancing/policy/selection.py
@@ -12,43 +12,45 @@
 from .warm_up import WarmUp
 
 SAMPLE_SIZE = 2
-"""Number of workers to health-check for a request, or to consider outside the subset.
+"""Number of workers that are health-checked for a request, or considered for it outside the subset.
 
-With more, the dispatchers would all choose the same few best workers."""
+With a larger sample, the dispatchers would all choose the same few best workers."""
 SAFE_TIME_SHARE = 0.8
-"""Share of the time to the objective deadline above which an expected run may miss it, as hints are inexact."""
+"""Share of the time to the objective deadline; a request expected to take longer may miss it, as hints are inexact."""
 MIN_REMOTE_ADVANTAGE = 0.2
-"""Threshold on twice the difference of the queueing shares of the local and the remote zones.
+"""Minimum of twice the difference of the queueing shares of the local and the remote zones.
 
-Below it, all first attempts go to the local zone."""
+If twice the difference is less, all first attempts go to the local zone."""
 MAX_REMOTE_SHARE = 0.7
-"""Maximum share of first attempts sent to remote zones; the rest shows when the local zone has recovered."""
+"""Maximum share of first attempts sent to remote zones; the other first attempts show when the local zone recovers."""
 PREFER_BUSY_SHARE = 0.05
-"""Share of requests sent to workers with own requests in flight.
+"""Share of requests that prefer workers with requests of this dispatcher in flight.
 
-With one own request at a time, the number of slots of a worker would never be observed."""
+If workers had only one request of this dispatcher at a time, the number of their slots would never be observed."""
 REMOTE_QUEUE_COST = 0.2
-"""Cost of a remote zone, as a fraction of a full queue."""
+"""Cost of choosing a worker in a remote zone, as a fraction of the cost of a full queue."""
 NEW_CONNECTION_COST = 0.2
-"""Cost of opening a connection for a single hedged request, as a fraction of a full queue."""
+"""Cost of opening a connection for a single retry or hedged request, as a fraction of the cost of a full queue."""
 REMOTE_REQUESTS_COST = 0.3
-"""Cost of a remote zone, in own requests in flight, where the whole fleet is used."""
+"""Cost of a worker in a remote zone where the whole fleet is used, in requests of this dispatcher in flight."""
 DEADLINE_RISK_COST = 0.3
-"""Cost of an expected run beyond SAFE_TIME_SHARE, in own requests in flight for each slot."""
+"""Cost of an expected time above SAFE_TIME_SHARE, in requests of this dispatcher in flight for each slot."""
 TRIAL_COST = 5.0
-"""Cost, in own requests in flight for each slot, of a worker whose last attempt failed.
+"""Cost of a worker whose last attempt failed, in requests of this dispatcher in flight for each slot.
 
-It applies to a request that was attempted before; other requests serve as the trial of such a worker."""
+The cost applies only to a request that was attempted before. Other requests serve as the trial of such a worker."""
 SPEED_COST = 0.05
-"""Cost of a worker at speed 1, in own requests in flight for each slot; inversely proportional to its speed."""
+"""Cost of a worker at speed 1, in requests of this dispatcher in flight for each slot.
+
+The cost is inversely proportional to the speed of the worker."""
 MAX_DELAYED_EXCESS_SENDS = 3
-"""Number of sends beyond the known slots that had to wait, after which no more are sent to the machine type."""
+"""Number of requests beyond the known slots of a machine type that had to wait, after which no more are sent to it."""
 
 Rank = tuple[float, float]
 
 
 class WorkerSelection:
-    """Selects workers for requests. Does not send anything or change any state but the random generator's."""
+    """Selects workers for requests. Sends nothing, and changes no state except that of the random number generator."""
 
     def __init__(
         self,
@@ -70,7 +72,7 @@
     def chooses_remote_zone(self) -> bool:
         """Decide at random whether a first attempt goes to a remote zone.
 
-        The probability grows as fewer requests start at once in the local zone than in remote ones.
+        The probability grows with the queueing share of the local zone compared with that of the remote zones.
         """
         shares = self._estimates.queueing_share
         advantage = 2 * (shares[False] - shares[True]) - MIN_REMOTE_ADVANTAGE
@@ -109,7 +111,7 @@
         )
 
     def is_available(self, worker: Worker) -> bool:
-        """Return whether the worker could start one more request now, judging by own traffic.
+        """Return whether the worker could start one more request now, judging by the requests of this dispatcher.
 
         A worker whose last attempt failed gets one trial request at a time.
         """
@@ -117,7 +119,7 @@
             return False
         in_flight = worker.in_flight_slots
         if in_flight > worker.running_slots and self._context.settings.reports_start:
-            return False  # an own request is waiting in the worker's queue
+            return False  # a request of this dispatcher is waiting in the worker's queue
         if worker.consecutive_failures and in_flight:
             return False
         machine_type = worker.machine_type
@@ -145,9 +147,9 @@
 
     @staticmethod
     def _eligible(request: PendingRequest, workers: list[Worker]) -> list[Worker]:
-        """Filter the workers by machine type, and leave out those of the last attempt and of attempts in flight.
+        """Return the workers of the required machine type, without those of the last attempt and of attempts in flight.
 
-        A worker with a long request in flight gets no second one.
+        A worker with a long request of this dispatcher in flight gets no second long request.
         """
         attempts = request.attempts
         tried = [attempt.worker for attempt in attempts if not attempt.result or attempt is attempts[-1]]
@@ -179,7 +181,7 @@
         return first, -1.0 if is_warming_up else second
 
     def _rank_by_requests(self, request: PendingRequest, worker: Worker, speed: float, expected_time: float) -> float:
-        """Rank by own requests in flight for each slot; the faster worker wins if they are nearly equal."""
+        """Rank by the requests of this dispatcher in flight for each slot; if nearly equal, the faster worker wins."""
         time_left = request.objective_deadline - self._context.now
         deadline_risk = DEADLINE_RISK_COST * (expected_time > SAFE_TIME_SHARE * time_left)
         trial = TRIAL_COST if worker.consecutive_failures and request.attempts else 0.0
@@ -187,7 +189,10 @@
         return in_flight / worker.machine_type.slots + SPEED_COST / speed + deadline_risk + trial
 
     def _rank_by_queue(self, request: PendingRequest, worker: Worker) -> float:
-        """Rank by the worker's last reported queue level, for subsets, where own traffic is too small to rank by."""
+        """Rank by the worker's last reported queue level.
+
+        Used with subsets, where the requests of this dispatcher are too few to rank the workers by.
+        """
         is_remote = self._subsets.is_remote(worker)
         cost = REMOTE_QUEUE_COST * is_remote
         cost += NEW_CONNECTION_COST * (not worker.last_report_at and bool(request.attempts))
--- a/badgerroad/load_balancing/policy/slow_start.py
+++ b/badgerroad/load_balancing/policy/slow_start.py
@@ -7,13 +7,15 @@
 from .warm_up import WarmUp
 
 BUDGET_USED_SHARE = 0.6
-"""Share of a warming-up worker's budget that is used, as a safety margin."""
+"""Share of a warming-up worker's budget that is used; the rest is a safety margin."""
 BUDGET_SPREAD_FACTOR = 1.2
-"""Extra budget in multiples of its square root (in requests of mean work), where few dispatchers share it."""
+"""Addition to a worker's budget, as a multiple of the square root of the budget (both in requests of mean work).
+
+The addition applies where dispatchers use subsets, as few dispatchers then share the budget of the worker."""
 MAX_REQUEST_IN_MEANS = 3
 """Maximum size, in requests of mean work, of the single request that a small share of the budget allows.
 
-With a lower limit, only small requests would qualify."""
+With a lower limit, such a share would allow only small requests."""
 
 
 class SlowStartBudget:
@@ -31,7 +33,7 @@
     def record_send(self, worker: Worker, work: float) -> None:
         """Record work sent to the worker (microseconds), if it is warming up.
 
-        Requests below the mean count as the mean, so that many small ones cannot overload the worker.
+        A request below the mean work counts as the mean work, so that many small requests cannot overload the worker.
         """
         if self._warm_up.is_warming_up(worker):
             worker.slow_start_sends.append((self._context.now, max(work, self._hints.mean)))
@@ -50,8 +52,8 @@
         if budget >= mean_request * settings.dispatcher_count:
             return budget / settings.dispatcher_count - sum(work for _, work in sends)
         # An even share would be below one request, so that no dispatcher could send any. Instead, the first few
-        # dispatchers in the worker's own order may send one request each. A recently started dispatcher sends none,
-        # as it does not know what it sent before its restart.
+        # dispatchers in the order that belongs to this worker may send one request each. A recently started
+        # dispatcher sends none, as it does not know what it sent before its restart.
         has_share = (self._warm_up.dispatcher_rank(worker) + 1) * mean_request <= budget
         recently_started = self._context.now - self._context.first_event_at < window
         return MAX_REQUEST_IN_MEANS * mean_request * (has_share and not sends and not recently_started)
--- a/badgerroad/load_balancing/policy/subsets.py
+++ b/badgerroad/load_balancing/policy/subsets.py
@@ -11,7 +11,9 @@
 MIN_DISPATCHERS_PER_WORKER = 4
 """Minimum number of dispatchers that use a worker."""
 MAX_SLOW_START_DISPATCHERS = 32
-"""Number of dispatchers that use a warming-up worker outside their subset, as they may have a share of its budget."""
+"""Number of dispatchers that may use a warming-up worker outside their subset.
+
+These are the first in the order that belongs to the worker; they may have a share of its slow start budget."""
 
 
 class WorkerSubsets:
@@ -28,11 +30,12 @@
         self.remote: list[Worker] = []
         """The workers of other zones in use, if the settings give cross-zone traffic a cost."""
         self.uses_whole_fleet = True
-        """Whether this dispatcher uses all ready workers. Its own requests are then a fair share of their load."""
+        """Whether this dispatcher uses all ready workers. Its requests are then a fair share of the workers' load."""
 
     def update(self, endpoint_list: interface.EndpointList) -> None:
         """Apply an endpoint list and recompute the subsets."""
-        # The roster keeps removed workers that are warming up. If listed again, earlier sends count in their budget.
+        # The roster keeps removed workers that are warming up. If listed again, a worker keeps its earlier sends
+        # in its slow start budget.
         self.roster.update(endpoint_list)
         fleet_size = len(self.ready)
         size = max(
@@ -59,7 +62,7 @@
         ]
 
     def _subset_of(self, workers: list[Worker], size: int) -> list[Worker]:
-        """Return `size` consecutive workers, starting at this dispatcher's own offset and wrapping around."""
+        """Return `size` consecutive workers from this dispatcher's position in the list, wrapping around at the end."""
         if size >= len(workers):
             return workers
         settings = self._context.settings
--- a/badgerroad/load_balancing/policy/warm_up.py
+++ b/badgerroad/load_balancing/policy/warm_up.py
@@ -5,7 +5,7 @@
 
 
 class WarmUp:
-    """Warm-up state of workers; a worker warms up for `slow_start_duration` from its start."""
+    """Warm-up state of workers; a worker warms up for `slow_start_duration` from its start on."""
 
     def __init__(self, context: DecisionContext) -> None:
         """`context` provides the clock and the settings."""
@@ -27,6 +27,9 @@
         return initial + (1 - initial) * age / settings.slow_start_duration
 
     def dispatcher_rank(self, worker: Worker) -> int:
-        """Return this dispatcher's position in the worker's own order of dispatchers, rotated for each worker start."""
+        """Return this dispatcher's position in the order of dispatchers that belongs to this start of the worker.
+
+        Each such order is a rotation of the order by dispatcher index.
+        """
         settings = self._context.settings
         return (worker.start_hash + settings.dispatcher_index) % settings.dispatcher_count
--- a/badgerroad/load_balancing/quota.py
+++ b/badgerroad/load_balancing/quota.py
@@ -10,20 +10,20 @@
 requests, since each bucket provides at most its depth at the start of the window plus the refill during it. If the
 share of a dispatcher is below one request a second, a tenant can thus exceed its quota by up to N requests at once.
 
-**Which requests are over.** A dispatcher with a share of at most one request a second that receives its even part of
-Poisson traffic at the fraction `load` of the quota finds `load / (1 + load)` of it over quota: a third at half the
-quota, as the second of two requests arrives before a token is refilled. With a larger share, fewer requests are over.
-Traffic to only a tenth of the dispatchers uses a tenth of the buckets: half the quota is then five times what they
-admit, and about four fifths of the requests are over. Dispatchers that do not exchange their counts cannot avoid
-this, as none knows that the others' buckets are full. `docs/quotas.md` has measured figures. These buckets are not
-used for requests decided externally (`Request.over_quota`).
+**Which requests are over quota.** A dispatcher with a share of at most one request a second that receives its even
+part of Poisson traffic at the fraction `load` of the quota finds `load / (1 + load)` of it over quota: a third at half
+the quota, as the second of two requests arrives before a token is refilled. With a larger share, fewer requests are
+over quota. Traffic to only a tenth of the dispatchers uses a tenth of the buckets: half the quota is then five times
+what these buckets admit, and about four fifths of the requests are over quota. Dispatchers that do not exchange their
+counts cannot avoid this, as none knows that the others' buckets are full. `docs/quotas.md` has measured figures. The
+buckets are not used for requests whose quota is decided externally (`Request.over_quota`).
 """
 
 from . import interface
 
 US_PER_S = 1e6
 FILL_TIME_S = 1.0
-"""Depth of a bucket as refill time."""
+"""Depth of a bucket, given as the time in which it is refilled (seconds)."""
 MIN_DEPTH_REQUESTS = 1.0
 """Minimum depth of a bucket, so that it can hold a whole request at low rates."""
 
@@ -34,13 +34,13 @@
     def __init__(self) -> None:
         """A bucket is created with the first request of its tenant."""
         self.buckets: dict[str, tuple[float, int]] = {}
-        """Tokens, and when they were computed (microseconds), by tenant name."""
+        """Number of tokens, and the time when it was computed (microseconds), by tenant name."""
 
     def is_over(self, settings: interface.Settings, request: interface.Request, now: int) -> bool:
-        """Return whether the request exceeds this dispatcher's share of the quota, or else take a token.
+        """Return whether the request exceeds this dispatcher's share of the quota. If it does not, take a token for it.
 
-        `now` is in microseconds. Always False if requests over quota have the same priority as others, or if the tenant
-        has no quota.
+        `now` is in microseconds. The result is always False if requests over quota have the same priority as others,
+        or if the tenant has no quota.
         """
         if settings.over_quota_priority >= 1:
             return False
--- a/badgerroad/load_balancing/retry_after.py
+++ b/badgerroad/load_balancing/retry_after.py
@@ -1,8 +1,8 @@
 """Computes the Retry-After of a rejected request.
 
-Backlog and capacity are running totals, so their rounding depends on the order of the updates. If that could change the
-result in whole microseconds, both are summed again over all requests and workers in a fixed order. The result is thus
-always equal to the full sums.
+Backlog and capacity are running totals, so their rounding depends on the order of the updates. If the rounding could
+change the Retry-After in whole microseconds, both totals are summed again over all requests and workers in a fixed
+order. The Retry-After is thus always the same as with sums in the fixed order.
 """
 
 from collections.abc import Callable
@@ -17,9 +17,9 @@
 RELATIVE_ROUNDING_ERROR = 2.0**-52
 """Maximum relative difference per term between two summation orders of non-negative terms.
 
-Each addition rounds by at most half of this."""
+Each addition rounds by at most half of this relative difference."""
 EXTRA_ROUNDINGS = 16
-"""Allowance for the few roundings outside the two sums, in products and divisions."""
+"""Number of roundings allowed for in products and divisions outside the two sums; there are fewer."""
 
 
 class Backlog(NamedTuple):
@@ -50,8 +50,8 @@
 ) -> int:
     """Return the time until this dispatcher's share of the workers has finished its backlog (microseconds).
 
-    `mean_work` is the mean of the work hints; each request counts at least this much. `speed` gives the current speed
-    of a worker.
+    `mean_work` is the mean of the work hints (microseconds); each request counts with at least this work. `speed`
+    gives the current speed of a worker.
     """
     max_retry_after = settings.max_retry_after
     capacity = roster.capacity.total(now, mean_work + 1.0, speed) / settings.dispatcher_count
--- a/badgerroad/load_balancing/run_statistics.py
+++ b/badgerroad/load_balancing/run_statistics.py
@@ -1,13 +1,16 @@
 """Statistics of runs: decaying throughput, start delays, and mean run time by request class."""
 
 FORGET_AFTER_US = 4_000_000
-"""Age at which observations of a single worker no longer count."""
+"""Age (microseconds) at which observations of a single worker no longer count."""
 RUN_WEIGHT = 0.1
 """Weight of the newest run in the mean run time of its class."""
 
 
 class Throughput:
-    """Work per run time (both microseconds) as of a warmed-up worker, with exponential decay of older runs."""
+    """Work and run time of runs (microseconds), with exponential decay of older runs.
+
+    A run during a warm-up is added with the run time that a warmed-up worker would have taken.
+    """
 
     def __init__(self) -> None:
         """There are no runs yet."""
@@ -15,7 +18,7 @@
         self.elapsed = 0.0
 
     def add(self, work: float, elapsed: float, decay: float) -> None:
-        """Add a run; `decay` is the factor on the weight of earlier runs."""
+        """Add a run; `decay` is the factor by which the weight of earlier runs is reduced."""
         self.work = self.work * decay + work
         self.elapsed = self.elapsed * decay + elapsed
 
@@ -24,17 +27,20 @@
         return self.work / self.elapsed if self.elapsed else 1.0
 
     def blended_speed(self, other: "Throughput", share: float, prior: float) -> float:
-        """Return the speed of these runs, weighted by `share`, and of `prior` microseconds at the other's speed."""
+        """Return the speed of these runs, weighted by `share`, and of `prior` microseconds at the speed of `other`."""
         return (self.work * share + prior * other.speed()) / (self.elapsed * share + prior)
 
 
 class StartDelays:
-    """Mean delay from a send to the reported start (microseconds), by own slots in flight at the worker at the send."""
+    """Mean delay from a send to the reported start (microseconds), by the slots in flight at the worker before it.
+
+    Only the slots of this dispatcher's requests count.
+    """
 
     def __init__(self) -> None:
         """There are no starts yet."""
         self.by_in_flight: dict[int, tuple[float, int]] = {}
-        """The mean delay and the time of the last report, by slots in flight."""
+        """The mean delay and the time of the last reported start, by slots in flight."""
 
     def add(self, in_flight: int, delay: float, weight: float, now: int) -> None:
         """Add a start; `weight` is its weight in the moving average."""
@@ -42,7 +48,7 @@
         self.by_in_flight[in_flight] = old + (delay - old) * weight, now
 
     def expected(self, in_flight: int, factor: float, now: int) -> float:
-        """Return `factor` times the mean delay, decreasing linearly to 0 as its last report reaches FORGET_AFTER_US."""
+        """Return `factor` times the mean delay, falling linearly to 0 as its last report ages to FORGET_AFTER_US."""
         delay, reported_at = self.by_in_flight.get(in_flight, (0.0, 0))
         return factor * delay * max(1 - (now - reported_at) / FORGET_AFTER_US, 0.0)
 
--- a/badgerroad/load_balancing/settings_decoder.py
+++ b/badgerroad/load_balancing/settings_decoder.py
@@ -34,7 +34,7 @@
     name: str | None
     """The field of `Settings` or `RequestClass`; None for a value that is validated but not used."""
     section: str
-    """The object that contains the key; empty for the settings object itself."""
+    """Name of the object that contains the key; empty for the settings object itself."""
     key: str
     kind: Callable[[Any], Any]
     default: float | None = None
@@ -74,7 +74,7 @@
     Field(None, "deductions", "waste", float, 0.0),
     Field(None, "deductions", "lateFail", float, 0.0),
 )
-"""The values of the settings object except classes, tenants, `registryMode` and the names in the load report."""
+"""Describes the values of the settings object except classes, tenants, `registryMode` and the load report's names."""
 
 CLASS_FIELDS = (
     Field("latency_objective", "", "goalTimeUs", int),
@@ -84,7 +84,7 @@
     Field("priority_weight", "", "worth", float, 1.0),
     Field("late_priority_weight", "", "lateWorth", float, 0.0),
 )
-"""The numeric values of an entry of `requestClasses`."""
+"""Describes the numeric values of an entry of `requestClasses`."""
 
 _REQUIRED_SECTIONS = ("permissions", "obligations")
 _OPTIONAL_SECTIONS = ("familyInfo", "deductions", "callers", "report")
--- a/badgerroad/load_balancing/simulator_adapter.py
+++ b/badgerroad/load_balancing/simulator_adapter.py
@@ -80,7 +80,7 @@
     """Raised when the policy of one instance raises; it is reported to the simulator as a fault."""
 
     def __init__(self, instance: int, text: str) -> None:
-        """`instance` is its number on the wire; `text` is the message for the simulator."""
+        """`instance` is the number of the policy instance on the wire; `text` is the message for the simulator."""
         super().__init__(text)
         self.instance = instance
         self.text = text
@@ -128,7 +128,7 @@
 
 
 class _Frame:
-    """The body of a frame, and the instance that its current records are for."""
+    """The body of a frame, and the number of the policy instance that the records being read are for."""
 
     def __init__(self, number: int, count: int, body: bytes) -> None:
         self.number = number
@@ -139,7 +139,7 @@
             raise FrameError(f"frame {number}: {count} records do not fit in {len(body)} bytes")
 
     def tail(self, start: int, length: int) -> bytes:
-        """Return a part of the tail. Raises FrameError if it does not lie within the frame."""
+        """Return a part of the tail. Raises FrameError if the part does not lie within the frame."""
         begin = self.tail_start + start
         if begin + length > len(self.body):
             raise FrameError(f"an offset lies outside the frame: {begin} + {length} of {len(self.body)} bytes")
--- a/badgerroad/load_balancing/state.py
+++ b/badgerroad/load_balancing/state.py
@@ -136,7 +136,7 @@
         )
 
     def apply(self, worker: Worker) -> None:
-        """Replace the learned state of the worker, but add the received slow start sends to its own."""
+        """Replace the learned state of the worker, but add the received slow start sends to those already recorded."""
         worker.consecutive_failures = self.consecutive_failures
         worker.ejected_until = self.ejected_until
         worker.throughput.work = self.work
@@ -199,8 +199,8 @@
 class PeerAttempts:
     """The attempts in flight of the other process.
 
-    They count at their workers like own attempts: in the slots in flight, towards the limit of one long request, and in
-    the slow start budget.
+    They count at their workers like attempts of this process: in the slots in flight, towards the limit of one long
+    request, and in the slow start budget.
     """
 
     def __init__(self, policy: DispatchPolicy) -> None:
@@ -225,7 +225,7 @@
     ) -> None:
         """Record an attempt that the other process has sent.
 
-        `slow_start_send` is the time and the work to count in the slow start budget; (0, 0.0) if already counted.
+        `slow_start_send` is the time and the work to count in the slow start budget; (0, 0.0) if they count already.
         """
         worker = self._policy.workers.get(worker_id)
         if worker is None or key in self._attempts:
@@ -273,7 +273,7 @@
     ]
 
 
-# Transfer of an open request to another process; times are relative to the current time
+# Transfer of an open request to another process. The times in its exported state are relative to the current time.
 
 
 def request_class_from_values(values: list[Any]) -> interface.RequestClass:
@@ -282,7 +282,7 @@
 
 
 def export_request(policy: DispatchPolicy, request_number: int, now: int) -> dict[str, Any]:
-    """Return an open request and its attempts as JSON-compatible values."""
+    """Return the state of an open request and of its attempts as JSON-compatible values."""
     request = policy.requests[request_number]
     first = request.first_possibly_run
     return {
@@ -350,8 +350,8 @@
 def _results(state: dict[str, Any]) -> list[str]:
     """Return the results of the attempts, "" for those in flight.
 
-    Older versions do not send results. Ended attempts are then taken as cancelled, that is, they may have run; the
-    index of the first attempt that may have run is sent separately.
+    Older versions of the program do not send results. Ended attempts then count as cancelled, that is, they may have
+    run; the index of the first attempt that may have run is sent separately.
     """
     results: list[str] = state.get("ends") or []
     return results or ["" if values[-1] else interface.AttemptResult.CANCELLED for values in state["attempts"]]
@@ -374,7 +374,7 @@
 
 
 def _worker_for(policy: DispatchPolicy, info: interface.Endpoint) -> Worker:
-    """Return the listed worker if it is the same run, or else a record outside the roster, with state GONE."""
+    """Return the listed worker if it has not restarted since, or else a record outside the roster, with state GONE."""
     known = policy.workers.get(info.worker)
     if known is not None and known.info.started_at == info.started_at:
         return known
--- a/badgerroad/load_balancing/timers.py
+++ b/badgerroad/load_balancing/timers.py
@@ -1,4 +1,4 @@
-"""Schedules the callbacks of the policy on a single timer."""
+"""Schedules the callbacks of the policy on a single timer of its host."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -15,9 +15,9 @@
         """Starts without callbacks."""
         self.entries: list[tuple[int, int, Callable[[], Any], PendingRequest | None]] = []
         self.order = 0
-        """Number of callbacks added so far; those with equal times run in the order in which they were added."""
+        """Number of callbacks added so far; callbacks with equal times run in the order in which they were added."""
         self.fires_at = 0
-        """When the current timer fires, which is also its token; 0 if none is set."""
+        """Time when the current timer fires, which is also its token; 0 if no timer is set."""
 
     def __len__(self) -> int:
         """Return the number of scheduled callbacks."""
--- a/badgerroad/load_balancing/workers.py
+++ b/badgerroad/load_balancing/workers.py
@@ -7,7 +7,7 @@
 from .run_statistics import FORGET_AFTER_US, StartDelays, Throughput
 
 RUN_DECAY = 0.8
-"""Factor on the weight of a worker's earlier runs with each new run."""
+"""Factor by which each new run reduces the weight of earlier runs in the throughput of a worker."""
 MIN_FREE_SLOTS = 0.5
 """Number of free slots in a load report below which the worker counts as full."""
 READY = interface.WorkerState.READY
@@ -21,12 +21,12 @@
         self.throughput = Throughput()
         """Throughput of the runs on workers that are not warming up."""
         self.max_slots_seen = 1.0
-        """Maximum number of slots observed on a worker, either reported as free or running own requests."""
+        """Maximum number of slots observed on a worker, reported as free or running requests of this dispatcher."""
         self.start_delays = StartDelays()
         self.slots = 1.0
-        """Maximum number of slots of own requests observed running at once on a worker."""
+        """Maximum number of slots of this dispatcher's requests observed running at once on a worker."""
         self.delayed_excess_sends = 0
-        """Number of sends beyond `slots` whose start was delayed."""
+        """Number of attempts sent while `slots` or more slots were in flight at the worker, whose start was late."""
 
     def speed(self) -> float:
         """Return the work per run time."""
@@ -36,7 +36,7 @@
 class Worker:
     """One run of a worker's process. Times are in microseconds.
 
-    After a restart a new record is used; attempts sent before it count for the old one.
+    After a restart of the worker a new record is used; attempts sent before the restart count for the old record.
     """
 
     def __init__(self, info: interface.Endpoint, machine_type: MachineType, listing_number: int = 0) -> None:
@@ -66,19 +66,19 @@
         self.ejected_until = 0
         """Time until which nothing is sent to the worker."""
         self.slow_start_sends: deque[tuple[int, float]] = deque()
-        """Time and work of each send in the rolling window, while the worker is warming up."""
+        """Time and work of each send in the rolling window of the slow start, while the worker is warming up."""
 
     def is_ready(self) -> bool:
         """Return whether the endpoint list gives the worker as ready."""
         return self.info.state == READY
 
     def add_attempt(self, slots: float, is_long: bool) -> None:
-        """Count an own attempt that is sent to the worker."""
+        """Count an attempt of this dispatcher that is sent to the worker."""
         self.in_flight_slots += slots
         self.long_in_flight += is_long
 
     def remove_attempt(self, slots: float, is_long: bool, started: bool) -> None:
-        """Remove an own attempt that has ended from the counts."""
+        """Remove an attempt of this dispatcher that has ended from the counts."""
         self.in_flight_slots -= slots
         self.long_in_flight -= is_long
         self.running_slots -= slots if started else 0.0
@@ -86,13 +86,14 @@
     def speed(self, now: int, prior: float) -> float:
         """Return the worker's speed, blended with that of its machine type.
 
-        Own runs count less the longer ago the last one ended; `prior` microseconds count at the type's speed.
+        Runs of this dispatcher's requests count less the longer ago the last one ended. `prior` microseconds count at
+        the speed of the machine type.
         """
         share = max(1 - (now - self.last_run_at) / FORGET_AFTER_US, 0.0)
         return self.throughput.blended_speed(self.machine_type.throughput, share, prior)
 
     def learn_run(self, work: float, elapsed: float, now: int) -> None:
-        """Add a run of an own request on the worker; work and run time in microseconds."""
+        """Add a run of this dispatcher's request on the worker; work and run time are in microseconds."""
         self.throughput.add(work, elapsed, RUN_DECAY)
         self.last_run_at = now
 
@@ -104,8 +105,8 @@
     def learn_load_report(self, free: float, with_answer: bool, now: int) -> None:
         """Update the worker with the free slots of a load report.
 
-        A report that comes with an answer may be outdated, so it is averaged with the previous level; the result of a
-        health check replaces it.
+        A report that comes with an answer may be outdated, so it is averaged with the previous queue level; the result
+        of a health check replaces that level.
         """
         is_full = free < MIN_FREE_SLOTS
         self.machine_type.max_slots_seen = max(self.machine_type.max_slots_seen, float(round(free)))
--- a/badgerroad/operator/schema.py
+++ b/badgerroad/operator/schema.py
@@ -24,11 +24,13 @@
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The table `[limits]`. Takes effect at the start and on SIGHUP. If a value has changed, counts restart at zero."""
+    """The table `[limits]`. Takes effect at the start and on SIGHUP. If a value has changed, the counts of the
+    retry budget restart at 0."""
 
     retries: Literal["free", "budget"] = "free"
     retry_share: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.2  # retries and hedged requests per first attempt
-    retry_least: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 10  # always allowed in each window
+    # Number of retries and hedged requests that are always allowed in each window, whatever the share.
+    retry_least: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 10
     retry_window_s: Annotated[float, msgspec.Meta(ge=1, le=600)] = 10.0
 
 
@@ -47,9 +49,9 @@
     """The table `[fleet]`. Takes effect at the start; changes of the quotas file also on SIGHUP. A field that is None
     has the default of badgerroad.fleet.settings, which also defines the bounds."""
 
-    name: str = ""  # of the controller that is started with this file; not needed for dispatchers
-    zone: str = ""  # of the dispatcher; if empty, the name of its zone in PROXY_CONFIG is used
-    members: str = ""  # a TOML file with the controllers, in place of the list; relative to the operator's file
+    name: str = ""  # name of the controller that is started with this file; not needed for dispatchers
+    zone: str = ""  # zone of the dispatcher; if empty, the name of its zone in PROXY_CONFIG is used
+    members: str = ""  # a TOML file with the controllers, in place of `controllers`; relative to the operator's file
     quotas: str = ""  # a TOML file of lines `team = requests per second`; relative to the operator's file
     controllers: tuple[FleetController, ...] = ()
     shards: int | None = None
--- a/badgerroad/operator_limits.py
+++ b/badgerroad/operator_limits.py
@@ -1,4 +1,4 @@
-"""Applies the limits of the operator's file to a dispatcher. The code of a limit is imported only if it is set."""
+"""Applies the limits of the operator's file to a dispatcher. Imports the code of a limit only if the limit is set."""
 
 from __future__ import annotations
 
--- a/badgerroad/process_messages.py
+++ b/badgerroad/process_messages.py
@@ -1,4 +1,4 @@
-"""What the messages between processes of one dispatcher have in common: their form in a packet, and the job event.
+"""Defines what all messages between processes of one dispatcher share: their form in a packet, and the job event.
 
 `hot_restart.messages` and `multiprocess.messages` define the other messages. Each message is a class; `kind` is its
 name in a packet. The names of a packet's fields appear only in `to_head` and `from_head`. `from_head` raises KeyError,
--- a/badgerroad/requests.py
+++ b/badgerroad/requests.py
@@ -30,9 +30,10 @@
         b"client-retry",
     )
 )
-MAX_CLIENT_TIMEOUT_MS = 3_600_000  # longer ones are rejected; those beyond the deadline of the class are cut to it
-# The id becomes part of a path when an attempt is cancelled. A comma is not allowed because it stands for two headers
-# of that name joined into one.
+# A request with a longer timeout is rejected. A timeout beyond the deadline of the class is reduced to that deadline.
+MAX_CLIENT_TIMEOUT_MS = 3_600_000
+# The id becomes part of a path when an attempt is cancelled. A comma is not allowed because it would mean
+# that two request-id headers were joined into one.
 REQUEST_ID = re.compile(rb"[A-Za-z0-9._~:@!$&'()*+;=-]{1,128}\Z")
 
 
@@ -79,7 +80,7 @@
         self.work_hint = 0
         self.slots = 1.0
         self.deadline_timer: Timer | None = None
-        self.admitted = False  # True once it has been passed to the dispatch policy
+        self.admitted = False  # True once the request has been passed to the dispatch policy
 
 
 def forwarded_headers(message: http1.Message) -> http1.Headers:
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -33,13 +33,13 @@
 
 log = logs.get("badgerroad")
 
-# A predecessor to which this process relays job events is killed within this time after its SIGTERM, so relaying them
-# is not needed for longer.
+# A predecessor to which this process relays job events is killed within this time after its SIGTERM, so job events need
+# not be relayed for longer.
 PREDECESSOR_LIFETIME_US = 3_000_000
 NEW_CONNECTIONS_GRACE_US = 800_000  # clients open new connections for a while after SIGTERM
 SHUTDOWN_CHECK_INTERVAL_US = 20_000
 PROCESS_VARIABLE = "BADGERROAD_SERVER_PROCESS"  # set in the environment of the server processes that `--workers` starts
-UNNAMED_OPERATOR_FILE = "the operator's file"  # used in errors if only another process knows the path
+UNNAMED_OPERATOR_FILE = "the operator's file"  # used in errors if only another process knows the path of that file
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
@@ -267,7 +267,8 @@
     config: Config
     operator: Operator | None
     parameters: StartParameters | None  # from the supervisor, if this is one of several server processes
-    text: bytes  # of the configuration file, which a supervisor passes on; empty if this process is not a supervisor
+    # The text of the configuration file, which a supervisor passes on; empty if this process is not a supervisor.
+    text: bytes
 
 
 def main(check_only: bool, operator_file: str | None, verbose: bool, workers: int = 1) -> int:
@@ -304,12 +305,12 @@
 
     text = read_config_file(os.environ)
     config = check_config(parse(text, os.environ.get("PROXY_CONFIG", "")), os.environ)
-    ProcessIndex(0, workers).share_of(config)  # raises ConfigError if there are too few descriptors for them
+    ProcessIndex(0, workers).share_of(config)  # raises ConfigError if there are too few descriptors for all processes
     return _StartConfiguration(config, operator, None, text)
 
 
 def _load_operator(path: str) -> Operator:
-    # Imported only if there is such a file, because the import costs memory and start-up time.
+    # Imported only if there is an operator's file, because the import costs memory and start-up time.
     from badgerroad.operator.schema import load as load_operator
 
     return load_operator(path)
--- a/badgerroad/startup_signals.py
+++ b/badgerroad/startup_signals.py
@@ -1,4 +1,4 @@
-"""Counts SIGHUPs that arrive before the event loop runs. Otherwise they would end the process or be lost."""
+"""Counts SIGHUPs that arrive before the event loop runs; uncounted, they would end the process or be lost."""
 
 from __future__ import annotations
 
--- a/tests/discovery/test_endpoint_watch.py
+++ b/tests/discovery/test_endpoint_watch.py
@@ -52,7 +52,7 @@
         targets = [head.split(b" ")[1] for head, _ in w.discovery.received]
         assert targets[0] == b"/api/targets?index=1&wait=0"  # the version of the cached list
         assert [target.split(b"&")[0][-7:] for target in targets] == [b"index=1", b"index=1", b"index=5", b"index=5"]
-        # Polls, except for the watch that follows the successful poll.
+        # All calls are polls, except for the watch that follows the successful poll.
         assert [target.endswith(b"wait=0") for target in targets] == [
             True,
             True,
--- a/tests/discovery/test_stale_watches.py
+++ b/tests/discovery/test_stale_watches.py
@@ -88,8 +88,8 @@
 
 @async_test
 async def test_a_new_process_requests_the_list_of_an_agent_at_once():
-    """With an agent the policy does not subscribe. Guards against a watch that never starts, so that the dispatcher
-    never becomes ready."""
+    """With an agent the policy does not subscribe. Guards against a watch that is therefore never started, so that the
+    dispatcher never becomes ready."""
     async with World(serve, discovery=lambda head, _body: list_answer(w, 5, "draining"), **AGENT_SETTINGS) as w:
         await until(lambda: w.dispatcher.ready)
         assert not w.dispatcher.decisions.subsets.ready
@@ -128,7 +128,8 @@
 
 @async_test
 async def test_a_change_of_address_ends_the_delay_before_the_first_call():
-    """A change must be known 4 s after a move, but of 200 starting dispatchers some wait 20 s before the first call."""
+    """A change must be known 4 s after discovery has moved to another address. Of 200 starting dispatchers, however,
+    some wait almost 4 s before the first call, and without MAX_FIRST_CALL_STAGGER_US up to 20 s."""
     async with World(serve, discovery=lambda head, _body: list_answer(w, 2), siblings=200, index=3) as w:
         await asyncio.sleep(0.05)
         assert not w.discovery.received
@@ -151,7 +152,7 @@
         self.last_poll_failed = False
 
     def outage_end(self, at):
-        """The end of the outage at a time; 0 if there is none."""
+        """Return the end of the outage that includes the given time; 0 if no outage does."""
         return next((end for begin, end in self.outages if begin <= at < end), 0)
 
     def run(self):
@@ -162,7 +163,7 @@
             fate, took = self.random.random(), self.random.randrange(1, 100) * MS
             answered_at = started_at + (call.wait_us or 0) + took
             next_outage = next((begin for begin, _ in self.outages if started_at <= begin < answered_at), 0)
-            if self.outage_end(started_at):  # not answered, refused, or failed after a while
+            if self.outage_end(started_at):  # the call is not answered, is refused, or fails after a while
                 took, ok = self.random.choice([call.timeout_us, 1 * MS, min(400 * MS, call.timeout_us)]), False
             elif next_outage:
                 took, ok = next_outage - started_at + 1 * MS, False
--- a/tests/dispatcher/test_connection_endings.py
+++ b/tests/dispatcher/test_connection_endings.py
@@ -62,7 +62,7 @@
         await self.world.__aexit__()
 
     async def release(self):
-        """Let h0 answer the cancel; returns the ids that h0 was sent."""
+        """Let h0 answer the cancel; returns the ids of the requests that h0 was sent."""
         self.answer_cancel.set()
         await until(lambda: self.attempt.ended)
         await asyncio.sleep(0.05)
@@ -131,7 +131,7 @@
         w.dispatcher.decisions.handle = lambda now, event: event_types.append(type(event)) or handle(now, event)
         sock.close()
         await until(lambda: not w.dispatcher.has_pending_responses)
-        # Noticed at once, before the attempt could time out.
+        # The disconnection is noticed at once, before the attempt could time out.
         assert (
             next(kind for kind in event_types if kind in (interface.ClientDisconnected, interface.AttemptEnded))
             is interface.ClientDisconnected
@@ -162,7 +162,7 @@
         sock.sendall(job("r1"))
         await until(lambda: w.dispatcher.open_requests)
         w.dispatcher.frontend.draining = True  # each answer closes its connection
-        sock.sendall(job("r2")[:-1])  # in the same iteration of the event loop as the answer
+        sock.sendall(job("r2")[:-1])  # arrives in the same iteration of the event loop as the answer
         w.dispatcher.open_requests[1].exchange.answer(200, b"made")
         loop, received = asyncio.get_running_loop(), b""
         while data := await loop.run_in_executor(None, sock.recv, 65536):  # a reset would raise
@@ -220,7 +220,8 @@
 
 @async_test
 async def test_a_second_answer_is_not_taken_for_the_answer_to_the_next_attempt():
-    """Otherwise a second Not-Started answer would report a running job as never started, and it would be run twice."""
+    """Otherwise a second Not-Started answer would report a running job as never started, and the job would run
+    twice."""
     accept = asyncio.Event()
 
     async def reject_r1(_world, head, _body):
--- a/tests/dispatcher/test_reload.py
+++ b/tests/dispatcher/test_reload.py
@@ -31,7 +31,7 @@
 
 @given(st.lists(st.one_of(CLASS_LISTS, NAMES, st.integers(0, 5)), max_size=40))
 def test_an_index_in_use_is_never_assigned_to_another_class(history):
-    """`history`: new lists of classes, requests that arrive (a class name) and requests that end (a number)."""
+    """`history` holds new lists of classes, requests that arrive (a class name) and requests that end (a number)."""
     current = [interface.RequestClass("a")]
     table, requests = ClassTable(current), []
     for step in history:
@@ -95,8 +95,8 @@
     )
 )
 def test_requests_keep_their_class_and_attempts_stay_within_the_limit_in_force(history):
-    """`history`: new lists of classes, new limits of attempts (text), requests of a class by index (0 to 3), and open
-    attempts that fail (4 to 7)."""
+    """`history` holds new lists of classes, new limits of attempts (text), requests of a class by index (0 to 3), and
+    open attempts that fail (4 to 7)."""
     policy = DispatchPolicy(settings(interface.RequestClass("a", deadline=90_000_000, latency_objective=60_000_000)), 1)
     policy.handle(
         0, interface.EndpointList(interface.ListScope.COMPLETE, 1, tuple(interface.Endpoint(w) for w in "abcdef"))
--- a/tests/dispatcher/test_serve.py
+++ b/tests/dispatcher/test_serve.py
@@ -128,7 +128,7 @@
         await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", idle)
         await until(lambda: w.hosts[0].received and len(w.dispatcher.frontend.connections) == 2)
         w.dispatcher.drain()
-        assert await idle[0].read() == b""  # closed between requests
+        assert await idle[0].read() == b""  # the idle connection is closed between requests
         assert (await w.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
         late = w.begin(w.ask(job("r2")))
         await until(lambda: len(w.dispatcher.open_requests) == 2)
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("hint", [10_000_000, 0])
 @async_test
 async def test_what_comes_after_sigterm_is_answered_before_sigkill_at_once_if_it_cannot_be_done(hint, monkeypatch):
-    """Clients keep sending on open connections until SIGKILL, and their own timeouts are longer than that."""
+    """Clients keep sending requests on open connections until SIGKILL, and their timeouts are longer than that time."""
     monkeypatch.setattr(shutdown, "MAX_REQUEST_DRAIN_US", 0)
     async with World(accept_without_events, accept_without_events) as w:
         await until(lambda: w.dispatcher.ready)
@@ -211,10 +211,10 @@
 
 @async_test
 async def test_clients_cannot_use_up_the_reserved_descriptors():
-    async with World(serve, limits=224) as w:  # 200 without the reserved descriptors
+    async with World(serve, limits=224) as w:  # 200 descriptors without the 24 reserved ones
         mute = [await w.connect() for _ in range(220)]
         for _, writer in mute:
-            writer.write(b"POST")  # a partial request, so that none of them is idle
+            writer.write(b"POST")  # a partial request, so that none of the connections is idle
         descriptors, used = w.dispatcher.descriptors, []
         for _ in range(60):  # the listener pauses and accepts again
             await asyncio.sleep(0.005)
@@ -309,8 +309,8 @@
 
 @async_test
 async def test_a_process_that_was_stopped_blames_no_worker_and_retries_nothing(tmp_path):
-    """SIGSTOP for 1.5 s with an attempt at each of 8 workers. The process must read the events that arrived in that
-    time before it concludes that heartbeats are missing."""
+    """SIGSTOP stops the process for 1.5 s while an attempt runs at each of 8 workers. The process must read the events
+    that arrived in that time before it concludes that progress reports are missing."""
 
     async def slow(world, head, body):
         if head.startswith(b"DELETE"):
@@ -337,7 +337,7 @@
             await asyncio.sleep(1.5)  # by the clock alone, three progress events seem to be missing
             process.send_signal(signal.SIGCONT)
             assert [answer[0] for answer in await asyncio.gather(*answers)] == [200] * 8
-        assert sum(len(peer.received) for peer in w.hosts) == 16  # no cancel, no second attempt
+        assert sum(len(peer.received) for peer in w.hosts) == 16  # first attempts only: no cancel and no second attempt
         output = b""
         process.terminate()
         while line := await process.stderr.readline():
--- a/tests/load_balancing/test_deployment_settings.py
+++ b/tests/load_balancing/test_deployment_settings.py
@@ -1,4 +1,5 @@
-"""Effects of settings on the policy: changed tenants, requests without hints, slow start by dispatcher count, hedging."""
+"""Effects of settings on the policy: changed tenants, requests without hints, slow start by number of dispatchers,
+hedging."""
 
 import random
 
@@ -13,14 +14,14 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_tenant_keeps_its_quota_bucket_when_a_reload_reorders_the_tenants(seed):
-    """With buckets by list index, a reload gave tenants the bucket of another one, or all tenants new buckets."""
+    """With quota buckets by list index, a reload gave a tenant another tenant's bucket, or all tenants new buckets."""
     rng = random.Random(seed)
     driver = Driver(workers=1, tenants=TENANTS, over_quota_priority=0.1)
     names, request = [tenant.name for tenant in TENANTS], 0
     exhausted = rng.choice(names)
     for _ in range(10):
         request += 1
-        driver.request(request, tenant=names.index(exhausted))  # more than its quota of a second
+        driver.request(request, tenant=names.index(exhausted))  # more requests than the tenant's quota for a second
     for _ in range(3):
         tenants = [tenant for tenant in TENANTS if tenant.name == exhausted or rng.random() < 0.7]
         rng.shuffle(tenants)
@@ -28,7 +29,7 @@
         driver.handle(interface.SettingsChanged(driver.policy.settings._replace(tenants=tuple(tenants))))
         request += 1
         actions = driver.request(request, tenant=names.index(exhausted))
-        assert [answer.request for answer in finals(actions)] == [request]  # rejected, as others are queued
+        assert [answer.request for answer in finals(actions)] == [request]  # rejected, as other requests are queued
         for n, name in enumerate(names):
             if name != exhausted and name not in driver.policy.quota.buckets:
                 request += 1
@@ -36,7 +37,8 @@
 
 
 def test_request_without_hint_counts_as_the_recent_run_time_of_its_class():
-    """Counted as no work, requests were rejected if they could not start within the objective, and slow start had no limit."""
+    """Requests that counted as no work were rejected if they could not start within the objective, and slow start did
+    not limit them."""
     driver = Driver(workers=1)
     ((_, worker),) = sends(driver.request(1, hint=0))
     driver.start(1, 0, worker)
@@ -69,7 +71,7 @@
     assert deployment.max_share_of_slow_start_bound(slots, deployment.drivers[0].policy.settings) <= 1.0
     assert dispatcher_count < 5 or any(
         sent.worker_started_at for sent in deployment.sent_attempts
-    )  # few dispatchers have enough warm workers
+    )  # fewer than 5 dispatchers have enough workers that are not warming up
 
 
 def test_restarted_dispatcher_does_not_spend_its_slow_start_budget_twice():
@@ -81,7 +83,7 @@
 
 
 def test_hedging_becomes_rare_while_most_requests_wait_in_all_zones_and_recovers():
-    """Workers that run cancelled attempts anyway do not report it; with them, unlimited hedging filled all queues."""
+    """Some workers run cancelled attempts anyway without reporting this; unlimited hedging then filled all queues."""
     driver = two_zone_driver()
     hedged = []
     for request in range(1, 61):
--- a/tests/load_balancing/test_dispatch_policy.py
+++ b/tests/load_balancing/test_dispatch_policy.py
@@ -116,7 +116,8 @@
 
 
 def test_short_time_left_does_not_count_as_waiting_if_clients_mark_retries():
-    # A single request with a long time left led to the rejection of all later first tries of its class, with idle workers.
+    # A single request with a long time left led to the rejection of all later first tries of its class, although
+    # workers were idle.
     driver = Driver(workers=1, clients_mark_retries=True)
     driver.request(1, left=6 * SEC)
     driver.start(1, 0, "w0")
@@ -126,7 +127,7 @@
     driver.end(2, 0, "w0")
     assert finals(driver.request(3, left=2 * SEC, hint=100 * MS, client_retry=True)) == [
         interface.Reject(3)
-    ]  # it has waited for a second, longer than its objective
+    ]  # the client has waited for a second, longer than the latency objective
     assert sends(driver.request(4, left=2900 * MS, hint=100 * MS, client_retry=True)) == [(4, "w0")]
 
 
@@ -158,7 +159,7 @@
     def retry_after(workers, max_retry_after=2 * SEC, **settings_changes):
         driver = Driver(workers=workers, cls=IDEMPOTENT_CLASS, max_retry_after=max_retry_after, **settings_changes)
         for n in range(9):
-            driver.request(n, hint=300 * MS)  # one is sent to each worker, and none starts
+            driver.request(n, hint=300 * MS)  # one request is sent to each worker, and none of them starts
         return finals(driver.advance(900 * MS) + driver.request(99, hint=300 * MS, left=100 * MS))[0].retry_after
 
     assert retry_after(3) == 0
--- a/tests/load_balancing/test_endpoint_roster.py
+++ b/tests/load_balancing/test_endpoint_roster.py
@@ -65,7 +65,7 @@
         listed = roster.workers.values()
         ready = sorted(
             (worker for worker in listed if worker.is_ready()), key=lambda worker: worker.sort_key[:2]
-        )  # ties in the order in which ids were first listed
+        )  # workers with equal sort keys stay in the order in which their ids were first listed
         assert roster.ready == ready
         assert roster.local == [worker for worker in ready if not is_remote(worker)]
         assert roster.remote == [worker for worker in ready if is_remote(worker)]
--- a/tests/load_balancing/test_large_fleets.py
+++ b/tests/load_balancing/test_large_fleets.py
@@ -14,7 +14,8 @@
 
 @pytest.mark.parametrize("warming_up", [1, 50])
 def test_all_dispatchers_together_keep_the_slow_start_budget_and_use_it(warming_up):
-    # A hundredth of a budget is less than one request: with even shares, such workers got nothing until warmed up.
+    # Of 100 dispatchers, each has an even share of a worker's slow start budget that is below one request. With even
+    # shares, workers therefore got no requests until they were warmed up.
     start = 100 * SEC
     fleet = tuple(
         worker._replace(started_at=start) if n < warming_up else worker for n, worker in enumerate(endpoint_list(60))
@@ -22,8 +23,8 @@
     deployment = Deployment(100, 5, fleet, [5 * MS, 20 * MS, 20 * MS, 40 * MS, 300 * MS])
     settings = deployment.drivers[0].policy.settings
     deployment.run(3)
-    # A restart under the same id, which each dispatcher learns of separately; for a third, the worker is also removed and
-    # listed again.
+    # Worker w0 restarts under the same id, and each dispatcher learns of the restart separately. For a third of the
+    # dispatchers, the worker is also removed from the list and listed again.
     restarted = fleet[0]._replace(started_at=deployment.drivers[0].now)
     deployment.started_at["w0"] = restarted.started_at
     for n, driver in enumerate(deployment.drivers):
@@ -34,7 +35,7 @@
     deployment.run(3)
     assert (
         0.4 < deployment.max_share_of_slow_start_bound(1.0, settings) <= 1.0
-    )  # each worker has at least the capacity of one slot at speed 1
+    )  # 1.0, as each worker has at least the capacity of one slot at speed 1
     slow_start_sends = [sent.worker for sent in deployment.sent_attempts if sent.worker_started_at]
     assert len({*slow_start_sends}) == warming_up
     assert len(slow_start_sends) > 5 * warming_up
@@ -317,7 +318,8 @@
 
 
 def test_start_delay_is_learned_from_few_starts_if_own_traffic_is_small():
-    # Each of many dispatchers sees few starts. With a weight of 0.1 they went on sending to full queues for seconds.
+    # With many dispatchers, each of them sees few starts. With a weight of 0.1 for the newest start delay, they
+    # continued to send to workers with full queues for seconds.
     for dispatcher_count, weight in ((100, 0.25), (1, 0.1)):
         driver = fleet_driver(dispatcher_count=dispatcher_count)
         ((_, worker),) = sends(driver.request(1))
--- a/tests/load_balancing/test_quota.py
+++ b/tests/load_balancing/test_quota.py
@@ -53,7 +53,7 @@
     over = sum(buckets.is_over(with_quota(1, quota), REQUEST, SEC + n * gap) for n in range(count))
     assert count - over >= count // (
         excess_factor + 1
-    )  # a token takes excess_factor gaps, or slightly more as gaps are truncated
+    )  # the refill of a token takes excess_factor gaps, or slightly more as gaps are truncated
 
 
 def test_bucket_starts_full_and_holds_at_least_one_request():
--- a/tests/load_balancing/test_random_histories.py
+++ b/tests/load_balancing/test_random_histories.py
@@ -78,10 +78,10 @@
             for number in range(6)
         }
         self.requests = {}
-        self.in_flight = {}  # (request, attempt): worker
-        self.started_at = {}  # (request, attempt): time
+        self.in_flight = {}  # maps (request, attempt) to the worker
+        self.started_at = {}  # maps (request, attempt) to the time of its start
         self.timers = []
-        self.slow_start_sends = {}  # (worker, start): (time, work) of each send
+        self.slow_start_sends = {}  # maps (worker, start time) to a list with (time, work) of each send
         self.deliver(interface.EndpointList(interface.ListScope.CACHED, 1, tuple(self.endpoints.values())))
 
     def deliver(self, event):
@@ -122,7 +122,10 @@
             assert scope != interface.DeduplicationScope.CELL or first.worker.cell == endpoint.cell
 
     def check_slow_start_budget(self, endpoint, work):
-        """Check that this dispatcher alone keeps the whole budget; test_large_fleets covers all dispatchers together."""
+        """Check that this dispatcher alone does not exceed the whole slow start budget of the worker.
+
+        test_large_fleets covers all dispatchers together.
+        """
         age = self.now - endpoint.started_at
         if not endpoint.started_at or age >= self.settings.slow_start_duration:
             return
--- a/tests/load_balancing/test_retries.py
+++ b/tests/load_balancing/test_retries.py
@@ -24,7 +24,7 @@
     ],
 )
 def test_fault_ejects_the_worker_which_then_gets_one_trial_request(result):
-    # Workers that reject or fail at once have few requests in flight, which attracted traffic.
+    # Workers that reject or fail attempts at once have few requests in flight. They therefore attracted more traffic.
     driver = Driver(workers=1, cls=IDEMPOTENT_CLASS)
     driver.request(1)
     driver.end(1, 0, "w0", result)
@@ -132,7 +132,7 @@
 def test_request_that_cannot_meet_its_objective_fails_if_a_rejection_is_not_safe():
     driver = Driver(workers=2, cls=with_idempotency_key(interface.DeduplicationScope.CELL))
     ((_, worker),) = sends(driver.request(1, hint=10 * MS))
-    driver.now += 450 * MS  # beyond its latest start for the objective
+    driver.now += 450 * MS  # past the latest start with which request 1 can meet its objective
     assert finals(driver.end(1, 0, worker, interface.AttemptResult.ERROR)) == [interface.Fail(1)]
     assert not driver.policy.queue
     assert not driver.policy.requests
--- a/tests/load_balancing/test_retry_after.py
+++ b/tests/load_balancing/test_retry_after.py
@@ -82,5 +82,5 @@
 def test_a_drain_time_close_to_a_whole_microsecond_depends_on_the_summation_order():
     assert not Backlog(300_000.0, 1.0).is_order_independent(SEC, terms=10)
     assert Backlog(300_000.5, 1.0).is_order_independent(SEC, terms=10_000)
-    assert Backlog(10.0, 1.0).is_order_independent(SEC, terms=10_000)  # the minimum Retry-After
+    assert Backlog(10.0, 1.0).is_order_independent(SEC, terms=10_000)  # below the minimum Retry-After
     assert Backlog(10.0, 0.0).is_order_independent(SEC, terms=10_000)
--- a/tests/load_balancing/test_worker_selection.py
+++ b/tests/load_balancing/test_worker_selection.py
@@ -66,7 +66,7 @@
 
 
 def test_queued_requests_too_urgent_for_the_worker_do_not_block_later_ones():
-    # They kept an available worker idle although it could have met the objectives of later requests.
+    # Such requests kept an available worker idle, although it could have met the objectives of later requests.
     driver = Driver(workers=1)
     driver.request(0)
     for n in range(1, 4):
@@ -100,7 +100,7 @@
 
 
 def test_warming_up_worker_gets_no_more_than_its_budget():
-    # Small requests count as mean ones, as many small ones overloaded warming-up workers too.
+    # A request below the mean work counts as the mean work, as many small requests overloaded warming-up workers too.
     driver = Driver(workers=1, dispatcher_count=2)
     for n in range(100):
         for _ in sends(driver.request(n, hint=100 * MS)):
@@ -147,7 +147,8 @@
 
 
 def test_retried_request_is_not_used_as_the_trial_of_a_worker_with_failures():
-    # Idle workers with failures ranked before busy ones, so that such a request spent its four attempts on two of them.
+    # Idle workers with failures ranked before busy workers. A retried request thus spent its four attempts on two idle
+    # workers with failures.
     for seed in range(8):
         driver = Driver(workers=3, cls=IDEMPOTENT_CLASS, seed=seed)
         for worker in driver.policy.workers.values():
@@ -157,9 +158,9 @@
             "w2"
         ].in_flight_slots = driver.policy.workers["w2"].running_slots = 2.0
         ((_, first),) = sends(driver.request(1))
-        assert first == "w0"  # a first attempt may be the trial
+        assert first == "w0"  # a first attempt may be the trial of a worker with failures
         ((_, second),) = sends(driver.end(1, 0, "w0", interface.AttemptResult.ERROR))
-        driver.policy.workers["w0"].ejected_until = 0  # the ejection is over
+        driver.policy.workers["w0"].ejected_until = 0  # ends the ejection of w0
         ((_, third),) = sends(driver.end(1, 1, second, interface.AttemptResult.ERROR))
         assert {second, third} == {"w1", "w2"}
 
@@ -179,4 +180,4 @@
     assert chosen_worker(in_flight=1.0) == "slow"
     assert (
         chosen_worker(in_flight=1.0, hint=500 * MS) == "fast"
-    )  # on the slow one it would take 1250 of 1400 ms, too close as hints are inexact
+    )  # on the slow worker it would take 1250 of 1400 ms, too close to the objective as hints are inexact
--- a/tests/load_balancing/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -40,7 +40,7 @@
     all_start = first_sends(driver, 60, starting_zones={0, 1})
     assert all_start.count(1) == 0
     local_zone_waits = first_sends(two_zone_driver(seed=2), 120, starting_zones={1})
-    assert 0.3 < local_zone_waits[60:].count(1) / 60 < 0.9  # some stay local, so that a recovery is noticed
+    assert 0.3 < local_zone_waits[60:].count(1) / 60 < 0.9  # some stay, so that a local recovery is noticed
 
 
 def test_requests_are_hedged_at_growing_intervals():
@@ -54,7 +54,8 @@
 
 
 def test_one_slow_outlier_does_not_slow_its_machine_type():
-    """An uncapped run of twenty times its hint lowered the speed of the type so far that requests were rejected unsent."""
+    """An uncapped run of twenty times its hint lowered the estimated speed of the machine type so far that requests
+    were rejected unsent."""
     driver = two_zone_driver()
     for request, slowdown in ((1, 20), (2, 1), (3, 1)):
         (_, worker), *_ = sends([*driver.request(request, 2 * SEC, 200 * SEC), *driver.advance(50 * MS)])
@@ -63,12 +64,13 @@
         driver.end(request, 0, worker)
     assert sends(
         [*driver.request(9, 3 * SEC, 20 * SEC), *driver.advance(50 * MS)]
-    )  # its objective: 4 s plus twice its hint
+    )  # the latency objective of the request is 4 s plus twice its hint
     assert min(machine_type.speed() for machine_type in driver.policy.subsets.roster.machine_types.values()) > 0.5
 
 
 def test_slow_run_counts_in_full_where_the_whole_fleet_is_used():
-    """Capping runs there as well lowered the score of two dispatchers on real sockets in each of five paired runs."""
+    """Capping runs where the whole fleet is used lowered the score of two dispatchers on real sockets in each of five
+    paired runs."""
     driver = Driver(
         workers=2, cls=interface.RequestClass("job", interface.RetrySemantics.IDEMPOTENT, 4 * SEC, 60 * SEC, 2.0)
     )
@@ -94,7 +96,7 @@
 
 
 def test_dispatchers_whose_polls_failed_together_spread_their_retries():
-    """Failed calls cost discovery as much as others: 24 retries within half a second all failed again."""
+    """Failed calls cost discovery as much time as other calls: 24 retries within half a second all failed again."""
     for dispatcher_count in (40, 200):
         retry_times = []
         for index in range(dispatcher_count):
@@ -108,7 +110,7 @@
         assert (
             max(sum(begin <= time < begin + 500 * MS for time in retry_times) for begin in retry_times)
             <= 0.35 * dispatcher_count
-        )  # 14 of 40
+        )  # that is, 14 of 40 dispatchers
 
 
 @pytest.mark.parametrize(
@@ -138,7 +140,8 @@
 
 
 def test_new_dispatcher_allows_health_checks_and_starts_the_time_to_connect():
-    """A limit of 4 ms was too short for a new connection: no health check counted, and the first request was hedged."""
+    """With a time-out of 4 ms, too short to open a connection, no health check counted and the first request was
+    hedged."""
     driver = two_zone_driver()
     assert not sends([*driver.request(1), *driver.advance(20 * MS)])
     assert len(sends(driver.advance(35 * MS))) == 1
@@ -153,7 +156,7 @@
 
 
 def test_hedged_requests_prefer_workers_with_an_open_connection():
-    """A hedged request to any other worker opens a connection for that request alone."""
+    """A hedged request to a worker without an open connection opens a connection for that request alone."""
     driver = two_zone_driver()
     hedged_without_connection = hedged = 0
     for request in range(1, 81):
