--- a/badgerroad/emulator/counts.py
+++ b/badgerroad/emulator/counts.py
@@ -19,14 +19,14 @@
     failed: int  # failed calls to discovery
     untold: int  # dispatchers whose last call to discovery before the end of arrivals got no answer
     slowest: float  # longest time from the kill of a dispatcher to its next list, in seconds
-    probes: float  # per try
+    probes: float  # health checks per try
     probed: float  # highest number of health checks that one node got within a second
     connects: float  # connections opened, per try
     falls: int  # number of nodes that collapsed during warm-up
     cold_peak: float  # highest share of the overload limit reached by a node during warm-up
     cold_load: float  # utilisation of nodes during warm-up: work done over work possible
-    warm_load: float  # the same for warm nodes
-    broken: int  # rule violations
+    warm_load: float  # utilisation of warm nodes: work done over work possible
+    broken: int  # number of rule violations
 
 
 def count(scenario: sc.Scenario, seed: int, folder: Path) -> Counts:
--- a/badgerroad/emulator/live/clock.py
+++ b/badgerroad/emulator/live/clock.py
@@ -16,7 +16,7 @@
     Time is negative while the dispatchers start; `begin` sets it to zero, which is the start of the scenario.
     """
 
-    STARTUP_OFFSET_US = 120_000_000  # before `begin`, time zero lies this far in the future
+    STARTUP_OFFSET_US = 120_000_000  # microseconds from the kernel's creation to time zero, until `begin` is called
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         """Create a kernel whose events run on `loop`."""
--- a/badgerroad/emulator/live/node_servers.py
+++ b/badgerroad/emulator/live/node_servers.py
@@ -17,13 +17,13 @@
 from badgerroad.emulator.world import World
 from badgerroad.net import http1
 
-CALLBACK_ATTEMPTS, CALLBACK_RETRY_DELAY_S = 10, 0.2  # for one job event
+CALLBACK_ATTEMPTS, CALLBACK_RETRY_DELAY_S = 10, 0.2  # of sending one job event
 
 Spawn = Callable[[Coroutine[Any, Any, None]], "asyncio.Task[None]"]
 
 
 class PendingAttempt:
-    """The attempt that a connection to a node carries until it is answered."""
+    """The attempt that a connection to a node carries until the node has answered the attempt."""
 
     __slots__ = ("id", "attempt", "job", "answered")
 
@@ -101,7 +101,7 @@
             pending.answered = True
             self.world.rule_checker.attempt_ended(pending.attempt, False)
             if pending.job is not None and node.jobs.get(pending.id) is pending.job:
-                node.cancel(pending.id)  # closing the connection before the 202 gives the attempt up
+                node.cancel(pending.id)  # a dispatcher gives an attempt up before the 202 by closing the connection
 
     def _on_message(
         self,
@@ -260,7 +260,7 @@
     async def _deliver_callback(
         self, dispatcher: int, previous: asyncio.Task[None] | None, event: dict[str, Any], key: tuple[str, str]
     ) -> None:
-        """Send a job event until it is acknowledged, in at most CALLBACK_ATTEMPTS attempts.
+        """Send a job event until the dispatcher acknowledges it, at most CALLBACK_ATTEMPTS times.
 
         Waits for the previous event of the job first, so that its states arrive in order.
         """
--- a/badgerroad/emulator/live/run.py
+++ b/badgerroad/emulator/live/run.py
@@ -79,7 +79,7 @@
                 if watch is not None:
                     watch(world)
                 await asyncio.sleep(0.5)
-            # Leaves time for a second answer or a late attempt, which the rule checker reports as a violation.
+            # This pause leaves time for a second answer or a late attempt, which the rule checker reports.
             await asyncio.sleep(0.3)
             if watch is not None:
                 watch(world)
--- a/badgerroad/emulator/live/tier.py
+++ b/badgerroad/emulator/live/tier.py
@@ -27,8 +27,8 @@
 from badgerroad.emulator.world import World
 from badgerroad.net import http1
 
-READY_POLL_INTERVAL_S, READY_TIMEOUT_S = 0.02, 20.0  # of the requests to /-/ready after a start
-CRASH_CHECK_DELAY_S = 0.1  # from a broken connection to the check whether the dispatcher's process has ended
+READY_POLL_INTERVAL_S, READY_TIMEOUT_S = 0.02, 20.0  # of the requests to /-/ready after a dispatcher's start
+CRASH_CHECK_DELAY_S = 0.1  # delay from a broken connection to the check whether the dispatcher's process has ended
 MALFORMED_REQUESTS = (
     b"GET\r\n\r\n",
     b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
@@ -37,7 +37,7 @@
     b"POST /preview/x HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx",
     b"",
 )
-MALFORMED_REQUEST_TIMEOUT_S = 3.05  # for the error response or close that a malformed request must get
+MALFORMED_REQUEST_TIMEOUT_S = 3.05  # within which a dispatcher must reject a malformed request or close its connection
 
 
 class LiveTier:
@@ -236,7 +236,7 @@
             if e.stale_connection and not is_resend:
                 await self._run_client_request(
                     client_try, True
-                )  # the connection was closed before the request was read
+                )  # the dispatcher closed the reused connection before it read the request
                 return
             if e.refused:
                 self.world.rule_checker.client_disconnected(client_try.id)
@@ -298,7 +298,7 @@
             self.kernel.after(draw_interval(mean_us), self._next_malformed_request, draw_interval, mean_us)
 
     async def _send_malformed_request(self, data: bytes, dispatcher: int) -> None:
-        """Send a malformed request. Anything but an error response or a close in time is a violation."""
+        """Send a malformed request. It is a violation if the dispatcher answers with 200 or does nothing in time."""
         try:
             reader, writer = await asyncio.open_connection(*self.processes[dispatcher].address)
         except OSError:
--- a/badgerroad/emulator/live/wire.py
+++ b/badgerroad/emulator/live/wire.py
@@ -100,7 +100,7 @@
     remedy = "none needed: the scenario causes this fault"
 
     def __init__(self, refused: bool, stale_connection: bool = False) -> None:
-        """Set the text, which is also the name of this outcome in the load generator's counts."""
+        """Set the text of the error, which is also the name of this outcome in the load generator's counts."""
         super().__init__("refused" if refused else "broken off")
         self.refused, self.stale_connection = refused, stale_connection
 
@@ -115,7 +115,7 @@
         self.transport: asyncio.Transport | None = None
         self.answer: asyncio.Future[http1.Message] | None = None
         self.uses, self.closed, self.received = 0, False, False
-        # Called for a complete answer that no call is waiting for.
+        # This callback is called for a complete answer that no call is waiting for.
         self.on_unsolicited_answer: Callable[[], None] = lambda: None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -26,7 +26,7 @@
 
 # Timeouts of the response to an attempt and of a health check, as in backend/http.py.
 ACCEPT_TIMEOUT_US, HEALTH_CHECK_TIMEOUT_US = 300_000, SEC
-MIN_DRAIN_TIME_US = 800_000  # a process that drains ends no earlier
+MIN_DRAIN_TIME_US = 800_000  # shortest time from SIGTERM to the end of the process
 MAX_IDLE_PER_NODE = 64  # idle connections kept per node
 
 
@@ -40,7 +40,7 @@
         self.settings = settings_from(dumps(settings_of(world.scenario, number, self.zone)).encode())
         self.incarnation, self.up, self.frozen, self.draining = 0, False, False, False
         self.endpoint_list: tuple[Any, ...] = tuple(world.registry.entries.values())
-        # Version of `endpoint_list`. Both survive a restart, as the platform keeps the list.
+        # Version of `endpoint_list`. List and version survive a restart, as the platform keeps the list.
         self.version = world.registry.version
         self._backlog: deque[Callable[[], None]] = deque()
         self._performers: dict[type, Callable[[Any], None]] = {
@@ -65,7 +65,7 @@
         self.requests: dict[int, OpenRequest] = {}
         self.by_id: dict[str, OpenRequest] = {}
         self.in_flight: dict[tuple[str, str], Attempt] = {}
-        self.idle: dict[str, list[tuple[int, int]]] = {}  # by node: (start time of the node, last use)
+        self.idle: dict[str, list[tuple[int, int]]] = {}  # connections by node: (node's start time, last use)
         self._request_count, self._event_queue, self._handling_events, self._watching = (
             0,
             deque[interface.Event](),
@@ -97,9 +97,9 @@
             self._backlog.popleft()()
 
     def call_later(self, delay: int | None, call: Callable[..., None], *args: Any) -> None:
-        """Schedule a call in this incarnation; `delay` None is a lost message.
+        """Schedule a call in this incarnation; `delay` None means that the message is lost.
 
-        While the process is frozen the call waits.
+        While the process is frozen, the call is kept, and runs when the process resumes.
         """
         if delay is not None:
             self.kernel.after(delay, self._run_in_incarnation, self.incarnation, partial(call, *args))
@@ -207,7 +207,7 @@
 
     @property
     def has_unanswered(self) -> bool:
-        """Whether an answer is still pending."""
+        """Whether any request has not been answered yet."""
         return any(not r.answered for r in self.requests.values())
 
     # Attempts.
--- a/badgerroad/emulator/model/clients.py
+++ b/badgerroad/emulator/model/clients.py
@@ -10,11 +10,13 @@
 from badgerroad.emulator.model.rule_checker import FAILED, REFUSED, SERVED
 
 UNREACHABLE, BROKEN, GAVE_UP = "unreachable", "broken", "gave up"
-WINDOW_US = 10 * SEC  # the worst window is part of the report's score
+# Length of the windows into which arrivals are grouped. The window with the lowest share of weight served in time is
+# part of the report's score.
+WINDOW_US = 10 * SEC
 
 
 class RequestClass(NamedTuple):
-    """A request class as seen by clients: times in microseconds, `work` is the mean at speed 1."""
+    """A request class as seen by clients. Times are in microseconds; `work` is the mean work of a job at speed 1."""
 
     name: str
     share: float
@@ -74,14 +76,15 @@
 
 
 class Try:
-    """One HTTP request for a job, with an id of its own."""
+    """One HTTP request for a job; each try of the job has a different request id."""
 
     __slots__ = ("id", "job", "dispatcher", "sent", "until", "timer", "ended", "deadline")
 
     def __init__(self, request_id: str, job: ClientJob, dispatcher: int, sent: int, until: int, deadline: int) -> None:
         """Times are in microseconds; the client stops waiting at `until`, the deadline of the class is `deadline`."""
         self.id, self.job, self.dispatcher, self.sent, self.until = request_id, job, dispatcher, sent, until
-        self.deadline = deadline  # sent as Request-Timeout-Ms; an impatient client stops waiting earlier
+        # Request-Timeout-Ms is the time left until this deadline; an impatient client stops waiting earlier.
+        self.deadline = deadline
         self.timer: ScheduledCall | None = None
         self.ended = False
 
@@ -163,7 +166,7 @@
         impatient_share: float,
         hint_noise: float,
     ) -> None:
-        """`rate`: jobs per second. `traffic`: relative share of each zone."""
+        """`rate`: jobs per second. `traffic`: share of the arrivals of each zone, relative to the others."""
         self.kernel, self.classes, self.traffic, self.rate, self.length = kernel, classes, traffic, rate, length
         self.front_ends, self.transport = front_ends, transport
         self.retries, self.backoff, self.retry_after_share, self.impatient_share = (
@@ -177,7 +180,8 @@
         self.swing, self.period, self.surge = 0.0, 20 * SEC, 1.0
         self.heavy_tails: dict[int, tuple[float, float]] = {}  # class index: (share of jobs, work multiplier)
         self.class_counts = [ClassCounts() for _ in classes]
-        self.windows: dict[int, list[float]] = {}  # by arrival window: [weight requested, weight served in time]
+        # By number of the arrival window: [priority weight requested, priority weight served in time].
+        self.windows: dict[int, list[float]] = {}
         self.jobs = self.tries = self.retried = 0
         self.open_jobs = 0
         self._next_arrival = 0.0
@@ -197,11 +201,12 @@
                 self.kernel.at(at, self._arrive, cls, work, slots, zone)
 
     def _schedule_arrival(self) -> None:
-        # Non-homogeneous Poisson arrivals by thinning at the highest rate (Lewis and Shedler 1979).
+        # The arrivals are a Poisson process with a variable rate. Candidates are drawn at the highest rate, and each is
+        # kept with probability rate / highest rate (thinning, Lewis and Shedler 1979).
         max_rate = self.rate * (1 + self.swing) * max(self.surge, 1.0)
         self._next_arrival += self.arrival_draws.exponential(
             SEC / max_rate
-        )  # from the exact previous time, not from the rounded event time
+        )  # the interval is added to the exact time of the previous candidate, not to the rounded event time
         self.kernel.at(int(self._next_arrival), self._consider_arrival, max_rate)
 
     def _consider_arrival(self, max_rate: float) -> None:
@@ -222,7 +227,7 @@
         work, slots = work or max(drawn_work, 1000.0), slots or drawn_slots
         hint = max(int(work * noise), 1) if self.hint_noise >= 0 else 0
         if cls in self.heavy_tails and share < self.heavy_tails[cls][0]:
-            work *= self.heavy_tails[cls][1]  # after the hint is computed: the hint does not include it
+            work *= self.heavy_tails[cls][1]  # after the computation of the hint, which does not include the multiplier
         self.jobs += 1
         job = ClientJob(self.jobs, cls, zone, work, slots, round(memory * slots, 3), hint, self.kernel.now)
         self.open_jobs += 1
--- a/badgerroad/emulator/model/jobs.py
+++ b/badgerroad/emulator/model/jobs.py
@@ -14,12 +14,12 @@
     speed: float
     slots: int
     queue: int = 60
-    memory: float = 0.0  # units; 0: memory is not limited
-    initial_capacity: float = 1.0  # share of the capacity right after a start
+    memory: float = 0.0  # memory of the node, in units; 0: not limited
+    initial_capacity: float = 1.0  # share of the full capacity that the node has right after a start
     warm_up_time: int = 0
     overload_multiple: float = 0.0  # 0: the node never collapses during warm-up
     overload_window: int = 3 * SEC
-    mean_work: float = 1.0  # of a job, with all its slots: the unit of the overload limit
+    mean_work: float = 1.0  # mean work of a job, with all its slots; the overload limit counts jobs of this work
     crowding_threshold: float = 1e9  # jobs per core above which efficiency falls
     crowding_loss: float = 0.0  # share of the speed lost at twice `crowding_threshold`
     connections: int = 3000
@@ -73,7 +73,7 @@
         self.work_counter_at_start = self.work_counter_at_end = 0.0
         self.state = "new"
         self.ticker: ScheduledCall | None = None
-        self.context = context  # opaque data of the transport, for sending job events
+        self.context = context  # data that only the transport reads, to send job events
 
     @property
     def total_work(self) -> float:
--- a/badgerroad/emulator/model/kernel.py
+++ b/badgerroad/emulator/model/kernel.py
@@ -11,11 +11,11 @@
 import numpy as np
 
 SEC = 1_000_000
-BLOCK_SIZE = 512  # numbers drawn at once: a scalar numpy draw costs more than the rest of an event
+BLOCK_SIZE = 512  # random numbers drawn at once, because one scalar numpy draw takes longer than the rest of an event
 
 
 class ScheduledCall:
-    """A call scheduled in the event queue; a cancelled one stays in the queue until its time but does nothing."""
+    """A call scheduled in the event queue; a cancelled call stays in the queue until its time but does nothing."""
 
     __slots__ = ("when", "call", "args")
 
@@ -30,7 +30,7 @@
 
 
 def _do_nothing() -> None:
-    """Replaces the call of a cancelled entry."""
+    """Replace the call of a cancelled ScheduledCall."""
 
 
 class Kernel:
@@ -59,7 +59,7 @@
         return self._queue[0][0] if self._queue else -1
 
     def run(self, until: int) -> None:
-        """Run all events due up to `until` and set the time to it."""
+        """Run all events due up to `until` and set the time to `until`."""
         queue = self._queue
         while queue and queue[0][0] <= until:
             when, _, entry = heappop(queue)
--- a/badgerroad/emulator/model/nodes.py
+++ b/badgerroad/emulator/model/nodes.py
@@ -16,7 +16,8 @@
 from badgerroad.emulator.model.kernel import SEC, Draws, Kernel, ScheduledCall
 
 WARM_UP_STEP_US = 100_000  # interval between recomputations of the capacity of a node that is warming up
-JOB_EVENT_MAX_AGE_US = 10 * SEC  # nodes send a job event up to ten times; events older than this are dropped
+# A node that responds again after a silence drops job events older than this, as a node sends an event up to ten times.
+JOB_EVENT_MAX_AGE_US = 10 * SEC
 # Results of `RenderNode.submit`.
 ACCEPTED, FULL, ERROR, SILENT, REFUSED = "accepted", "full", "error", "silent", "refused"
 # States in job events.
@@ -47,7 +48,7 @@
         on_collapse: Callable[[RenderNode, list[tuple[int, float]]], None],
         on_state_change: Callable[[RenderNode, str], None],
     ) -> None:
-        """`machine_type` is the index of the machine type; the class describes the callbacks."""
+        """`machine_type` is the index of the machine type; the docstring of the class describes the callbacks."""
         self.kernel, self.name, self.profile, self.zone, self.cell, self.machine_type = (
             kernel,
             name,
@@ -282,7 +283,7 @@
         p, age = (
             self.profile,
             max(self.kernel.now - self.started_at, SEC),
-        )  # a node started before the run counts from the run's start
+        )  # for a node that started before the run, the age counts from the run's start
         return {
             "qps": self.completed / (age / SEC),
             "inflight": float(len(self.jobs)),
@@ -368,7 +369,7 @@
     def silence(self, duration: int) -> None:
         """Stop responding for a while; jobs continue to run.
 
-        Afterwards, job events that are not older than the retry limit are sent.
+        After that, the node sends the job events that are younger than JOB_EVENT_MAX_AGE_US.
         """
         self._silences += 1
         self.kernel.after(duration, self._end_silence)
--- a/badgerroad/emulator/model/registry.py
+++ b/badgerroad/emulator/model/registry.py
@@ -7,7 +7,8 @@
 
 from badgerroad.emulator.model.kernel import SEC, Draws, Kernel
 
-MAX_CHANGES_KEPT = 512  # changes kept; a call with an older version gets the complete list
+# Number of list changes kept before the newest one; a call with a version older than these gets the complete list.
+MAX_CHANGES_KEPT = 512
 WATCH_RENEWAL_US = 200_000  # microseconds after an answer within which a new watch continues the previous one
 
 
@@ -55,7 +56,10 @@
         lines_per_call: int = 0,
         watches_go_on: bool = False,
     ) -> None:
-        """`update_delay`: range of the delay of list updates, in microseconds; the class describes the rest."""
+        """`update_delay`: range of the delay of list updates, in microseconds.
+
+        The docstring of the class describes the other arguments.
+        """
         self.dead_calls_cost, self.lines_per_call, self.watches_go_on = dead_calls_cost, lines_per_call, watches_go_on
         self.kernel, self.draws, self.update_delay, self.timeout = kernel, draws, update_delay, timeout
         self.call_duration = int(SEC / capacity) if capacity else 0
@@ -65,10 +69,10 @@
         self.down = self.silent = False
         self.calls = self.failed = 0
         self.not_ready_since: dict[str, int] = {}  # time at which the list first had the node as not ready
-        # dispatcher: (last call or answer, open calls, whether the last call failed)
+        # By dispatcher: (time of the last call or answer, number of open calls, whether the last call failed).
         self.contacts: dict[int, tuple[int, int, bool]] = {}
         self._free_at = 0
-        self._watchers: list[tuple[int, int, Reply]] = []  # (dispatcher, version, reply)
+        self._watchers: list[tuple[int, int, Reply]] = []  # open watches: (dispatcher, version of its list, reply)
 
     def update(self, entry: Entry) -> None:
         """Apply a change to the list now and answer open watches."""
@@ -180,8 +184,8 @@
     def presumed_notified_at(self, dispatcher: int, node: str, ask_within: int) -> int | None:
         """Return when a dispatcher without an open call counts as notified that a node is not ready.
 
-        None if it does not yet. The platform's third rule requires dispatchers to call discovery at least once per
-        `ask_within` microseconds, or four times that after a failed call.
+        Return None if the dispatcher does not count as notified yet. The platform's third rule requires dispatchers to
+        call discovery at least once per `ask_within` microseconds, or four times that after a failed call.
         """
         not_ready_at = self.not_ready_since.get(node)
         last_contact, open_calls, failed = self.contacts.get(dispatcher, (0, 0, False))
--- a/badgerroad/emulator/model/rule_checker.py
+++ b/badgerroad/emulator/model/rule_checker.py
@@ -23,8 +23,8 @@
     """Properties of a request class that the rules depend on; times in microseconds."""
 
     name: str
-    semantics: str  # retryable, dedup or fragile
-    group: str  # all, zone or cell
+    semantics: str  # retry semantics: retryable, dedup or fragile
+    group: str  # the nodes that deduplicate a key together: all, or those of a zone or cell
     dedup_window: int
 
 
@@ -37,12 +37,12 @@
 
 
 class Attempt:
-    """One attempt that arrived at a node; `never_ran` is set once it is known not to have run."""
+    """One attempt that arrived at a node; `never_ran` is set once the attempt is known not to have run."""
 
     __slots__ = ("node", "zone", "cell", "at", "ended", "never_ran")
 
     def __init__(self, node: str, zone: int, cell: int, at: int) -> None:
-        """`at`: time at which its first byte was sent, in microseconds of the run."""
+        """`at`: time at which the first byte of the attempt was sent, in microseconds of the run."""
         self.node, self.zone, self.cell, self.at, self.ended, self.never_ran = node, zone, cell, at, False, False
 
 
@@ -73,7 +73,10 @@
         hedging_permitted: bool,
         extra_time: int = 0,
     ) -> None:
-        """Time limits are in microseconds; `extra_time` is added to each, to allow for real sockets in live runs."""
+        """Time limits are in microseconds. `extra_time` allows for the delays of real sockets in live runs.
+
+        It is added to `grace`, `slack` and the deduplication windows.
+        """
         self.kernel, self.classes = kernel, classes
         self.grace, self.slack, self.ask_within, self.extra_time = (
             grace + extra_time,
@@ -86,17 +89,20 @@
         self.open: dict[str, ReceivedRequest] = {}
         self.received_count = self.attempts = self.cross_zone_attempts = self.handshakes = self.probes = 0
         self.outcome_counts: dict[str, int] = {}
-        self.notified_not_ready: dict[tuple[int, str], int] = {}  # (dispatcher, node): when it was sent "not ready"
-        self.notified_starts: dict[tuple[int, str], int] = {}  # (dispatcher, node): last start time sent
-        self.effect_counts: dict[tuple[str, str], int] = {}  # (class, key): number of effects
-        self._dedup_until: dict[tuple[str, str, object], int] = {}  # (class, key, group): end of the window
+        # By (dispatcher, node): time at which the dispatcher was first sent a list in which the node is not ready.
+        self.notified_not_ready: dict[tuple[int, str], int] = {}
+        # By (dispatcher, node): start time of the node in the last list sent to the dispatcher in which it was ready.
+        self.notified_starts: dict[tuple[int, str], int] = {}
+        self.effect_counts: dict[tuple[str, str], int] = {}  # by (class, key): number of effects
+        # By (class, key, group): end of the deduplication window.
+        self._dedup_until: dict[tuple[str, str, object], int] = {}
         self.collapses = 0
 
     def report_violation(self, rule: int, message: str) -> None:
         """Record a violation of a rule at the current time."""
         self.violations.append(Violation(self.kernel.now, rule, message))
 
-    # Rule 1.
+    # Rule 1: one answer for each request, in time.
 
     def request_received(self, request_id: str, key: str, class_index: int, dispatcher: int, due: int) -> None:
         """A dispatcher has received a complete request; its answer is due at `due` plus the slack."""
@@ -113,7 +119,7 @@
             self._finish(request, FAILED)
         self.kernel.after(
             self.slack + 60_000_000, self.open.pop, request_id, None
-        )  # kept for a while, to detect second answers and late attempts
+        )  # the request is kept for 60 s plus the slack, to detect second answers and late attempts
 
     def answer_received(self, request_id: str, outcome: str, result: str = "") -> None:
         """A client has received a complete final answer."""
@@ -157,7 +163,7 @@
             self._finish(request, FAILED)
 
     def dispatcher_ended(self, dispatcher: int, planned: bool) -> None:
-        """A dispatcher process has ended; its open requests are left to the clients' retries.
+        """A dispatcher process has ended; it answers its open requests no more, and their clients may retry them.
 
         With `planned`, each open request is a violation: a planned stop must answer all of them first.
         """
@@ -176,7 +182,7 @@
         self.report_violation(1, f"dispatcher {dispatcher} crashed: {reason}")
         self.dispatcher_ended(dispatcher, False)
 
-    # Rules 2 and 3.
+    # Rule 2, on retries and rejections, and rule 3, on nodes that are draining or gone.
 
     def attempt_arrived(
         self,
@@ -281,7 +287,7 @@
             ]:
                 self.notified_not_ready.setdefault((recipient, node), now)
 
-    # Rule 4.
+    # Rule 4: overload of nodes that are warming up.
 
     def node_collapsed(self, node: str, started_at: int, sent: list[tuple[int, float]]) -> None:
         """A node has collapsed during warm-up; `sent` lists (dispatcher, work) of the overload window."""
--- a/badgerroad/emulator/scenario.py
+++ b/badgerroad/emulator/scenario.py
@@ -38,12 +38,12 @@
     """`[[kind]]`: a machine type of nodes."""
 
     name: str
-    share: float = 1.0  # share of the nodes
+    share: float = 1.0  # share of the nodes that are of this type, relative to the other types
     cores: int = 4
     speed: Range = (0.85, 1.1)
     slots_per_core: Range = (1.0, 1.3)
     queue_per_core: float = 12.0
-    cold_from: float = 0.2  # share of the capacity right after a start
+    cold_from: float = 0.2  # share of the full capacity that a node has right after a start
     cold_s: float = 18.0  # warm-up time
     crowd_at: float = 7.0  # jobs per core above which efficiency falls
     crowd_loss: float = 0.4  # share of the speed lost at twice `crowd_at`
@@ -87,10 +87,10 @@
 
     retries: int = 3
     backoff_ms: float = 60.0  # 0: retry at once
-    honour: float = 0.2  # share of clients that respect Retry-After
+    honour: float = 0.2  # share of the retries that wait for the Retry-After value of the answer
     impatient: float = 0.02  # share of tries whose client gives up after half of the time left
     marks_retry: bool = True
-    bad_per_s: float = 0.0  # misbehaving clients; only in live runs
+    bad_per_s: float = 0.0  # malformed requests per second; only sent in live runs
 
 
 class Network(Base, frozen=True, kw_only=True):
@@ -123,7 +123,7 @@
     capacity: float = 30.0  # calls per second, served one at a time; 0: unlimited
     timeout_ms: float = 1000
     dead_calls_cost: bool = False  # a call that timed out in the queue still uses capacity
-    lines_per_call: int = 0  # entries of a complete list that cost as much as one call; 0: they cost nothing
+    lines_per_call: int = 0  # entries of a complete list that cost as much as one call; 0: entries cost nothing
     watches_go_on: bool = False  # a watch renewed within 200 ms of the previous answer uses no capacity
 
 
@@ -134,7 +134,7 @@
     ask_within_s: float = 10
     fall_multiple: float = 3.0  # overload limit during warm-up, as a multiple of the current capacity
     fall_ms: float = 3000  # window of the overload limit
-    cold_from: float = 0.13  # lower bound of the initial capacity of nodes, sent to dispatchers
+    cold_from: float = 0.13  # lower bound of nodes' capacity after a start, as a share of the full; sent to dispatchers
     cold_s: float = 24.0  # upper bound of the warm-up time, sent to dispatchers
     answer_slack_ms: float = 8
     max_attempts: int = 4
@@ -223,13 +223,17 @@
     at_s: float
     what: EventName
     for_s: float = 0.0
-    size: float = 1.0  # by event: slowdown factor; share that fails; share of CPU; delay in seconds; multiplier
-    extra: float = 0.0  # neighbour: seconds on or off; heavy_tail: share of the class; replace_node: delay in s
+    # The meaning of `size` depends on the event: slowdown factor, share of jobs that fail, share of the CPU taken by
+    # others, delay of load reports in seconds, multiplier of the work, the rate or a delay, or number of added nodes.
+    size: float = 1.0
+    # neighbour: seconds for which the neighbour is active or idle at a time; heavy_tail: share of the class's jobs;
+    # replace_node: seconds until the new node starts.
+    extra: float = 0.0
     part: float = 0.0
     nodes: tuple[str, ...] = ()
     zone: str = ""
     cls: str = msgspec.field(default="", name="class")
-    dispatcher: int = -1  # -1: all; a restart takes them one after another
+    dispatcher: int = -1  # number of the dispatcher; -1: all, which a restart event restarts one after another
 
 
 ZONES = (
--- a/badgerroad/emulator/scenario_events.py
+++ b/badgerroad/emulator/scenario_events.py
@@ -35,7 +35,7 @@
         """Write an event to the trace, if tracing is on."""
 
     def add_node(self, zone: int, draws: Draws, cell: int, warming_up: bool = False) -> RenderNode:
-        """Create a node; one that is `warming_up` is not listed yet."""
+        """Create a node; a node that is `warming_up` is not put on discovery's list yet."""
 
     def kill_dispatcher(self, number: int) -> None:
         """Kill a dispatcher."""
@@ -90,7 +90,7 @@
         return [candidates[k] for k in self._draws.choose(count, len(candidates))] if candidates else []
 
     def play(self, event: sc.Event) -> None:
-        """Play one event, once per selected node if it is an event of nodes."""
+        """Play one event; an event that affects nodes is played once per selected node."""
         self._world.trace_event("event", what=event.what, size=event.size)
         duration = int(event.for_s * SEC)
         if event.what in self._node_events:
--- a/badgerroad/emulator/virtual.py
+++ b/badgerroad/emulator/virtual.py
@@ -93,7 +93,7 @@
         )
         self.trace_event("send", id=request.client_try.id, dispatcher=machine.number, node=node.name)
         if attempt.ended:
-            self.rule_checker.attempt_ended(attempt.checked_attempt, False)  # given up while in transit
+            self.rule_checker.attempt_ended(attempt.checked_attempt, False)  # the attempt was given up while in transit
         status = node.submit(job)
         if status == nodes.ACCEPTED:
             self._send_response(machine, attempt, partial(machine.on_accepted, attempt))
--- a/badgerroad/emulator/world.py
+++ b/badgerroad/emulator/world.py
@@ -25,7 +25,7 @@
 
 SETTLE_TIME_US = 3 * SEC  # a run ends this long after the longest deadline of the last arrival
 MAX_STOP_WAIT_US = 3 * SEC  # a planned restart waits at most this long for open answers
-KILL_DELAY_US = 700_000  # additional time before a process that has not ended is killed
+KILL_DELAY_US = 700_000  # a process that has not ended is killed this long after the wait for open answers
 LIVE_SLACK_US = 50_000  # added to the time limits of the rule checker in live runs, for delays of real sockets
 
 
@@ -228,7 +228,7 @@
 
     @staticmethod
     def result_of(request_id: str) -> str:
-        """Return the result that a node produces for a request; only this may be served."""
+        """Return the result that a node produces for a request; a dispatcher may serve no other result for it."""
         return f"made:{request_id}"
 
     # Dispatcher processes.
--- a/badgerroad/lab/compare.py
+++ b/badgerroad/lab/compare.py
@@ -33,7 +33,7 @@
 def interval(values: list[float], seed: int = 1) -> tuple[float, float]:
     """Return the percentile bootstrap interval of the mean at CONFIDENCE_LEVEL (Efron 1979).
 
-    The resampling has its own seed, so equal values give equal intervals. Without values the interval is (0, 0).
+    `seed` determines the resampling, so equal values give equal intervals. Without values the interval is (0, 0).
     """
     if not values:
         return 0.0, 0.0
--- a/badgerroad/lab/experiment.py
+++ b/badgerroad/lab/experiment.py
@@ -39,7 +39,7 @@
     """One combination of the grid with one seed. `settings` is a JSON object of changed fields and their values."""
 
     experiment: str
-    scenario: str  # the path, as the experiment file gives it
+    scenario: str  # path of the scenario file, as written in the experiment file
     policy: str
     settings: str
     seed: int
@@ -71,7 +71,8 @@
 def runs(experiment: Experiment) -> list[Run]:
     """Return all runs of the grid.
 
-    Seeds vary fastest, so that an experiment stopped early has complete pairs of runs to compare.
+    Seeds vary fastest, then policies, and the runs are started in this order. If an experiment is stopped early, a run
+    of a later policy therefore has a run of the first policy, with the same scenario, settings and seed, to compare.
     """
     settings = [
         dict(zip((change.field for change in experiment.vary), values, strict=False))
--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -20,9 +20,9 @@
 from badgerroad.errors import ArgumentError
 from badgerroad.net import http1
 
-MAX_DURATION_S = 600.0  # bounds the duration of a load
+MAX_DURATION_S = 600.0  # longest load that is accepted
 MAX_RATE_PER_S = 50_000.0
-TIMEOUT_MS = 15_000  # of each request
+TIMEOUT_MS = 15_000  # timeout of each request
 HISTOGRAM_MAX_US = 60_000_000  # longer latencies are recorded as this; resolution: three significant digits
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
@@ -30,7 +30,7 @@
 class Arrival(NamedTuple):
     """A request that the generator sends."""
 
-    at: float  # seconds from the start
+    at: float  # time to send the request, in seconds from the start of the load
     cls: str
     work_ms: float  # sent as a work hint unless it is 0
 
--- a/badgerroad/lab/policies.py
+++ b/badgerroad/lab/policies.py
@@ -15,11 +15,11 @@
 from badgerroad.load_balancing import interface
 from badgerroad.load_balancing.policy import DispatchPolicy
 
-DISCOVERY_RETRY_DELAY_US = 500_000  # from a failed call of discovery to the next one
+DISCOVERY_RETRY_DELAY_US = 500_000  # delay from a failed call of discovery to the next call
 
 
 class Node:
-    """A worker, with the dispatcher's own requests that are in flight there."""
+    """A worker, with the requests of this dispatcher that are in flight there."""
 
     __slots__ = ("info", "requests", "hinted_work", "long_requests")
 
@@ -43,7 +43,7 @@
 
 
 class Baseline:
-    """Base of the policies, which follows the rules and tracks attempts.
+    """Base of the policies, which follows the platform's rules and tracks attempts.
 
     Subclasses implement `pick`, which chooses among the ready nodes or returns None to keep the request waiting.
     """
@@ -121,7 +121,10 @@
         """Process a new request before it is dispatched; the default does nothing."""
 
     def allowed_nodes(self, job: Job) -> list[Node]:
-        """Return the ready nodes to which the platform's rule 2, on retries, permits the next attempt."""
+        """Return the ready nodes at which the next attempt is permitted.
+
+        The platform's rule 2 permits a retry of a request that may have run only if the request class allows it.
+        """
         if len(job.attempts) >= self.settings.max_attempts:
             return []
         if job.first_possible_run is None or job.cls.semantics == interface.RetrySemantics.IDEMPOTENT:
@@ -236,10 +239,10 @@
 
 
 class LeastConnected(Baseline):
-    """LC (least connected): chooses the node with the fewest of the dispatcher's own requests in flight."""
+    """LC (least connected): chooses the node with the fewest requests of this dispatcher in flight."""
 
     def node_load(self, node: Node) -> float:
-        """Return the number of own requests in flight at the node."""
+        """Return the number of requests of this dispatcher in flight at the node."""
         return node.requests
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
@@ -249,10 +252,10 @@
 
 
 class ShortestQueue(LeastConnected):
-    """JSQ (join the shortest queue), by the sum of the work hints of own requests in flight."""
+    """JSQ (join the shortest queue), by the sum of the work hints of this dispatcher's requests in flight."""
 
     def node_load(self, node: Node) -> float:
-        """Return the sum of the work hints of own requests in flight at the node."""
+        """Return the sum of the work hints of this dispatcher's requests in flight at the node."""
         return node.hinted_work
 
 
@@ -260,7 +263,7 @@
     """Power of two choices (Mitzenmacher 2001): chooses the less loaded of two random nodes."""
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
-        """Return the node with fewer own requests in flight out of two random ones."""
+        """Return the one of two random nodes that has fewer requests of this dispatcher in flight."""
         return min((self.random.choice(pool), self.random.choice(pool)), key=self.node_load)
 
 
@@ -286,7 +289,7 @@
         job.long = job.hint > self.cutoff
 
     def pick(self, job: Job, pool: list[Node]) -> Node | None:
-        """Return the least connected node; for a long request, only among nodes without a long one."""
+        """Return the least connected node; for a long request, only among nodes without a long request."""
         pool = [node for node in pool if not node.long_requests] if job.long else pool
         return super().pick(job, pool) if pool else None
 
@@ -304,7 +307,10 @@
         self.ready = list(self.nodes.values())
 
     def node_load(self, node: Node) -> float:
-        """Return the own requests in flight, with workers that started during the run before all others."""
+        """Return the number of this dispatcher's requests in flight, less 1000 if the worker started during the run.
+
+        Such workers are therefore chosen before all others.
+        """
         return node.requests - 1000 * (node.info.started_at > 0)
 
 
--- a/badgerroad/lab/report.py
+++ b/badgerroad/lab/report.py
@@ -75,7 +75,7 @@
 
 
 def chart(groups: dict[tuple[str, str], list[Report]], path: Path) -> None:
-    """Draw the mean figure of each scenario as bars with confidence intervals, one colour for each policy."""
+    """Draw the mean score (`figure`) of each scenario as bars with confidence intervals, one colour for each policy."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/capacity/answers.py
+++ b/benchmarks/capacity/answers.py
@@ -10,7 +10,8 @@
 from benchmarks.capacity.results import Results
 from benchmarks.capacity.target import ASSUMED, DAY_S, TARGET
 
-CALL_DURATION_S = 1.0  # for which a client that does not wait for its task holds a connection in each of two calls
+# Time for which a client that does not wait for its task holds a connection in each of its two calls.
+CALL_DURATION_S = 1.0
 
 
 def verdict(results: Results) -> str:
--- a/benchmarks/capacity/bench.py
+++ b/benchmarks/capacity/bench.py
@@ -14,7 +14,7 @@
 
 ACCEPT_TIMEOUT_S = 1.0
 MAX_CONSECUTIVE_MISSES = 3
-LONG_HINT_US = 2 * TASK_S * 1_000_000  # exceeds the deadline, so that the request is rejected
+LONG_HINT_US = 2 * TASK_S * 1_000_000  # longer than the deadline, so that the dispatcher rejects the request
 
 
 def task(request: str, hint_us: int = 0, body: bytes = b"x" * 200, team: str = "") -> bytes:
@@ -38,7 +38,7 @@
     ) -> None:
         """Prepare the processes; `known` puts the endpoint list into the configuration.
 
-        `shared_workers` are at least as many workers, which keep running after this bench.
+        `shared_workers` are at least `workers` workers, which keep running after this bench.
         """
         self.folder, self.count, self.dispatcher_settings, self.known = folder, workers, dispatcher_settings, known
         self.workers = shared_workers or Workers(workers)
@@ -78,13 +78,13 @@
         return task(f"r{self.server.port}-{self._requests}", hint_us)
 
     async def refusal(self, client: Call) -> None:
-        """Send a request that the dispatcher rejects. Raises RuntimeError if it does not."""
+        """Send a request that the dispatcher rejects. Raises RuntimeError if it is not rejected."""
         status, _ = await client.begin(self.request(LONG_HINT_US))
         if status != 503:
             raise RuntimeError(f"the dispatcher answered {status}; 503 is expected")
 
     async def reload(self, client: Call) -> None:
-        """Send SIGHUP, and wait until the dispatcher has read its file; it answers later requests only after that."""
+        """Send SIGHUP, and wait until the dispatcher has read its file: it answers later requests after that."""
         self.server.reload()
         for _ in range(2):
             await client.get(b"/-/ready")
--- a/benchmarks/capacity/by_connections.py
+++ b/benchmarks/capacity/by_connections.py
@@ -32,11 +32,11 @@
 }
 CALLBACK_REPEATS = 3
 
-Measured = dict[int, dict[str, list[float]]]  # values of each quantity by size
+Measured = dict[int, dict[str, list[float]]]  # by size: the measured values of each quantity
 
 
 async def idle(folder: Path, steps: Sequence[int]) -> Measured:
-    """Measure with connections that sent one request and are idle since."""
+    """Measure with connections that sent one request and have been idle since then."""
     measured: Measured = {}
     async with Bench(folder, 15, settings(DISPATCHERS, DISPATCHER_INDEX)) as bench:
         clients: list[Call] = []
--- a/benchmarks/capacity/by_load.py
+++ b/benchmarks/capacity/by_load.py
@@ -14,8 +14,8 @@
 from benchmarks.capacity.server import Serve, cpu_of, free_port, holds_of
 from benchmarks.capacity.stand_ins import Discovery
 
-FIRST_CALLS_S = 0.2  # from the readiness of the last process until all processes hold a watch
-Measured = dict[int, dict[str, list[float]]]  # values of each quantity by size
+FIRST_CALLS_S = 0.2  # time from the readiness of the last process until all processes hold a watch
+Measured = dict[int, dict[str, list[float]]]  # by size: the measured values of each quantity
 
 JOB_TITLES = {
     "job_cpu_ms": ("CPU of so many jobs, from request to answer", "ms"),
--- a/benchmarks/capacity/by_workers.py
+++ b/benchmarks/capacity/by_workers.py
@@ -65,7 +65,7 @@
         try:
             client = await bench.client()
             break
-        except (OSError, AttributeError):  # not accepting connections yet, or not started
+        except (OSError, AttributeError):  # the process does not accept connections yet, or has not been started
             await asyncio.sleep(0.002)
     response = client.begin(bench.request())
     while len(bench.workers.jobs) == jobs_before:
@@ -129,7 +129,7 @@
 
 
 async def measure(folder: Path, workers: int, repeats: int, number: int) -> dict[str, list[float]]:
-    """Measure all of TITLES with one number of workers.
+    """Measure all quantities in TITLES with one number of workers.
 
     `number` is the index of the dispatcher, on which the delay of its first call to discovery depends.
     """
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 DESCRIPTOR_LIMIT = 1_024
-TASK_S = 600  # deadline of a task, longer than any measurement
+TASK_S = 600  # deadline of a task in seconds, longer than any measurement
 ZONES = 19
 MACHINE_TYPES = 4
 WORKERS_A_RACK = 40
-# Below the range of ephemeral ports, and different for each measuring process.
+# The port is below the range of ephemeral ports, and different for each measuring process.
 WORKER_PORT = 10_000 + os.getpid() % 20_000
 
 
--- a/benchmarks/capacity/fleet.py
+++ b/benchmarks/capacity/fleet.py
@@ -8,9 +8,9 @@
 
 CONTROLLERS = 19  # one per zone
 VOTERS = 7  # one per region
-LEASE_TERM_S = 3.0  # assumed; a controller renews its lease with the voters three times per term
+LEASE_TERM_S = 3.0  # assumed; a controller renews its ownership lease with the voters three times per term
 RENEWALS_PER_TERM = 3
-LEASE_RECORD_BYTES = 200.0  # assumed, for owner, end and term of a shard's lease
+LEASE_RECORD_BYTES = 200.0  # assumed size of the record of owner, end and term of a shard's lease
 STATUS = "reckoned, not yet measured"
 
 
@@ -21,8 +21,8 @@
     members: int
     state: str
     state_bytes: float
-    messages_per_s: float  # received; the same number is sent
-    bytes_per_s: float  # received; the same number is sent
+    messages_per_s: float  # messages received; the same number is sent
+    bytes_per_s: float  # bytes received; the same number is sent
     descriptors: float
     mechanism: str
 
--- a/benchmarks/capacity/http.py
+++ b/benchmarks/capacity/http.py
@@ -23,7 +23,7 @@
 class Peer(asyncio.Protocol):
     """A client or server connection; `on_message` is called with header and body of each complete message."""
 
-    to_dispatcher = 0  # bytes on all connections so far
+    to_dispatcher = 0  # bytes sent to the dispatcher on all connections so far
     from_dispatcher = 0
 
     def __init__(self, on_message: Callable[[Peer, bytes, bytes], None]) -> None:
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -15,7 +15,7 @@
 SERIES_WITHOUT_LINE = (
     "over_quota",
     "over_quota_few_teams",
-)  # shares, of which the page shows the points and no fitted line
+)  # series of shares; the page shows their points and no fitted line
 
 
 class UnknownBlockError(ValueError):
--- a/benchmarks/capacity/reckon.py
+++ b/benchmarks/capacity/reckon.py
@@ -10,7 +10,7 @@
 
 HEALTH_CHECKS_PER_REQUEST = 2
 MEASURED_WATCH_S = 1.3  # mean duration of the watches during the measurements, drawn by `WatchSchedule`
-JOB_EVENTS_PER_TASK = 2  # started and done; progress reports are counted by time
+JOB_EVENTS_PER_TASK = 2  # `started` and `done`; the number of progress reports depends on the time that a task runs
 
 
 class Part(NamedTuple):
@@ -28,7 +28,7 @@
         self.results, self.target, self.assumed = results, target, assumed
         self.dispatchers = dispatchers or dispatchers_needed(target, assumed)
 
-    # Sizes per dispatcher.
+    # Sizes and rates of one dispatcher.
 
     @property
     def tasks(self) -> float:
@@ -55,7 +55,7 @@
     def watches_per_s(self) -> float:
         return 1 / self.assumed.watch_s
 
-    # Terms.
+    # Terms of the estimates.
 
     def line(self, what: str, name: str, size: float, times: float = 1.0, per: str = "") -> Part:
         """Return the value of a series at `size`, multiplied by `times`; `per` describes the factor."""
@@ -66,7 +66,7 @@
         return Part(what, how, fitted.at(size) * times)
 
     def control_cpu(self) -> list[Part]:
-        """Return milliseconds of CPU time per second."""
+        """Return the terms of the CPU time for control, in milliseconds per second."""
         workers, teams = self.target.workers, self.target.teams
         watches, changes, reloads = self.watches_per_s, self.list_changes_per_s, self.reloads_per_s
         team_cost = self.results.slope("team_reload_cpu_ms") * teams
@@ -84,7 +84,7 @@
         ]
 
     def work_cpu(self) -> list[Part]:
-        """Return milliseconds of CPU time per second."""
+        """Return the terms of the CPU time for jobs, in milliseconds per second."""
         starts = self.starts_per_s * self.assumed.requests_a_start
         job = self.results.slope("job_cpu_ms_many")
         progress = self.tasks / self.assumed.progress_every_s
@@ -103,7 +103,7 @@
         ]
 
     def work_bytes(self) -> list[Part]:
-        """Return bytes per second, received and sent separately, for jobs of 200 B."""
+        """Return the terms of the bytes per second for jobs of 200 B, received and sent separately."""
         starts = self.starts_per_s * self.assumed.requests_a_start
         progress = self.tasks / self.assumed.progress_every_s
         parts = []
@@ -118,7 +118,7 @@
         return parts
 
     def control_bytes(self) -> list[Part]:
-        """Return bytes per second, received and sent."""
+        """Return the terms of the bytes per second for control, received and sent."""
         teams = self.target.teams
         watch_in, watch_out = (self.results.slope(name) for name in ("discovery_in", "discovery_out"))
         changes, reloads = self.list_changes_per_s, self.reloads_per_s
@@ -138,7 +138,7 @@
         ]
 
     def memory(self) -> list[Part]:
-        """Return MB."""
+        """Return the terms of the memory, in MB."""
         tasks = self.results.slope("running_memory_mb")
         return [
             self.line("process and list", "memory_mb", self.target.workers),
@@ -148,7 +148,7 @@
     def descriptors(self) -> float:
         return self.results.at("running_descriptors", self.tasks)
 
-    # Sums.
+    # Sums of these terms.
 
     @property
     def control_share(self) -> float:
--- a/benchmarks/capacity/run.py
+++ b/benchmarks/capacity/run.py
@@ -1,4 +1,4 @@
-"""Runs all measurements in sequence, if asked under a lock on the cores of the machine."""
+"""Runs all measurements in sequence; if asked, under a lock on the cores of the machine."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 T = TypeVar("T")
 Measured = Mapping[int, Mapping[str, Sequence[float]]]
 Titles = Mapping[str, tuple[str, str]]
-LONGEST_HOLD_S = 55.0  # for which the lock is held at a time
-RELEASE_AFTER_S = 25.0  # of holding the lock; it is released before the next step
+LONGEST_HOLD_S = 55.0  # longest time for which the lock is held at a time
+RELEASE_AFTER_S = 25.0  # a lock held for at least this long is released before the next step
 
 BEFORE = (
     "docs/results/capacity_before.json has the same run of the program at commit b3d8ca1, where a change of one worker and "
@@ -33,7 +33,7 @@
 
 
 class Sizes:
-    """The sizes to measure; a quick run has four small ones of each."""
+    """The sizes to measure; a quick run has four small sizes of each quantity."""
 
     def __init__(self, quick: bool) -> None:
         self.quick = quick
--- a/benchmarks/capacity/server.py
+++ b/benchmarks/capacity/server.py
@@ -20,7 +20,9 @@
 ROOT = Path(__file__).parent.parent.parent
 START_LIMIT_S = 20.0
 SETTLE_LIMIT_S = 1.0
-CPU_CLOCK_DELAY_S = 0.004  # the CPU clock of another process advances when that sleeps, or at the next timer tick
+# Pause before the CPU clock of a process is read, as the clock advances only when that process sleeps or at the next
+# timer tick.
+CPU_CLOCK_DELAY_S = 0.004
 
 
 def free_port() -> int:
@@ -80,7 +82,7 @@
         return time.clock_gettime((~self.pid << 3) | 2)
 
     def memory_mb(self) -> float:
-        """Return the resident memory."""
+        """Return the resident memory in MB."""
         return int(Path(f"/proc/{self.pid}/statm").read_text().split()[1]) * resource.getpagesize() / 1e6
 
     def peak_mb(self) -> float:
@@ -95,7 +97,10 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def settled(self) -> None:
-        """Wait until the process uses under 1 ms of CPU time in 50 ms, or for SETTLE_LIMIT_S: open jobs keep it busy."""
+        """Wait until the process uses under 1 ms of CPU time in 50 ms.
+
+        Open jobs keep it busy, so the wait lasts at most SETTLE_LIMIT_S.
+        """
         before = self.cpu_s()
         deadline = time.perf_counter() + SETTLE_LIMIT_S
         while time.perf_counter() < deadline:
--- a/benchmarks/capacity/stand_ins.py
+++ b/benchmarks/capacity/stand_ins.py
@@ -106,7 +106,7 @@
         self.count, self.hold, self.keep = count, hold, keep
         self.dispatcher = ("127.0.0.1", 0)
         self.jobs: list[tuple[str, int]] = []  # (request id, worker) in the order received
-        self.held: set[str] = set()  # their request ids
+        self.held: set[str] = set()  # request ids of the jobs that never finish
         self._servers: list[asyncio.Server] = []
         self._event_connections: dict[int, asyncio.Task[Call]] = {}
         self._locks: dict[int, asyncio.Lock] = {}
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -35,20 +35,20 @@
 
 
 class Assumptions(msgspec.Struct, frozen=True):
-    """Assumed figures; the page shows the effect of half and twice each."""
+    """Assumed figures; the page shows the effect of halving and doubling each figure."""
 
-    client_share: float = 1 / 3  # of the descriptors, for client connections
-    connections_a_task: float = 1.0  # from clients, open while the task runs
+    client_share: float = 1 / 3  # share of the descriptors for client connections
+    connections_a_task: float = 1.0  # client connections per task, open while the task runs
     requests_a_start: float = 1.0  # requests received per task started
     refusals_a_start: float = 1.0  # rejected requests with a Retry-After value per task started, at the peak
-    list_changes_a_restart: float = 3.0  # changes to draining, gone and ready
+    list_changes_a_restart: float = 3.0  # per restart of a worker: to draining, to gone and to ready
     progress_every_s: float = 10.0  # interval of the progress reports of a running task
     watch_s: float = 1.3  # mean duration of a watch (0.3 to 2.3 s)
     dispatcher_starts_a_day: float = 1_100.0
     rack_workers: int = 40
     lease_ms: float = 500.0  # interval of the messages between a dispatcher and the controller of its zone
-    lease_message_bytes: float = 400.0  # in each direction, without the entries
-    lease_entry_bytes: float = 24.0  # per tenant in a message
+    lease_message_bytes: float = 400.0  # size of such a message in each direction, without its entries
+    lease_entry_bytes: float = 24.0  # size of the entry of one tenant in a message
 
 
 TARGET = Target()
--- a/benchmarks/capacity/virtual.py
+++ b/benchmarks/capacity/virtual.py
@@ -13,7 +13,7 @@
 ADVICE_TITLES = {"advice_ms": ("the module's advice alone, 1,000 jobs open", "ms")}
 ADVICE_JOB_TITLES = {"advice_job_ms": ("the module's advice alone, by jobs open", "ms")}
 QUOTA_TITLES = {"over_quota": ("requests counted as over quota, teams at nine tenths of theirs", "share")}
-FEW_TEAMS = 10  # which share all starts, with quotas 51 times as large
+FEW_TEAMS = 10  # this few tenants share all starts, with quotas 51 times as large
 TURN_TITLES = {
     "turn_calls": ("calls in the busiest 0.1 s after a common start, list known", "calls"),
     "turn_wait_s": ("longest pause before the first call, list known", "s"),
--- a/benchmarks/policy_history.py
+++ b/benchmarks/policy_history.py
@@ -64,7 +64,7 @@
     )
     if rng.random() < 0.7:
         return settings
-    # All permissions and many dispatchers, so that health checks, hedging and remote zones are combined.
+    # The other histories have all permissions and many dispatchers, to combine health checks, hedging and remote zones.
     return settings._replace(
         classes=tuple(
             request_class._replace(semantics=events.RetrySemantics.IDEMPOTENT, machine_type=-1)
@@ -92,14 +92,14 @@
         self.policy = package.make(self.settings, seed)
         self.now = 1_000 * SEC + self.rng.randrange(SEC)
         self.timers = []
-        self.attempts_in_flight = {}  # (request, attempt): worker, started
-        self.attempt_counts = {}  # request: attempts sent
+        self.attempts_in_flight = {}  # by (request, attempt): worker, and whether the attempt has started
+        self.attempt_counts = {}  # by request: number of attempts sent
         self.endpoints = {}
         self.next_request = self.next_worker = self.version = 0
         self.lines, self.actions = [], 0
         self.hint_scale = self.rng.choice((1, 10, 40))
         self.request_share = self.rng.choice((0.1, 0.25, 0.45, 0.65))
-        self.slow_zone = self.rng.choice((-1, -1, 0, 1))  # its workers rarely start an attempt
+        self.slow_zone = self.rng.choice((-1, -1, 0, 1))  # zone whose workers rarely start an attempt; -1: no zone
         self.warming_up_share = self.rng.choice((0.1, 0.6, 1.0))
 
     def play(self, count):
@@ -113,7 +113,7 @@
         )
         for _ in range(count):
             self.step()
-        for _ in range(200):  # lets all timers fire
+        for _ in range(200):  # 20 s pass, so that the pending timers fire
             self.pass_time(100 * MS)
         self.note(self.state())
 
--- a/benchmarks/policy_pauses.py
+++ b/benchmarks/policy_pauses.py
@@ -16,7 +16,7 @@
 
 try:
     from badgerroad.load_balancing.policy import DispatchPolicy
-except ImportError:  # an older version on the path, for comparison
+except ImportError:  # the Python path has an older version of the program, to compare with
     from badgerroad.load_balancing.brain import Dispatcher as DispatchPolicy
 
 SEC = 1_000_000
--- a/benchmarks/policy_vocabulary.py
+++ b/benchmarks/policy_vocabulary.py
@@ -123,7 +123,7 @@
 def describe(value):
     """Return a value of the interface as text that does not depend on the names or enumerations of a version."""
     if type(value).__name__ == "Settings":
-        return "settings"  # the versions differ in fields that are not used
+        return "settings"  # the settings of the versions differ in fields that are not used
     if isinstance(value, tuple | list):
         return f"({', '.join(describe(part) for part in value)})"
     return repr(str(value)) if isinstance(value, str) else repr(value)
@@ -137,6 +137,6 @@
 
 def pending_requests(policy):
     """Return whether each pending request is finished, and its class, by request number, for either version."""
-    if hasattr(policy, "jobs"):  # the earlier version
+    if hasattr(policy, "jobs"):  # `policy` is of the earlier version
         return {number: (job.done, job.cls) for number, job in policy.jobs.items()}
     return {number: (request.finished, request.request_class) for number, request in policy.requests.items()}
--- a/benchmarks/result_sections.py
+++ b/benchmarks/result_sections.py
@@ -8,7 +8,7 @@
 
 
 def write_section(page: Path, name: str, text: str) -> None:
-    """Write `text` between the markers of section `name`, and append the section if the page lacks it."""
+    """Write `text` between the markers of section `name`, or append the section if the page lacks it."""
     begin, end = f"<!-- {name}: written by a command -->", f"<!-- end of {name} -->"
     section = f"{begin}\n\n{text.strip()}\n\n{end}"
     old = page.read_text() if page.exists() else ""
--- a/benchmarks/upgrade_between_versions.py
+++ b/benchmarks/upgrade_between_versions.py
@@ -18,7 +18,7 @@
 from tests.support.service import Service
 
 CLIENTS = 4
-REQUESTS = 60  # of each client
+REQUESTS = 60  # number of requests that each client sends
 
 
 class VersionedService(Service):
--- a/benchmarks/virtual_scale.py
+++ b/benchmarks/virtual_scale.py
@@ -1,4 +1,4 @@
-"""Measures speed and peak memory of virtual runs of several sizes, each in a process of its own.
+"""Measures speed and peak memory of virtual runs of several sizes, each in a separate process.
 
 Usage: python benchmarks/virtual_scale.py [--large]     (--large runs only the largest size)
 """
--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -19,7 +19,7 @@
 
 from serve_start import SETTINGS, cpu, rss
 
-# JOB_EVENT_CONNECTIONS: connections of each worker process to the dispatcher.
+# JOB_EVENT_CONNECTIONS is the number of connections from each worker process to the dispatcher.
 (
     SERVER_PROCESS_COUNTS,
     WORKER_PROCESSES,
--- a/examples/fleet/two_regions.py
+++ b/examples/fleet/two_regions.py
@@ -34,10 +34,10 @@
 
 NORTH, SOUTH, WITNESS = "north", "south", "witness"
 REGIONS = (NORTH, SOUTH, WITNESS)
-TEAM, QUOTA = "team", 60  # requests per second in both regions together
-DISPATCHERS = 2  # in each of north and south
+TEAM, QUOTA = "team", 60  # the tenant, and its quota in requests per second in both regions together
+DISPATCHERS = 2  # number of simulated dispatchers in each of north and south
 RATE = QUOTA / DISPATCHERS  # requests per second of each dispatcher; together twice the quota
-# Shorter than the defaults, so that the partition takes effect within seconds.
+# These times are shorter than the defaults, so that the partition takes effect within seconds.
 LEASE_TIMES = {
     "ownership_lease_ms": 2000,
     "quota_lease_ms": 1200,
--- a/examples/toy_host.py
+++ b/examples/toy_host.py
@@ -2,8 +2,9 @@
 
 Usage: python examples/toy_host.py [PORT] [DISPATCHER]
 
-It accepts each job with 202, sleeps for the time in the Work-Hint header (0.1 s without one), and reports the job as
-done to the dispatcher. The default port is 9101, the default dispatcher 127.0.0.1:7070.
+It accepts each request with 202 and sends the job event `started` to the dispatcher. After the time in the Work-Hint
+header (0.1 s without one) it sends the job event `done` with the result. The default port is 9101, the default
+dispatcher 127.0.0.1:7070.
 """
 
 import asyncio
@@ -36,11 +37,11 @@
 
 
 class ToyHost(TCPServer):
-    """Serves the endpoint list at /api/targets, and jobs at all other paths."""
+    """Serves the endpoint list at /api/targets, and accepts requests at all other paths."""
 
     def __init__(self):
         super().__init__()
-        self.jobs = {}  # request id -> task
+        self.jobs = {}  # by request id: the asyncio task that processes the request
 
     async def handle_stream(self, stream, address):
         while True:
@@ -74,7 +75,7 @@
         return 404, b""
 
     async def run(self, request_id, duration_s, body):
-        """Run a job, and report its start and its end to the dispatcher."""
+        """Process a request, and send a job event to the dispatcher at its start and at its end."""
         await self.call_back({"id": request_id, "from": NAME, "state": "started"})
         await asyncio.sleep(duration_s)
         text = body.decode("utf-8", "replace")
--- a/tests/benchmarks/test_capacity.py
+++ b/tests/benchmarks/test_capacity.py
@@ -107,7 +107,8 @@
 @pytest.mark.parametrize(("dispatchers", "teams"), [(1, TARGET.teams), (100, virtual.FEW_TEAMS)])
 def test_a_share_of_under_one_request_per_second_has_the_expected_share_over_quota(dispatchers, teams):
     (share,) = virtual.over_quota(dispatchers, teams, TARGET.starts_per_s, seconds=20.0)
-    assert share == pytest.approx(0.9 / 1.9, abs=0.05)  # load / (1 + load), for Poisson traffic at 0.9 of the quota
+    # With Poisson traffic, the share over quota is load / (1 + load); here the load is 0.9 of the quota.
+    assert share == pytest.approx(0.9 / 1.9, abs=0.05)
 
 
 def test_a_bucket_of_many_requests_has_none_over_quota_below_the_quota():
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -151,7 +151,7 @@
     )
     assert r.breaches == []
     assert r.worth > 0.8
-    assert {"reset", "timeout"} & set(log)  # some messages were lost on the links
+    assert {"reset", "timeout"} & set(log)  # the cut links lost some messages, or connections were reset
 
 
 def test_job_event_that_arrives_before_the_202_is_handled(monkeypatch):
@@ -259,4 +259,4 @@
     c = counts.count(sc.load(tmp_path / "s.toml"), 1, tmp_path)
     assert (c.falls, c.broken) == (0, 0)
     assert c.cold_peak < 0.9
-    assert c.cold_load > 0.03  # 0.011 when each dispatcher's share of the budget had room only for small jobs
+    assert c.cold_load > 0.03  # 0.011 when each dispatcher's share of the slow start budget allowed only small jobs
--- a/tests/emulator/test_live.py
+++ b/tests/emulator/test_live.py
@@ -69,7 +69,8 @@
     assert result.failed == 0
 
 
-# Stands in for a dispatcher and violates one rule, to test that the rule checker detects it on real sockets.
+# This script stands in for a dispatcher and violates one rule, to test that the rule checker detects the violation on
+# real sockets.
 FAULTY_DISPATCHER = """
 import asyncio, json, os, sys
 fault = sys.argv[1]
--- a/tests/emulator/test_nodes.py
+++ b/tests/emulator/test_nodes.py
@@ -90,7 +90,7 @@
     for n in range(8):
         harness.submit(f"j{n}")
     harness.kernel.run(SEC)
-    assert harness.event_times_ms("j0", "done")[0] > 190  # twice the threshold: half the speed
+    assert harness.event_times_ms("j0", "done")[0] > 190  # 4 jobs per core are twice the threshold: half the speed
 
 
 def test_node_starts_with_its_initial_capacity_and_warms_up():
@@ -121,7 +121,10 @@
 
 
 def test_overload_limit_includes_an_allowance_for_random_variation():
-    """2 cores at a fifth of their capacity, times 3, for 1 s: 12 jobs of 100 ms. 12 + 2 * sqrt(12) + 2 is 20.93."""
+    """The limit is 3 times the work of 2 cores at a fifth of their capacity in 1 s, which is 12 jobs of 100 ms.
+
+    With the allowance it is 12 + 2 * sqrt(12) + 2 = 20.93 jobs.
+    """
     harness = NodeHarness(
         initial_capacity=0.2,
         warm_up_time=10_000 * SEC,
--- a/tests/mutation/dialogue.py
+++ b/tests/mutation/dialogue.py
@@ -41,11 +41,11 @@
 """Request rate before `CALM_AT` as a multiple of the quota: a meter overflows soon if quotas are not enforced."""
 CALM_AT = 6 * SECOND
 SAMPLE_POSITIONS = (0.0, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.65, 0.8, 0.95)
-"""Positions of the mutated messages among all messages of one kind, as shares of their number."""
+"""Positions of the mutated messages among all messages of one kind, as shares of the number of these messages."""
 
 
 def dialogue_name(message: Any) -> str | None:
-    """Return the name of the dialogue that a message belongs to; None without one."""
+    """Return the name of the dialogue that a message belongs to; None if it belongs to none."""
     for name, kinds in DIALOGUES.items():
         if isinstance(message, kinds):
             return name
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """Outcome of a run. `decisions`: (request, over quota) in order; `sent`: number of messages of each kind."""
+    """Outcome of a run. `decisions`: (request, is over quota) in order; `sent`: number of messages of each kind."""
 
     result: Result
     decisions: tuple[tuple[int, bool], ...]
--- a/tests/project/test_errors.py
+++ b/tests/project/test_errors.py
@@ -29,7 +29,7 @@
 
 
 def names_of_raised_types():
-    """Return the names called in a `raise`, and those passed to a function, which may be an error for it to raise."""
+    """Return the names called in a `raise`, and the names passed to functions, which may raise them."""
     names = set()
     for path in (ROOT / "badgerroad").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/support/fleets.py
+++ b/tests/support/fleets.py
@@ -78,7 +78,7 @@
 
     def report_outcomes(self, now):
         pending = []
-        for due_at, request, worker, report in self.outcomes:  # grows during the loop, as attempts are recorded
+        for due_at, request, worker, report in self.outcomes:  # `record` adds to the list during the loop
             if due_at > now:
                 pending.append((due_at, request, worker, report))
             else:
@@ -86,7 +86,9 @@
         self.outcomes = pending
 
     def max_share_of_slow_start_bound(self, capacity, settings):
-        """Return the greatest ratio of work sent to its bound, over all starts of workers and all overload windows.
+        """Return the greatest ratio of the work sent to a worker in slow start to the bound of this work.
+
+        It is taken over all starts of workers and all overload windows.
 
         The bound counts requests of mean work: those that the settings allow during slow start, plus a margin for random
         variation.
--- a/tests/support/outer_names.py
+++ b/tests/support/outer_names.py
@@ -25,7 +25,7 @@
 
 
 def names_of_program() -> set[str]:
-    """Return the names in all modules of the program."""
+    """Return the names in all modules of the program, without those in NOT_OUTER."""
     return {name for path in sorted(PROGRAM.rglob("*.py")) for name in names_of_module(path)} - NOT_OUTER
 
 
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -11,8 +11,8 @@
 async def program(world, config, operator=None, **variables):
     """Run the program on a free port, and yield its process once it is ready; standard error goes to a pipe."""
     listener = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-    world.port = listener.sockets[0].getsockname()[1]  # also where the workers send job events
-    listener.close()  # the program binds the port
+    world.port = listener.sockets[0].getsockname()[1]  # the workers send job events to this port too
+    listener.close()  # frees the port for the program
     config.write_text(
         json.dumps(
             {
