--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -85,7 +85,7 @@
                 self.world.clients.try_ended(request.client_try, BROKEN)
             for attempt in request.attempts:
                 if not attempt.ended:
-                    attempt.ended = True  # its connection breaks; a job that a node has accepted continues
+                    attempt.ended = True  # the connection breaks; a job that a node has accepted continues to run
         for name, idle in self.idle.items():
             for _ in idle:
                 self.world.by_name[name].disconnect()
--- a/badgerroad/emulator/model/rule_checker.py
+++ b/badgerroad/emulator/model/rule_checker.py
@@ -241,7 +241,7 @@
             self.report_violation(2, f"{cls.name} {request.id} may have run at {possible_runs[0].node} and was refused")
 
     def attempt_ended(self, attempt: Attempt | None, never_ran: bool) -> None:
-        """A node or a dispatcher has ended an attempt; `never_ran`: it is known not to have run."""
+        """A node or a dispatcher has ended an attempt; `never_ran`: the attempt is known not to have run."""
         if attempt is not None:
             attempt.ended, attempt.never_ran = True, attempt.never_ran or never_ran
 
--- a/badgerroad/emulator/scenario.py
+++ b/badgerroad/emulator/scenario.py
@@ -60,7 +60,7 @@
     work_ms: Range = (400, 780)  # mean running time at speed 1
     cv: float = 1.0  # coefficient of variation of the work
     slots: tuple[float, ...] = (1.0,)  # shares of jobs with 1, 2, 4, ... slots
-    memory: Range = (0.2, 0.9)  # units per slot
+    memory: Range = (0.2, 0.9)  # units of memory per slot
     aim_ms: float = 250  # latency objective: `aim_ms` + `stretch` * work, at most `deadline_ms`
     stretch: float = 2.0
     deadline_ms: float = 7500
@@ -76,7 +76,7 @@
     level: float = 0.42  # load as a share of the capacity of the warm nodes; `rate_per_s` overrides it
     rate_per_s: float = 0.0
     shape: Literal["steady", "wave", "trace"] = "steady"
-    swing: float = 0.12  # relative amplitude of a wave
+    swing: float = 0.12  # amplitude of the wave, as a share of the mean rate
     period_s: float = 20.0
     trace: str = ""  # CSV next to the scenario: at_s, class, work_ms[, slots[, zone]]
     hint_noise: float = 0.1  # coefficient of variation of work hints around the true work; below 0: no hints
@@ -86,7 +86,7 @@
     """`[clients]`: retries and timeouts of clients."""
 
     retries: int = 3
-    backoff_ms: float = 60.0  # 0: retry at once
+    backoff_ms: float = 60.0  # pause before a retry; 0: retry at once
     honour: float = 0.2  # share of the retries that wait for the Retry-After value of the answer
     impatient: float = 0.02  # share of tries whose client gives up after half of the time left
     marks_retry: bool = True
@@ -133,7 +133,7 @@
     drain_grace_ms: float = 500
     ask_within_s: float = 10
     fall_multiple: float = 3.0  # overload limit during warm-up, as a multiple of the current capacity
-    fall_ms: float = 3000  # window of the overload limit
+    fall_ms: float = 3000  # the overload limit applies to the work received in this time
     cold_from: float = 0.13  # lower bound of nodes' capacity after a start, as a share of the full; sent to dispatchers
     cold_s: float = 24.0  # upper bound of the warm-up time, sent to dispatchers
     answer_slack_ms: float = 8
--- a/badgerroad/lab/paper.py
+++ b/badgerroad/lab/paper.py
@@ -98,7 +98,7 @@
         self._jobs: dict[str, tuple[int, int, bool]] = {}  # by job id: arrival time, loading, whether it is long
         self._in_flight = [0] * SERVERS
         self._long_in_flight = [0] * SERVERS
-        self._work = [0.0] * SERVERS  # work left at the time in `_work_at`, in microseconds
+        self._work = [0.0] * SERVERS  # work left at each server at its time in `_work_at`, in microseconds
         self._work_at = [0] * SERVERS
         self._waiting: deque[Job] = deque()
         profile = Profile(cores=1, speed=1.0, slots=10**9 if preemption else 1, queue=10**9)
--- a/benchmarks/capacity/bench.py
+++ b/benchmarks/capacity/bench.py
@@ -92,8 +92,8 @@
     async def start_tasks(self, count: int) -> list[Call]:
         """Start up to `count` tasks, and return the connections of the clients whose task is at a worker.
 
-        They are started one after another: many at once delay the reports of starts, from which the policy would learn
-        that its workers are full. Ends early after MAX_CONSECUTIVE_MISSES tasks in a row that reach no worker.
+        The tasks are started one after another: many at once delay the reports of starts, from which the policy would
+        learn that its workers are full. Ends early after MAX_CONSECUTIVE_MISSES tasks in a row that reach no worker.
         """
         accepted: list[Call] = []
         missed = 0
--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -16,7 +16,7 @@
 
 
 def worker_address(number: int) -> str:
-    """Return the loopback address of a worker; each has its own, from which the simulated workers tell them apart."""
+    """Return the loopback address of a worker; each has a different one, which identifies it to the simulation."""
     return f"127.9.{number >> 8}.{number & 255}"
 
 
@@ -99,7 +99,7 @@
 def configuration(
     listen: str, discovery: str, dispatcher_settings: dict[str, Any], known: list[dict[str, Any]], seed: int = 1
 ) -> dict[str, Any]:
-    """Return the configuration of one dispatcher; `known` is the endpoint list that it starts with."""
+    """Return the configuration of one dispatcher; `known` is the endpoint list that the dispatcher starts with."""
     return {
         "name": "n0",
         "listen": listen,
--- a/benchmarks/policy_traces.py
+++ b/benchmarks/policy_traces.py
@@ -36,7 +36,7 @@
 
 def play(seeds, count, digest, with_tenants):
     """Print the lines of each seed's history or, with `digest`, their number and hash."""
-    from policy_history import History  # in the folder of this file, which is on the path as this runs as a script
+    from policy_history import History  # in the folder of this script, which Python puts on the path
 
     package = Package()
     for seed in seeds:
--- a/examples/fleet/two_regions.py
+++ b/examples/fleet/two_regions.py
@@ -117,13 +117,13 @@
             asyncio.ensure_future(dispatcher.run())
 
     async def start_controller(self, region):
-        """Start a controller with its own members file, in which relays stand for the controllers behind the cut."""
+        """Start a controller; its members file has the addresses of relays for the controllers beyond the partition."""
         members = ""
         for other in REGIONS:
             port = self.relays[region, other].port if (region, other) in self.relays else self.ports[other]
             values = {"name": other, "zone": other, "region": other, "host": "127.0.0.1", "port": port, "voter": True}
             members += "[[controllers]]\n" + toml(values)
-        # A controller listens at the address of its own entry, which is never that of a relay.
+        # A controller listens at the address of its entry in this file, which is never that of a relay.
         (self.folder / f"{region}.members.toml").write_text(members)
         fleet = {"name": region, "members": f"{region}.members.toml", "quotas": "quotas.toml", **LEASE_TIMES}
         operator = self.folder / f"{region}.toml"
--- a/tests/mutation/dialogue.py
+++ b/tests/mutation/dialogue.py
@@ -38,7 +38,10 @@
 SECOND_DRAIN_AT = 4_900 * MILLISECOND
 RELEASE_AT = 5 * SECOND
 DEMAND_FACTOR = 5
-"""Request rate before `CALM_AT` as a multiple of the quota: a meter overflows soon if quotas are not enforced."""
+"""Request rate before `CALM_AT` as a multiple of the quota.
+
+If quotas are not enforced, the level of a QuotaMeter therefore soon exceeds its depth.
+"""
 CALM_AT = 6 * SECOND
 SAMPLE_POSITIONS = (0.0, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.65, 0.8, 0.95)
 """Positions of the mutated messages among all messages of one kind, as shares of the number of these messages."""
--- a/tests/mutation/mutations.py
+++ b/tests/mutation/mutations.py
@@ -16,7 +16,10 @@
 Deliveries = list[tuple[int, Parcel]]
 """Messages that arrive, each with its delay in microseconds."""
 Change = Callable[[int, Parcel, "Parcel | None"], Deliveries]
-"""(normal delay, message, an earlier message of its kind and direction or None) -> messages that arrive."""
+"""Function of (normal delay, message, an earlier message of the same kind and direction or None).
+
+It returns the messages that arrive instead of the message.
+"""
 
 DUPLICATE_DELAY_US = 30 * MILLISECOND
 LATE_DELAYS_US = (100 * MILLISECOND, 700 * MILLISECOND, 2_500 * MILLISECOND)
