--- a/badgerroad/emulator/report.py
+++ b/badgerroad/emulator/report.py
@@ -34,7 +34,7 @@
     seed: int
     figure: float  # score: weighted sum of `worth`, `worst_class` and `worst_window`, less deductions
     worth: float  # share of the requested priority weight that was served in time
-    worst_class: float  # `worth` of the class with the lowest
+    worst_class: float  # lowest `worth` over the request classes
     worst_window: float  # lowest share of priority weight served in time, over the jobs of each 10 s of arrivals
     classes: dict[str, ClassReport]
     jobs: int
--- a/badgerroad/lab/experiment.py
+++ b/badgerroad/lab/experiment.py
@@ -72,7 +72,7 @@
     """Return all runs of the grid.
 
     Seeds vary fastest, then policies, and the runs are started in this order. If an experiment is stopped early, a run
-    of a later policy therefore has a run of the first policy, with the same scenario, settings and seed, to compare.
+    of a later policy can therefore be compared with the run of the first policy with the same settings and seed.
     """
     settings = [
         dict(zip((change.field for change in experiment.vary), values, strict=False))
