--- a/benchmarks/capacity/configuration.py
+++ b/benchmarks/capacity/configuration.py
@@ -7,16 +7,16 @@
 from typing import Any
 
 DESCRIPTOR_LIMIT = 1_024
-TASK_S = 600  # deadline of a task, longer than any measurement
+TASK_S = 600  # deadline of a task in seconds, longer than any measurement
 ZONES = 19
 MACHINE_TYPES = 4
 WORKERS_A_RACK = 40
-# Below the range of ephemeral ports, and different for each measuring process.
+# The port is below the range of ephemeral ports, and different for each measuring process.
 WORKER_PORT = 10_000 + os.getpid() % 20_000
 
 
 def worker_address(number: int) -> str:
-    """Return the loopback address of a worker; each has its own, from which the simulated workers tell them apart."""
+    """Return the loopback address of a worker; each has a different one, which identifies it to the simulation."""
     return f"127.9.{number >> 8}.{number & 255}"
 
 
@@ -99,7 +99,7 @@
 def configuration(
     listen: str, discovery: str, dispatcher_settings: dict[str, Any], known: list[dict[str, Any]], seed: int = 1
 ) -> dict[str, Any]:
-    """Return the configuration of one dispatcher; `known` is the endpoint list that it starts with."""
+    """Return the configuration of one dispatcher; `known` is the endpoint list that the dispatcher starts with."""
     return {
         "name": "n0",
         "listen": listen,
