--- a/badgerroad/emulator/live/node_servers.py
+++ b/badgerroad/emulator/live/node_servers.py
@@ -164,9 +164,8 @@
         pending = PendingAttempt(request_id)
         pending.attempt, connection.context = attempt, pending
         if client_try is None or not self._is_unchanged(client_try, message):
-            world.rule_checker.report_violation(
-                2, f"{node.name} received {request_id}, which differs from what the client sent"
-            )
+            # The text is stored in reports and compared by `lab replay`, so it must not change.
+            world.rule_checker.report_violation(2, f"{node.name} was sent {request_id} in a form that no client sent")
             self._reply(node, dispatcher, connection, 400)
             return
         job = client_try.job
--- a/badgerroad/emulator/live/processes.py
+++ b/badgerroad/emulator/live/processes.py
@@ -84,6 +84,7 @@
         self._monitor_task = asyncio.ensure_future(self._monitor(self.process))
 
     async def _monitor(self, process: asyncio.subprocess.Process) -> None:
+        # The reasons of a crash are stored in reports and compared by `lab replay`, so their texts must not change.
         while process.returncode is None:
             try:
                 statm = Path(f"/proc/{process.pid}/statm").read_text().split()
@@ -96,12 +97,12 @@
             if used_mb > self.memory_mb and not self.end_expected:
                 self.end_expected = True
                 process.kill()
-                self.on_crash(self.number, f"uses {used_mb:.0f} MB of memory, {self.memory_mb:.0f} MB are allowed")
+                self.on_crash(self.number, f"{used_mb:.0f} MB held, {self.memory_mb:.0f} allowed")
             await asyncio.sleep(MEMORY_POLL_INTERVAL_S)
         code = await process.wait()
         if not self.end_expected:
             self.end_expected = True
-            self.on_crash(self.number, f"exit code {code}; see the log {self.folder / f'd{self.number}.log'}")
+            self.on_crash(self.number, f"exit code {code}; its log is {self.folder / f'd{self.number}.log'}")
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal if the process is running. SIGTERM and SIGKILL mark its end as expected."""
--- a/badgerroad/emulator/live/tier.py
+++ b/badgerroad/emulator/live/tier.py
@@ -216,8 +216,10 @@
         def on_sent(connection: ClientConnection) -> None:
             """Record that the request has been written to the connection."""
             self.client_connections[client_try.id] = connection
+            # This outcome becomes part of a violation's text, which is stored in reports and compared by `lab replay`,
+            # so it must not change.
             connection.on_unsolicited_answer = lambda: self.world.rule_checker.answer_received(
-                client_try.id, "an unsolicited answer"
+                client_try.id, "answered unasked"
             )
             if not is_resend:
                 self.world.rule_checker.request_received(
@@ -298,7 +300,10 @@
             self.kernel.after(draw_interval(mean_us), self._next_malformed_request, draw_interval, mean_us)
 
     async def _send_malformed_request(self, data: bytes, dispatcher: int) -> None:
-        """Send a malformed request. Anything but an error response or a close in time is a violation."""
+        """Send a malformed request. Anything but an error response or a close in time is a violation.
+
+        The violations' texts are stored in reports and compared by `lab replay`, so they must not change.
+        """
         try:
             reader, writer = await asyncio.open_connection(*self.processes[dispatcher].address)
         except OSError:
@@ -308,14 +313,12 @@
             status_line = await asyncio.wait_for(reader.readline(), MALFORMED_REQUEST_TIMEOUT_S)
             if b" 200 " in status_line:
                 self.malformed_served += 1
-                self.world.rule_checker.report_violation(
-                    1, f"dispatcher {dispatcher} answered a malformed request with 200"
-                )
+                self.world.rule_checker.report_violation(1, f"a bad client was served by dispatcher {dispatcher}")
         except TimeoutError:
             if self.is_up(dispatcher):
                 self.world.rule_checker.report_violation(
                     1,
-                    f"dispatcher {dispatcher} left a malformed request open for {MALFORMED_REQUEST_TIMEOUT_S} s",
+                    f"a bad client of dispatcher {dispatcher} waits for {MALFORMED_REQUEST_TIMEOUT_S} s",
                 )
         except OSError:
             pass
--- a/badgerroad/emulator/model/rule_checker.py
+++ b/badgerroad/emulator/model/rule_checker.py
@@ -93,7 +93,10 @@
         self.collapses = 0
 
     def report_violation(self, rule: int, message: str) -> None:
-        """Record a violation of a rule at the current time."""
+        """Record a violation of a rule at the current time.
+
+        The texts of all violations are stored in reports and compared by `lab replay`, so they must not change.
+        """
         self.violations.append(Violation(self.kernel.now, rule, message))
 
     # Rule 1.
@@ -108,7 +111,7 @@
         request = self.open.get(request_id)
         if request is not None and not request.outcome:
             self.report_violation(
-                1, f"{request.cls.name} {request_id} of dispatcher {request.dispatcher} was not answered in time"
+                1, f"{request.cls.name} {request_id} of dispatcher {request.dispatcher} has no answer in time"
             )
             self._finish(request, FAILED)
         self.kernel.after(
@@ -119,19 +122,17 @@
         """A client has received a complete final answer."""
         request = self.open.get(request_id)
         if request is None:
-            self.report_violation(1, f"an answer to {request_id}, which no client requested")
+            self.report_violation(1, f"an answer to {request_id}, which nobody asked")
             return
         if request.outcome in (CLIENT_LEFT, DISPATCHER_ENDED):
             return  # the answer was in transit when the client left or the dispatcher ended
         if request.outcome:
             self.report_violation(
-                1, f"{request.cls.name} {request_id} was answered twice: {request.outcome}, then {outcome}"
+                1, f"{request.cls.name} {request_id} is answered twice: {request.outcome}, then {outcome}"
             )
             return
         if outcome == SERVED and result not in request.results:
-            self.report_violation(
-                1, f"{request.cls.name} {request_id} was served with a result that no node made for it"
-            )
+            self.report_violation(1, f"{request.cls.name} {request_id} is served with what no node made for it")
         if outcome == REFUSED:
             self._check_rejection(request)
         self._finish(request, outcome)
@@ -152,7 +153,7 @@
         if request is not None and not request.outcome:
             self.report_violation(
                 1,
-                f"{request.cls.name} {request_id}: dispatcher {request.dispatcher} closed the connection unanswered",
+                f"{request.cls.name} {request_id}: dispatcher {request.dispatcher} ended the connection unanswered",
             )
             self._finish(request, FAILED)
 
@@ -165,7 +166,7 @@
             if request.dispatcher == dispatcher and not request.outcome:
                 if planned:
                     self.report_violation(
-                        1, f"{request.cls.name} {request.id} was lost in the planned stop of dispatcher {dispatcher}"
+                        1, f"{request.cls.name} {request.id} is lost in the planned stop of {dispatcher}"
                     )
                 self._finish(request, DISPATCHER_ENDED)
         for notified in [key for key in self.notified_not_ready if key[0] == dispatcher]:
@@ -201,21 +202,22 @@
         if notified_at is not None and sent_at > notified_at + self.grace:
             self.report_violation(
                 3,
-                f"{request_id} sent to {node} {(sent_at - notified_at) // 1000} ms after {dispatcher} was notified",
+                f"{request_id} sent to {node} {(sent_at - notified_at) // 1000} ms "
+                f"after dispatcher {dispatcher} was told",
             )
         if request is None:
-            self.report_violation(2, f"{node} was sent {request_id}, which no dispatcher has received from a client")
+            self.report_violation(2, f"{node} was sent {request_id}, which no client sent in this form")
             return None
         possible_runs = [attempt for attempt in request.attempts if not attempt.never_ran]
         name = f"{request.cls.name} {request_id}"
         if request.outcome in (SERVED, REFUSED, FAILED) and sent_at > now - 1000:
-            self.report_violation(1, f"{name} was sent to {node} after it was answered")
+            self.report_violation(1, f"{name} sent to {node} after its end")
         if len(request.attempts) >= self.max_attempts:
             self.report_violation(2, f"{name} has more than {self.max_attempts} attempts")
         if not self.hedging_permitted and any(not attempt.ended for attempt in possible_runs):
-            self.report_violation(2, f"{name}: hedged attempt at {node}, which is not permitted")
+            self.report_violation(2, f"{name}: a second copy to {node}")
         if possible_runs and request.cls.semantics == "fragile":
-            self.report_violation(2, f"{name} may have run at {possible_runs[0].node} and was sent to {node}")
+            self.report_violation(2, f"{name} may have run at {possible_runs[0].node} and is sent to {node}")
         elif possible_runs and request.cls.semantics == "dedup":
             first = possible_runs[0]
             if request.cls.group == "zone" and first.zone != zone or request.cls.group == "cell" and first.cell != cell:
@@ -223,7 +225,7 @@
                     2, f"{name} may have run at {first.node} and left its {request.cls.group} for {node}"
                 )
             if now > first.at + request.cls.dedup_window + self.extra_time:
-                self.report_violation(2, f"{name} was retried after its deduplication window")
+                self.report_violation(2, f"{name} is repeated after its window")
         attempt = Attempt(node, zone, cell, sent_at)
         request.attempts.append(attempt)
         return attempt
@@ -232,7 +234,7 @@
         possible_runs = [attempt for attempt in request.attempts if not attempt.never_ran]
         cls = request.cls
         if possible_runs and (cls.semantics == "fragile" or cls.semantics == "dedup" and cls.group != "all"):
-            self.report_violation(2, f"{cls.name} {request.id} may have run at {possible_runs[0].node} and was refused")
+            self.report_violation(2, f"{cls.name} {request.id} may have run at {possible_runs[0].node} and is refused")
 
     def attempt_ended(self, attempt: Attempt | None, never_ran: bool) -> None:
         """A node or a dispatcher has ended an attempt; `never_ran`: it is known not to have run."""
@@ -291,6 +293,4 @@
         )
         share = notified_work / max(sum(work for _, work in sent), 1e-9)
         if share >= 2 / 3:
-            self.report_violation(
-                4, f"{node} collapsed while warming up, {share:.0%} of the work from dispatchers notified of its start"
-            )
+            self.report_violation(4, f"cold {node} was pushed over, {share:.0%} of it by dispatchers told of its start")
