--- a/badgerroad/discovery/endpoint_watch.py
+++ b/badgerroad/discovery/endpoint_watch.py
@@ -91,8 +91,11 @@
             spawn(self._watch())
 
     def set_agent_mode(self, on: bool, stop_sending_within_us: int = 0) -> None:
-        """Set whether an agent on this machine holds the list. If so, sends to a worker must stop within the given time
-        of a change, and the list is watched from the start, without a subscription."""
+        """Set whether an agent on this machine holds the endpoint list.
+
+        If so, sends to a worker must stop within the given time (microseconds) of a change, and the list is watched
+        from the start, without a subscription.
+        """
         if on:
             self.schedule.use_agent(stop_sending_within_us)
             self.subscribe(True)
--- a/badgerroad/discovery/watch_schedule.py
+++ b/badgerroad/discovery/watch_schedule.py
@@ -70,7 +70,7 @@
 
 
 class WatchSchedule:
-    """Schedules the calls of one dispatcher to discovery, or to the agent that holds the list."""
+    """Schedules the calls of one dispatcher to discovery, or to the agent that holds the endpoint list."""
 
     def __init__(self, dispatchers: int, number: int, random_source: RandomSource) -> None:
         """Schedule for dispatcher `number` of `dispatchers`; both determine how its calls are staggered."""
@@ -86,7 +86,7 @@
         self._started = False
 
     def use_agent(self, stop_sending_within_us: int) -> None:
-        """Schedule calls to an agent on this machine, which holds the list."""
+        """Schedule calls to an agent on this machine, which holds the endpoint list."""
         self.stop_sending_within_us = max(stop_sending_within_us, MIN_STOP_SENDING_TIME_US)
 
     def use_discovery(self) -> None:
@@ -133,7 +133,7 @@
         self._next_is_poll, self._failed_polls = False, 0
 
     def poll_next(self) -> None:
-        """Make the next call a poll, because the list may have been replaced."""
+        """Make the next call a poll, because the endpoint list may have been replaced."""
         self._next_is_poll, self._failed_polls = True, 0
 
     def call_failed(self, call: Call, elapsed_us: int) -> int:
--- a/badgerroad/dispatcher/decision_host.py
+++ b/badgerroad/dispatcher/decision_host.py
@@ -52,7 +52,7 @@
             self._handling = False
 
     def perform_actions(self, actions: list[interface.Action]) -> None:
-        """Perform actions in order. If an action raises an exception, only the request of that action fails."""
+        """Perform actions in list order. If an action raises an exception, only the request of that action fails."""
         for action in actions:
             handler = self._action_handlers.get(type(action))
             if handler is None:
--- a/badgerroad/emulator/machine.py
+++ b/badgerroad/emulator/machine.py
@@ -40,7 +40,7 @@
         self.settings = settings_from(dumps(settings_of(world.scenario, number, self.zone)).encode())
         self.incarnation, self.up, self.frozen, self.draining = 0, False, False, False
         self.endpoint_list: tuple[Any, ...] = tuple(world.registry.entries.values())
-        # Version of `endpoint_list`. List and version survive a restart, as the platform keeps the list.
+        # Version of `endpoint_list`. Both survive a restart of the process, as the platform stores the list.
         self.version = world.registry.version
         self._backlog: deque[Callable[[], None]] = deque()
         self._performers: dict[type, Callable[[Any], None]] = {
@@ -55,7 +55,7 @@
         }
 
     def start(self) -> None:
-        """Start a new process with the list that the platform kept."""
+        """Start a new dispatcher process; its first endpoint list is the one that the platform stored."""
         self.incarnation += 1
         self.up, self.draining, self.ready, self.frozen = True, False, False, False
         seed = self.world.seed * 1000 + self.number * 16 + self.incarnation
--- a/badgerroad/emulator/model/nodes.py
+++ b/badgerroad/emulator/model/nodes.py
@@ -367,7 +367,7 @@
             self._reschedule_end()
 
     def silence(self, duration: int) -> None:
-        """Stop responding for a while; jobs continue to run.
+        """Stop responding for `duration` microseconds; jobs continue to run.
 
         After that, the node sends the job events that are younger than JOB_EVENT_MAX_AGE_US.
         """
@@ -388,7 +388,7 @@
                     self.on_job_event(self, job, state, share)
 
     def pause(self, duration: int) -> None:
-        """Stop all job progress for a while."""
+        """Stop the progress of all jobs for `duration` microseconds."""
         self._pauses += 1
         self._reschedule_end()
         self.kernel.after(duration, self._end_pause)
--- a/badgerroad/emulator/model/registry.py
+++ b/badgerroad/emulator/model/registry.py
@@ -13,7 +13,7 @@
 
 
 class Entry(NamedTuple):
-    """One entry of the list; `started_at` is in microseconds of the run's clock, 0 if before the run."""
+    """One entry of the endpoint list; `started_at` is in microseconds of the run's clock, 0 if before the run."""
 
     node: str
     state: str
@@ -75,7 +75,7 @@
         self._watchers: list[tuple[int, int, Reply]] = []  # open watches: (dispatcher, version of its list, reply)
 
     def update(self, entry: Entry) -> None:
-        """Apply a change to the list now and answer open watches."""
+        """Apply a change to the endpoint list now and answer open watches."""
         self.version += 1
         if entry.state == "gone":
             self.entries.pop(entry.node, None)
@@ -93,7 +93,7 @@
             self._answer_changes(dispatcher, index, reply, True)
 
     def update_later(self, entry: Entry) -> None:
-        """Apply a change to the list after the update delay."""
+        """Apply a change to the endpoint list after a delay drawn from `update_delay`."""
         self.kernel.after(self.draws.uniform(*self.update_delay), self.update, entry)
 
     def call(self, dispatcher: int, index: int | None, wait: int, reply: Reply) -> None:
--- a/badgerroad/fleet/framing.py
+++ b/badgerroad/fleet/framing.py
@@ -28,7 +28,10 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the payloads completed by `data`, in order. Raises FrameError at a length above MAX_MESSAGE_BYTES."""
+        """Return the payloads that `data` completes, in order of arrival.
+
+        Raises FrameError at a length above MAX_MESSAGE_BYTES.
+        """
         self._buffer += data
         payloads: list[bytes] = []
         start = 0
--- a/badgerroad/fleet/rules/owner.py
+++ b/badgerroad/fleet/rules/owner.py
@@ -104,7 +104,7 @@
         self.sessions: dict[Peer, Session] = {}
         self._next_session = first_session
         self.teams: dict[str, Team] = {}
-        self._scarce_teams: dict[str, None] = {}  # teams with waiting sessions, in order
+        self._scarce_teams: dict[str, None] = {}  # teams with waiting sessions, a set in insertion order
         self._carry_until = now + settings.longer(settings.carry_ms * US_PER_MS)
         self._carrying = True
         self._next_sharing = now
--- a/badgerroad/fleet/rules/view.py
+++ b/badgerroad/fleet/rules/view.py
@@ -12,7 +12,9 @@
 from badgerroad.fleet.rules.actions import Peer
 from badgerroad.fleet.settings import US_PER_MS, FleetSettings
 
-MAX_TERM = 1 << 43  # higher terms are invalid, since no installation reaches that many elections
+# Terms above this value are ignored as invalid. The lowest 20 bits of a term are random (`TERM_BITS` in ownership.py),
+# so this is the lowest term of election number 2**23 of a shard; no installation reaches that many elections.
+MAX_TERM = 1 << 43
 ALIVE_PERIODS = 3  # renewal periods for which a controller counts as alive after its last announcement
 
 
--- a/badgerroad/fleet/rules/zone_session.py
+++ b/badgerroad/fleet/rules/zone_session.py
@@ -105,7 +105,7 @@
         self._acknowledged = 0
         self._stamp = 0
         self._last_request: int | None = None
-        self._pending: dict[str, None] = {}  # teams to include in the next request, in order
+        self._pending: dict[str, None] = {}  # teams to include in the next request, a set in insertion order
         self._urgent = False
         self._scarce = False
         self._next_trim = now
--- a/badgerroad/hot_restart/attempt_reports.py
+++ b/badgerroad/hot_restart/attempt_reports.py
@@ -13,7 +13,7 @@
 
 
 class AttemptReports:
-    """Reports this process's attempts, under keys that are unique among all processes of a dispatcher."""
+    """Reports this process's attempts to its peers, under keys that are unique among all processes of a dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         """Use the process id as the prefix of all attempt keys."""
--- a/badgerroad/hot_restart/process.py
+++ b/badgerroad/hot_restart/process.py
@@ -32,7 +32,7 @@
 
 log = logs.get("badgerroad")
 
-PREPARED_CHECK_INTERVAL_US = 20_000  # time between two checks whether discovery has answered
+PREPARED_CHECK_INTERVAL_US = 20_000  # time between two checks of whether discovery has answered
 
 # States in which the newer process has to send heartbeats.
 _HEARTBEAT_STATES = (PredecessorState.YIELDED, PredecessorState.SUPERSEDED)
@@ -240,9 +240,10 @@
             self.peers.recipient.send(messages.RequestEnded(request_id))
 
     def unknown_job_event(self, request_id: bytes, host: str, state: str, item: dict[str, Any]) -> None:
-        """Send a job event for an attempt that is not known in this process to the peers, and retain it.
+        """Handle a job event for an attempt unknown to this process: retain the event, and send it to all active peers.
 
-        Another process has the attempt, or the attempt's request is being transferred to this one.
+        Either another process has the attempt, or the attempt's request is being transferred to this process. Without
+        an active peer, the event is dropped.
         """
         event = JobEvent(request_id, host, state, item)
         active_peers = self.peers.active()
--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -101,7 +101,7 @@
 async def send(
     targets: list[tuple[str, int]], arrivals: list[Arrival], run: str, timeout_ms: int = TIMEOUT_MS
 ) -> dict[str, ClassOutcomes]:
-    """Send the arrivals to the targets in rotation and return their outcomes by class."""
+    """Send the requests of `arrivals` to the targets in rotation, and return the outcomes by request class."""
     loop = asyncio.get_running_loop()
     pool, outcomes, tasks = ConnectionPool(loop), dict[str, ClassOutcomes](), set[asyncio.Task[None]]()
     started_at = loop.time()
--- a/badgerroad/lab/paper.py
+++ b/badgerroad/lab/paper.py
@@ -89,7 +89,12 @@
     """The paper's servers under one policy; sums up the slowdowns of the jobs by loading."""
 
     def __init__(self, policy: str, preemption: bool, seed: int) -> None:
-        """Create idle servers. `policy` is JSQ, LC or LC*."""
+        """Create idle servers. `policy` is JSQ, LC or LC*.
+
+        JSQ (join the shortest queue) sends a request to the server with the least work left, LC (least connections) to
+        the server with the fewest requests in flight. LC* is LC, except that a server gets at most one long request at
+        a time; a long request waits if each server has one.
+        """
         self.kernel = Kernel()
         self.sums = [[0.0, 0.0] for _ in LOADS]
         """[sum of slowdowns, number of jobs] of each loading."""
--- a/badgerroad/load_balancing/decision_context.py
+++ b/badgerroad/load_balancing/decision_context.py
@@ -20,7 +20,7 @@
         """Time of the current event (microseconds)."""
         self.first_event_at = 0
         self.actions: list[interface.Action] = []
-        """Actions added since the last `take_actions`, in order."""
+        """Actions added since the last `take_actions`, in the order in which they are to be performed."""
         self.timers = Timers()
 
     def advance(self, now: int) -> None:
@@ -37,6 +37,6 @@
         self.timers.fire(token, self.now, self.actions)
 
     def take_actions(self) -> list[interface.Action]:
-        """Return the pending actions and clear the list."""
+        """Return the pending actions, and remove them from `actions`."""
         actions, self.actions = self.actions, []
         return actions
--- a/badgerroad/load_balancing/deployment_settings.py
+++ b/badgerroad/load_balancing/deployment_settings.py
@@ -99,7 +99,7 @@
     """Factor on the priority weight of requests over their tenant's quota."""
     cross_zone_cost: float = 0.0
     load_report_fields: tuple[str, ...] = ()
-    """Names of the values of a load report, in order."""
+    """Names of the values of a load report, in the order in which the report holds them."""
     clients_mark_retries: bool = False
     retry_after_allowed: bool = False
     max_retry_after: int = 0
--- a/badgerroad/load_balancing/endpoint_roster.py
+++ b/badgerroad/load_balancing/endpoint_roster.py
@@ -27,11 +27,11 @@
 
 
 class EndpointRoster:
-    """All listed workers by id, machine types by number, and the ready workers in order.
+    """All listed workers by id, machine types by number, and the ready workers in the order that all dispatchers share.
 
     A worker that is removed while it is warming up stays until the end of its warm-up, as it may be listed again. The
     end of a warm-up depends on the time; all other changes come with an endpoint list. After a change of settings, the
-    caller must pass a list that is not incremental.
+    caller must pass an endpoint list that contains all workers, not only changes.
     """
 
     def __init__(self, is_remote: Predicate, is_warming_up: Predicate) -> None:
--- a/badgerroad/load_balancing/load_reports.py
+++ b/badgerroad/load_balancing/load_reports.py
@@ -7,7 +7,10 @@
 
 
 def free_slots(event: interface.AttemptEnded | interface.HealthCheckResult, fields: tuple[str, ...]) -> float | None:
-    """Return the free slots in the event's load report, or None; `fields` gives the names of its values in order."""
+    """Return the free slots in the event's load report, or None.
+
+    `fields`: names of the values of a load report, in the order in which the report holds them.
+    """
     if not event.load_report or FREE_SLOTS_FIELD not in fields:
         return None
     return event.load_report[fields.index(FREE_SLOTS_FIELD)]
--- a/badgerroad/load_balancing/policy/dispatch.py
+++ b/badgerroad/load_balancing/policy/dispatch.py
@@ -89,7 +89,7 @@
         return self.subsets.roster.workers
 
     def handle(self, now: int, event: interface.Event) -> list[interface.Action]:
-        """Process an event at time `now` (microseconds) and return the actions to perform, in order."""
+        """Process an event at time `now` (microseconds) and return the actions to be performed in list order."""
         self.context.advance(now)
         if not self.context.timers.order:
             self.subscription.subscribe_if_due()
--- a/badgerroad/load_balancing/retry_after.py
+++ b/badgerroad/load_balancing/retry_after.py
@@ -19,7 +19,9 @@
 
 Each addition rounds by at most half of this relative difference."""
 EXTRA_ROUNDINGS = 16
-"""Number of roundings allowed for in products and divisions outside the two sums; there are fewer."""
+"""Number of roundings that the margin allows for in the products and divisions outside the two sums.
+
+The actual number of these roundings is lower."""
 
 
 class Backlog(NamedTuple):
--- a/badgerroad/load_balancing/workers.py
+++ b/badgerroad/load_balancing/workers.py
@@ -69,7 +69,7 @@
         """Time and work of each send in the rolling window of the slow start, while the worker is warming up."""
 
     def is_ready(self) -> bool:
-        """Return whether the endpoint list gives the worker as ready."""
+        """Return whether the endpoint list lists the worker as ready."""
         return self.info.state == READY
 
     def add_attempt(self, slots: float, is_long: bool) -> None:
--- a/badgerroad/multiprocess/metric_sums.py
+++ b/badgerroad/multiprocess/metric_sums.py
@@ -37,7 +37,7 @@
         self._running[number] = metrics
 
     def process_ended(self, number: int) -> None:
-        """Add the counters of a server process that has ended to the kept counters, and drop its gauges."""
+        """Add the counters of a server process that has ended to those of all ended processes, and drop its gauges."""
         self._ended = _summed_counters([self._ended, self._running[number]])
         self._running[number] = {}
 
--- a/badgerroad/multiprocess/startup.py
+++ b/badgerroad/multiprocess/startup.py
@@ -18,7 +18,9 @@
 # Descriptors of the supervisor in addition to one channel for each server process: the standard streams, the
 # descriptors of the event loop, the bound address, the admin listener and its connections.
 SUPERVISOR_DESCRIPTORS = 32
-SEED_SHIFT = 64  # bits; the process number is added to the seed above the bits of the configured seed
+# Number of bits by which the process number is shifted left before it is added to the configured seed. Each server
+# process thus has a different seed, and the low bits hold a configured seed of up to 64 bits.
+SEED_SHIFT = 64
 
 
 class ProcessIndex(NamedTuple):
--- a/badgerroad/net/framing.py
+++ b/badgerroad/net/framing.py
@@ -42,7 +42,7 @@
 
 
 def pack(kind: str, head: dict[str, Any]) -> list[bytes]:
-    """Return the packets of one message without a payload, in order; a long head is split into parts."""
+    """Return the packets of one message without a payload, in the order of sending; a long head is split into parts."""
     text = pack_single(kind, head)[:-1]
     if len(text) <= MAX_PART_BYTES:
         return [text + b"\n"]
--- a/badgerroad/retry_budget/rules.py
+++ b/badgerroad/retry_budget/rules.py
@@ -19,7 +19,7 @@
 
 
 class AttemptCounts(NamedTuple):
-    """The attempts of one class in the present window."""
+    """The numbers of first attempts and of retries of one class in the present window."""
 
     first: int
     retries: int
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class WindowPart:
-    """The attempts in one part of a window."""
+    """The numbers of first attempts and of retries in one part of a window."""
 
     number: int  # consecutive number of the part, counted from the clock's zero
     first: int = 0
@@ -109,7 +109,7 @@
         return due
 
     def counts(self, request_class: str, now: int) -> AttemptCounts:
-        """Return the attempts of a class in the present window."""
+        """Return the numbers of first attempts and of retries of a class in the present window."""
         window = self._window(request_class)
         window.advance(now // self._part_us)
         return AttemptCounts(window.first, window.retries)
--- a/badgerroad/serving.py
+++ b/badgerroad/serving.py
@@ -36,7 +36,7 @@
 # A predecessor to which this process relays job events is killed within this time after its SIGTERM, so job events need
 # not be relayed for longer.
 PREDECESSOR_LIFETIME_US = 3_000_000
-NEW_CONNECTIONS_GRACE_US = 800_000  # clients open new connections for a while after SIGTERM
+NEW_CONNECTIONS_GRACE_US = 800_000  # time after SIGTERM for which clients may open new connections
 SHUTDOWN_CHECK_INTERVAL_US = 20_000
 PROCESS_VARIABLE = "BADGERROAD_SERVER_PROCESS"  # set in the environment of the server processes that `--workers` starts
 UNNAMED_OPERATOR_FILE = "the operator's file"  # used in errors if only another process knows the path of that file
--- a/benchmarks/capacity/reckon.py
+++ b/benchmarks/capacity/reckon.py
@@ -58,7 +58,10 @@
     # Terms of the estimates.
 
     def line(self, what: str, name: str, size: float, times: float = 1.0, per: str = "") -> Part:
-        """Return the value of a series at `size`, multiplied by `times`; `per` describes the factor."""
+        """Return the term `what`: the fitted line of the series `name` at `size`, multiplied by `times`.
+
+        `per`: text for `times` in the formula of the term, such as "0.5 a second"; empty if there is no factor.
+        """
         fitted = self.results.series[name].line
         how = f"{significant(fitted.slope)} x {size:,.0f} {'+' if fitted.fixed >= 0 else '-'} {significant(abs(fitted.fixed))}"
         if per:
--- a/benchmarks/capacity/role_tables.py
+++ b/benchmarks/capacity/role_tables.py
@@ -240,7 +240,10 @@
 
 
 def faults(results: Results) -> str:
-    """Return the table of what the loss of a part costs; the time to recover is not measured."""
+    """Return the table of what the loss of a machine, a rack, a zone, a region or a dispatcher affects and costs.
+
+    The time to recover is not measured.
+    """
     estimate = Reckoning(results, TARGET, ASSUMED)
     zone, region = TARGET.workers / TARGET.zones, TARGET.workers / TARGET.regions
     rows = []
--- a/benchmarks/fleet/judge.py
+++ b/benchmarks/fleet/judge.py
@@ -88,7 +88,7 @@
     # Shares.
 
     def used_by(self, teams: Iterable[int]) -> list[float]:
-        """Return the ascending times of the requests within quota of the given teams."""
+        """Return the times of the given teams' requests within quota, ascending, in seconds of the shared clock."""
         return sorted(at for team in teams for at in self.times[team])
 
     def over_share_of(self, teams: set[int]) -> float:
--- a/benchmarks/fleet/results.py
+++ b/benchmarks/fleet/results.py
@@ -20,7 +20,14 @@
 
 
 class Recovery(msgspec.Struct):
-    """Recovery from a fault. `of`: the teams; `seconds`: time from `since` to full use, None if the run ended before."""
+    """Recovery of some teams' use of their quotas after a fault, a change of the quotas, or the start of the fleet.
+
+    `of`: the teams. `since`: the event from which the time counts. `seconds`: time from `since` until the teams use
+    at least `oracle.FULL_USE` of their quotas, or of the offered load if that is lower. After a reduction of quotas, it
+    is the time until they use at most 1.05 times the new quotas. None if this did not occur in the measured time.
+    `use_before`: use before the event. `use_least`: lowest use in any window of 2 s after it. Both are fractions of the
+    quotas or of the offered load, as above.
+    """
 
     of: str
     since: str
--- a/tests/discovery/test_stale_watches.py
+++ b/tests/discovery/test_stale_watches.py
@@ -195,7 +195,8 @@
         discovery = Discovery(seed, dispatchers)
         answers = discovery.run()
         for change in range(0, 230 * SEC, 100 * MS):
-            available = discovery.outage_end(change) or change  # the deadline counts from when discovery is reachable
+            # The deadline of a change starts when discovery is reachable: at the change, or at the end of an outage.
+            available = discovery.outage_end(change) or change
             while any(available < begin < available + NOTIFICATION_DEADLINE_US for begin, _ in discovery.outages):
                 # An outage within the deadline restarts it at the end of that outage.
                 available = next(
--- a/tests/fleet/simulation/directed.py
+++ b/tests/fleet/simulation/directed.py
@@ -73,10 +73,12 @@
 
 
 def carried_twice(seed: int) -> Schedule:
-    """Duplicate every message while the owner drains, so that carry-over could be counted twice.
+    """Duplicate every message from the drain of the owner on, to provoke a double count of carried-over credit.
 
-    One zone first uses all quota that the other zones do not hold; after the handover the other zones use what they
-    carried over. The first flood starts only when the bucket of the first term is full.
+    First, 600 requests arrive in zone-5 within 4 s, so that this zone uses all credit that the other zones do not hold.
+    They start only at 60 s, when the bucket of the owner's first term is full. Then the owner drains. From 2 s after
+    the start of the drain, 900 requests arrive in the other nine zones within 3 s. They use the credit that these zones
+    have carried over to the new owner's term.
     """
     zones = 10
     dispatchers = {f"dispatcher-{number}": f"zone-{number}" for number in range(zones)}
--- a/tests/fleet/simulation/schedule.py
+++ b/tests/fleet/simulation/schedule.py
@@ -22,7 +22,8 @@
 class Schedule:
     """Input of one run.
 
-    `calm_at`: true time from which no fault is in effect. `measure_at`: start of the measurement at half the quota.
+    All times are true time in microseconds. `calm_at`: time from which no fault is in effect. `measure_at`: time from
+    which requests over quota count for the check at the end of the run; the load is then at most half the quota.
     """
 
     seed: int
--- a/tests/fleet/test_rules_bucket.py
+++ b/tests/fleet/test_rules_bucket.py
@@ -51,9 +51,10 @@
 
 
 class BucketHistory:
-    """A bucket under random steps.
+    """Applies random steps to a token bucket, and records the limits that its credit must not exceed.
 
-    `budget`: the most credit that may exist. `deepest`: the largest depth so far, in requests.
+    `budget`: the most usable credit that the bucket may hold, in millionths of a request. `deepest`: the largest depth
+    of the bucket so far, in requests.
     """
 
     def __init__(self, depth: int) -> None:
