--- a/badgerroad/emulator/live/node_servers.py
+++ b/badgerroad/emulator/live/node_servers.py
@@ -17,7 +17,7 @@
 from badgerroad.emulator.world import World
 from badgerroad.net import http1
 
-CALLBACK_ATTEMPTS, CALLBACK_RETRY_DELAY_S = 10, 0.2  # of sending one job event
+CALLBACK_ATTEMPTS, CALLBACK_RETRY_DELAY_S = 10, 0.2  # for sending one job event
 
 Spawn = Callable[[Coroutine[Any, Any, None]], "asyncio.Task[None]"]
 
--- a/badgerroad/emulator/model/nodes.py
+++ b/badgerroad/emulator/model/nodes.py
@@ -294,7 +294,7 @@
     # Warm-up.
 
     def _check_overload(self, job: Job) -> None:
-        """Collapse if the work received during warm-up exceeds the limit.
+        """Collapse if the work received in the last `overload_window` of the warm-up exceeds the node's allowance.
 
         Rejected work counts too, as the platform's fourth rule requires.
         """
--- a/badgerroad/emulator/report.py
+++ b/badgerroad/emulator/report.py
@@ -9,7 +9,7 @@
 from badgerroad.emulator.world import World
 
 SERVED_WEIGHT, WORST_CLASS_WEIGHT, WORST_WINDOW_WEIGHT = 0.65, 0.30, 0.05  # weights of the score, set by the operators
-CROSS_ZONE_DEDUCTION, HANDSHAKE_DEDUCTION, PROBE_DEDUCTION = 0.029, 0.02, 0.002  # deductions per job
+CROSS_ZONE_DEDUCTION, HANDSHAKE_DEDUCTION, PROBE_DEDUCTION = 0.029, 0.02, 0.002  # deductions for one event per job
 
 
 class ClassReport(msgspec.Struct):
--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -20,7 +20,7 @@
 from badgerroad.errors import ArgumentError
 from badgerroad.net import http1
 
-MAX_DURATION_S = 600.0  # longest load that is accepted
+MAX_DURATION_S = 600.0  # longest duration of a load that is accepted
 MAX_RATE_PER_S = 50_000.0
 TIMEOUT_MS = 15_000  # timeout of each request
 HISTOGRAM_MAX_US = 60_000_000  # longer latencies are recorded as this value; resolution: three significant digits
--- a/badgerroad/lab/paper.py
+++ b/badgerroad/lab/paper.py
@@ -24,10 +24,10 @@
 
 SERVERS, CUTOFF_KB = 4, 30.0  # number of servers; a request for a file larger than the cutoff is long
 LOADS = (0.40, 0.57, 0.75)  # utilisations of the light, medium and heavy loading
-REQUEST_RATE_PER_S = 1700.0  # average over the paper's trace
+REQUEST_RATE_PER_S = 1700.0  # mean request rate of the paper's trace
 CONNECTION_COST_KB = 290 / 80  # file size whose service takes as long as opening and closing the connection
 RATE_VARIATIONS = (0.0, 0.25)  # coefficient of variation of the rate from second to second
-LOADING_DURATION_S = 120.0  # of each loading; the paper's loadings last 1,200 s
+LOADING_DURATION_S = 120.0  # simulated time of each loading; the paper's loadings last 1,200 s
 SEEDS = 4
 # (share of files, smallest KB, largest KB, exponent of the bounded Pareto distribution; 0 for log-uniform sizes)
 SIZE_RANGES = (
--- a/badgerroad/load_balancing/endpoint_roster.py
+++ b/badgerroad/load_balancing/endpoint_roster.py
@@ -44,7 +44,7 @@
         self.remote = SortedWorkers()
         """The ready workers that are remote."""
         self.warming_up = SortedWorkers()
-        """The ready workers that were warming up at the last list."""
+        """The ready workers that were warming up when the last endpoint list was applied."""
         self.capacity = FleetCapacity(is_warming_up)
         """Total capacity of the ready workers."""
         self._is_remote = is_remote
--- a/badgerroad/load_balancing/pending_requests.py
+++ b/badgerroad/load_balancing/pending_requests.py
@@ -92,7 +92,7 @@
     def __init__(self) -> None:
         """Starts without requests."""
         super().__init__()
-        self._unanswered_work: list[int] = []  # sorted
+        self._unanswered_work: list[int] = []  # expected work of the unanswered requests, ascending
 
     def add(self, request: PendingRequest) -> None:
         """Add an unanswered request."""
--- a/badgerroad/load_balancing/workers.py
+++ b/badgerroad/load_balancing/workers.py
@@ -29,7 +29,7 @@
         """Number of attempts sent while `slots` or more slots were in flight at the worker, whose start was late."""
 
     def speed(self) -> float:
-        """Return the work per run time."""
+        """Return the machine type's speed: the work done per unit of run time."""
         return self.throughput.speed()
 
 
--- a/badgerroad/net/ring_buffer.py
+++ b/badgerroad/net/ring_buffer.py
@@ -31,7 +31,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether the limit is reached."""
+        """Whether the buffer holds `limit` bytes."""
         return self._count >= self.limit
 
     def writable(self) -> memoryview:
