--- a/badgerroad/lab/load.py
+++ b/badgerroad/lab/load.py
@@ -20,7 +20,7 @@
 from badgerroad.errors import ArgumentError
 from badgerroad.net import http1
 
-MAX_DURATION_S = 600.0  # longest load that is accepted
+MAX_DURATION_S = 600.0  # longest duration of a load that is accepted
 MAX_RATE_PER_S = 50_000.0
 TIMEOUT_MS = 15_000  # timeout of each request
 HISTOGRAM_MAX_US = 60_000_000  # longer latencies are recorded as this value; resolution: three significant digits
@@ -101,7 +101,7 @@
 async def send(
     targets: list[tuple[str, int]], arrivals: list[Arrival], run: str, timeout_ms: int = TIMEOUT_MS
 ) -> dict[str, ClassOutcomes]:
-    """Send the arrivals to the targets in rotation and return their outcomes by class."""
+    """Send the requests of `arrivals` to the targets in rotation, and return the outcomes by request class."""
     loop = asyncio.get_running_loop()
     pool, outcomes, tasks = ConnectionPool(loop), dict[str, ClassOutcomes](), set[asyncio.Task[None]]()
     started_at = loop.time()
--- a/badgerroad/lab/paper.py
+++ b/badgerroad/lab/paper.py
@@ -24,10 +24,10 @@
 
 SERVERS, CUTOFF_KB = 4, 30.0  # number of servers; a request for a file larger than the cutoff is long
 LOADS = (0.40, 0.57, 0.75)  # utilisations of the light, medium and heavy loading
-REQUEST_RATE_PER_S = 1700.0  # average over the paper's trace
+REQUEST_RATE_PER_S = 1700.0  # mean request rate of the paper's trace
 CONNECTION_COST_KB = 290 / 80  # file size whose service takes as long as opening and closing the connection
 RATE_VARIATIONS = (0.0, 0.25)  # coefficient of variation of the rate from second to second
-LOADING_DURATION_S = 120.0  # of each loading; the paper's loadings last 1,200 s
+LOADING_DURATION_S = 120.0  # simulated time of each loading; the paper's loadings last 1,200 s
 SEEDS = 4
 # (share of files, smallest KB, largest KB, exponent of the bounded Pareto distribution; 0 for log-uniform sizes)
 SIZE_RANGES = (
@@ -89,7 +89,12 @@
     """The paper's servers under one policy; sums up the slowdowns of the jobs by loading."""
 
     def __init__(self, policy: str, preemption: bool, seed: int) -> None:
-        """Create idle servers. `policy` is JSQ, LC or LC*."""
+        """Create idle servers. `policy` is JSQ, LC or LC*.
+
+        JSQ (join the shortest queue) sends a request to the server with the least work left, LC (least connections) to
+        the server with the fewest requests in flight. LC* is LC, except that a server gets at most one long request at
+        a time; a long request waits if each server has one.
+        """
         self.kernel = Kernel()
         self.sums = [[0.0, 0.0] for _ in LOADS]
         """[sum of slowdowns, number of jobs] of each loading."""
--- a/badgerroad/load_balancing/workers.py
+++ b/badgerroad/load_balancing/workers.py
@@ -29,7 +29,7 @@
         """Number of attempts sent while `slots` or more slots were in flight at the worker, whose start was late."""
 
     def speed(self) -> float:
-        """Return the work per run time."""
+        """Return the machine type's speed: the work done per unit of run time."""
         return self.throughput.speed()
 
 
@@ -69,7 +69,7 @@
         """Time and work of each send in the rolling window of the slow start, while the worker is warming up."""
 
     def is_ready(self) -> bool:
-        """Return whether the endpoint list gives the worker as ready."""
+        """Return whether the endpoint list lists the worker as ready."""
         return self.info.state == READY
 
     def add_attempt(self, slots: float, is_long: bool) -> None:
